--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -12,7 +12,7 @@
 };
 
 use pondwalk_config::{AgentSettings, agent::BackendKind};
-use pondwalk_decide::direct::{KnownLimit, LimitWord, ServerLimit};
+use pondwalk_decide::direct::{RateLimit, RateLimitState, ReportedRateLimit};
 use pondwalk_threads::lock;
 use pondwalk_types::{Refusal, TokenUsage, VersionId, Work, read_retry_after};
 use pondwalk_wire::{FrameKind, OrderKind, OrderRefusal, StartRequest};
@@ -55,7 +55,7 @@
     client: reqwest::Client,
     service_times: Mutex<HashMap<VersionId, Duration>>,
     started: Instant,
-    limit: Mutex<KnownLimit>,
+    limit: Mutex<RateLimitState>,
 }
 
 impl Backend {
@@ -122,22 +122,22 @@
     }
 
     /// The rate limit that the server names, if it names one.
-    pub fn rate_limit(&self) -> Option<ServerLimit> {
+    pub fn rate_limit(&self) -> Option<RateLimit> {
         lock(&self.limit).limit()
     }
 
     /// Takes in what an answer says of the rate limit, to a request sent at `sent`.
     fn hear_limit(&self, response: &Response, sent: Duration) {
         let word = match response.headers().get(LIMIT_HEADER) {
-            None if response.status().is_success() => LimitWord::Unnamed,
-            None => LimitWord::Unsaid,
+            None if response.status().is_success() => ReportedRateLimit::NoLimit,
+            None => ReportedRateLimit::NotReported,
             Some(value) => {
-                let limit = value.to_str().ok().and_then(|text| ServerLimit::try_from(text).ok());
-                limit.map_or(LimitWord::Unsaid, LimitWord::Named)
+                let limit = value.to_str().ok().and_then(|text| RateLimit::try_from(text).ok());
+                limit.map_or(ReportedRateLimit::NotReported, ReportedRateLimit::Limit)
             }
         };
-        if lock(&self.limit).hear(word, sent, self.started.elapsed()) {
-            let per_s = self.rate_limit().map_or(f64::INFINITY, ServerLimit::per_s);
+        if lock(&self.limit).apply_reported(word, sent, self.started.elapsed()) {
+            let per_s = self.rate_limit().map_or(f64::INFINITY, RateLimit::per_s);
             spdlog::warn!("the backend server's rate limit has changed", kv: { per_s });
         }
     }
--- a/crates/decide/examples/placing.rs
+++ b/crates/decide/examples/placing.rs
@@ -5,7 +5,9 @@
 
 use std::{error::Error, time::Duration};
 
-use pondwalk_decide::direct::{Ask, Fleet, Homes, PromptPart, ServerFacts, VersionRule};
+use pondwalk_decide::direct::{
+    DataCentreRule, Fleet, PlacementRequest, PromptPart, ServerInfo, VersionRule,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -22,7 +24,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = Fleet::new("dc0");
     for number in 0..SERVERS {
-        fleet.put(ServerFacts {
+        fleet.apply_server(ServerInfo {
             id: format!("s{number}"),
             born_ms: Some(1),
             address: ([127, 0, 0, 1], 1_000 + number).into(),
@@ -40,20 +42,20 @@
         let part = |id, tokens| PromptPart { id, tokens };
         let own = part(1_000_000 + u64::from(number), 200);
         let parts = [part(shared % 5, 400), part(100 + shared, 600), own];
-        let ask = Ask {
+        let ask = PlacementRequest {
             parts: &parts,
             model: 0,
-            read_ms_per_token: 0.02,
+            prefill_ms_per_token: 0.02,
             base_ms: 20.0,
-            avoid: &[],
+            excluded_servers: &[],
             versions: VersionRule::Any,
-            homes: Homes::Anywhere,
+            data_centres: DataCentreRule::Any,
         };
         let mut ticket = fleet.place(&ask, now, &mut rng).ok_or("no server takes it")?;
-        fleet.began(&mut ticket, 30.0, now);
+        fleet.on_answer_started(&mut ticket, 30.0, now);
         under_way.push(ticket);
         if under_way.len() > UNDER_WAY {
-            fleet.ended(&under_way.swap_remove(0));
+            fleet.on_finished(&under_way.swap_remove(0));
         }
     }
     println!("{} requests under way", under_way.len());
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -9,7 +9,7 @@
 
 use pondwalk_types::{LONGEST_BACKOFF, Refusal, WorkspaceId};
 
-use crate::direct::{Granter, PermitBuckets, ServerLimit};
+use crate::direct::{GranterRole, PermitBuckets, RateLimit};
 
 /// A request that asks for a slot.
 #[derive(Debug, Clone, PartialEq)]
@@ -71,7 +71,7 @@
     /// Until when the server wants nothing.
     paused_until: Duration,
     /// The rate limit that the server names.
-    rate_limit: Option<ServerLimit>,
+    rate_limit: Option<RateLimit>,
     permits: PermitBuckets,
 }
 
@@ -139,7 +139,7 @@
 
     /// The server names a rate limit, or none any more. The agent is the only one that sends it anything, so no
     /// other counts against it.
-    pub fn set_rate_limit(&mut self, limit: Option<ServerLimit>) {
+    pub fn set_rate_limit(&mut self, limit: Option<RateLimit>) {
         self.rate_limit = limit;
     }
 
@@ -148,7 +148,7 @@
         /// There is one server, so its name tells nothing.
         const OWN_SERVER: &str = "";
         self.rate_limit
-            .map_or(Ok(()), |limit| self.permits.take(OWN_SERVER, limit, Granter::First, now))
+            .map_or(Ok(()), |limit| self.permits.take(OWN_SERVER, limit, GranterRole::Primary, now))
     }
 
     /// A running request ended; the next one may start.
--- a/crates/decide/src/direct.rs
+++ b/crates/decide/src/direct.rs
@@ -15,11 +15,11 @@
 //! 4. **Which server?** [`Fleet::place`] takes the server of the least cost, a time in
 //!    milliseconds: what this entry has waiting there, what the server told of other entries'
 //!    requests, how late its answers came, and what of the prompt must be read there, at the speed
-//!    that [`Engine`] has learned; then the way to another data centre, failures of late, and a
+//!    that [`EngineEstimates`] has learned; then the way to another data centre, failures of late, and a
 //!    surcharge for all but the server that rendezvous hashing names for the prompt's shared part.
 //!    Servers of an evacuated data centre get nothing; cold ones get what this entry's share of their
-//!    bound lets it send ([`Sharers`]); those that name a rate limit get what permits are
-//!    given for ([`PermitBuckets`]). The request gets a rank there, shortest first ([`rank_of`]).
+//!    bound lets it send ([`BoundSharing`]); those that name a rate limit get what permits are
+//!    given for ([`PermitBuckets`]). The request gets a rank there, shortest first ([`queue_rank`]).
 //! 5. **Pass it on, or ask a larger model?** [`Cascade::next_model`] compares what the answer at
 //!    hand is worth with what each larger model's would be: the chance that it does, by all
 //!    confidences told, less its price, the servers' time at the price of the moment, and what it
@@ -31,8 +31,8 @@
 //! Beside the requests, [`Reporter`] decides who reports the usage of all entries ([`UsageTotals`]), and when.
 //!
 //! What the answer shows goes back into the estimates: [`Fleet::began`], [`Fleet::tells_load`],
-//! [`Fleet::answered`], [`Engine::note_beginning`], [`Cascade::learn`], [`Cascade::note_strain`]
-//! [`RollOut::note`] and [`Pool`].
+//! [`Fleet::answered`], [`EngineEstimates::note_beginning`], [`Cascade::learn`], [`Cascade::note_strain`]
+//! [`RollOut::note`] and [`EvidencePool`].
 
 mod cascade;
 mod engine;
@@ -52,29 +52,30 @@
 mod warm_up;
 mod window_budget;
 
-pub use cascade::{Cascade, ModelNumber, Terms};
-pub use engine::{Engine, Estimate, ServiceModel};
+pub use cascade::{Cascade, ModelCost, RouteModelIndex};
+pub use engine::{EngineEstimates, QuantileEstimate, ServiceModelIndex};
 pub use fleet::{
-    Ask, Certainty, Fleet, Forecast, Homes, KnownLimit, LifeMark, LimitError, LimitWord, LoadError,
-    Opening, PromptPart, ServerFacts, ServerIndex, ServerLimit, ServerLoad, Shut, Ticket,
-    Unreached, VersionRule, WantedPermit, Weighed, spread_of,
+    DataCentreRule, Fleet, Forecast, LoadError, NextAvailability, PermitRequest, Placeability,
+    PlacementRequest, PromptPart, RateLimit, RateLimitError, RateLimitState, ReportedRateLimit,
+    ScoringTerms, ServerIncarnation, ServerIndex, ServerInfo, ServerLoad, Ticket,
+    UnavailableReason, UnreachableReason, VersionRule, backoff_jitter,
 };
 pub use freshness::Freshness;
-pub use permits::{Granter, PermitBuckets};
-pub use pool::{Pool, Seen, Tally};
+pub use permits::{GranterRole, PermitBuckets};
+pub use pool::{EvidencePool, Observation, Tally};
 pub use quarantine::{
-    Content, EndId, GoodContents, Grant, Loss, Probe, Quarantine, ServerEnd, Standing, end_id,
-    granting_order, server_hash,
+    ContentHash, CorrelatedCrashes, CrashId, ProbeDecision, ProbeRequest, Quarantine,
+    QuarantineStatus, ServerCrash, SuccessfulContents, crash_id, granter_order, server_hash,
 };
-pub use rank::{RESUMED, Rank, rank_of};
+pub use rank::{QueueRank, RESUMED_RANK, queue_rank};
 pub use reporter::{
-    CallEnd, DueWindows, FencingToken, Reporter, ReporterOrder, ReporterRecord, ReporterStep,
-    UsageCounts, WindowId, WriteEnd,
+    CallOutcome, DueWindows, FencingToken, Reporter, ReporterDelays, ReporterRecord, ReporterStep,
+    UsageCounts, WindowId, WriteOutcome,
 };
-pub use roll_out::{Evidence, Move, RollOut, Stage};
+pub use roll_out::{Evidence, RollOut, RollOutStep, Stage};
 pub use sessions::{SessionKey, Sessions, session_key};
-pub use sharers::Sharers;
-pub use true_time::TrueTime;
-pub use usage::{Teller, UsageMeter, UsageTotals};
-pub use warm_up::{ColdBound, Coldness, Pacing, WarmUp, longest_wait};
+pub use sharers::BoundSharing;
+pub use true_time::ClockEstimate;
+pub use usage::{UsageMeter, UsagePublisher, UsageTotals};
+pub use warm_up::{ColdReason, ColdServerBound, ColdServerPacing, WarmUp, max_cold_wait};
 pub use window_budget::{WindowBudget, WindowLimits};
--- a/crates/decide/src/direct/cascade.rs
+++ b/crates/decide/src/direct/cascade.rs
@@ -9,10 +9,10 @@
 
 use std::collections::HashMap;
 
-use super::engine::ServiceModel;
+use super::engine::ServiceModelIndex;
 
 /// Number of a model in a route's list, smallest first.
-pub type ModelNumber = u8;
+pub type RouteModelIndex = u8;
 
 /// Confidence at which an answer is as likely to do as not: the middle of the scale, by what a
 /// confidence means. Nobody tells an entry which answers did, so this is not learned.
@@ -50,24 +50,24 @@
 
 /// What asking one model would cost a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct ModelCost {
     /// The model among those of its service.
-    pub model: ServiceModel,
+    pub model: ServiceModelIndex,
     /// Its price, in any unit that all models share.
     pub price: f64,
     /// Servers' time that it takes, as a multiple of a typical answer of the largest model.
-    pub load: f64,
+    pub server_time: f64,
     /// When its answer is expected to begin since the request's arrival, as a multiple of the
     /// objective.
-    pub begins: f64,
+    pub first_byte_ratio: f64,
     /// When it is expected to end since then, as a multiple of the time allowed.
-    pub ends: f64,
+    pub end_ratio: f64,
 }
 
 /// The rule for the requests of one service, with what it has learned.
 #[derive(Debug, Default)]
 pub struct Cascade {
-    lifts: HashMap<(ServiceModel, ServiceModel), f64>,
+    lifts: HashMap<(ServiceModelIndex, ServiceModelIndex), f64>,
     strain: f64,
 }
 
@@ -76,36 +76,51 @@
     ///
     /// `told` are the models that answered with their confidences, the answer at hand last;
     /// `terms` are those of the route's models, smallest first.
-    pub fn next_model(&self, told: &[(ModelNumber, u8)], terms: &[Terms]) -> Option<ModelNumber> {
+    pub fn next_model(
+        &self,
+        told: &[(RouteModelIndex, u8)],
+        terms: &[ModelCost],
+    ) -> Option<RouteModelIndex> {
         let (current, _) = *told.last()?;
         if told.iter().any(|(model, _)| usize::from(*model) >= terms.len()) {
             return None;
         }
-        let kept = POOR_LOSS * self.does(current, told, terms);
-        let last = ModelNumber::try_from(terms.len()).ok()?.checked_sub(1)?;
-        let worth = |model: ModelNumber| (model, self.worth(model, told, terms));
+        let kept = POOR_LOSS * self.success_probability(current, told, terms);
+        let last = RouteModelIndex::try_from(terms.len()).ok()?.checked_sub(1)?;
+        let worth = |model: RouteModelIndex| (model, self.worth(model, told, terms));
         let best = (current + 1..=last).map(worth).max_by(|a, b| a.1.total_cmp(&b.1));
         best.filter(|(_, worth)| *worth > kept).map(|(model, _)| model)
     }
 
     /// What asking a model adds to a poor answer, as a part of the request's worth.
-    fn worth(&self, model: ModelNumber, told: &[(ModelNumber, u8)], terms: &[Terms]) -> f64 {
+    fn worth(
+        &self,
+        model: RouteModelIndex,
+        told: &[(RouteModelIndex, u8)],
+        terms: &[ModelCost],
+    ) -> f64 {
         let last = terms.len() - 1;
         let of = &terms[usize::from(model)];
         let price = LARGEST_PRICE * of.price / terms[last].price.max(f64::MIN_POSITIVE);
-        let cost = price + self.time_price() * of.load;
+        let cost = price + self.server_time_price() * of.server_time;
         if usize::from(model) == last {
             return POOR_LOSS * in_time(of) - cost;
         }
-        let does = self.does(model, told, terms);
-        let largest = ModelNumber::try_from(last).map_or(0.0, |last| self.worth(last, told, terms));
+        let does = self.success_probability(model, told, terms);
+        let largest =
+            RouteModelIndex::try_from(last).map_or(0.0, |last| self.worth(last, told, terms));
         let otherwise = (1.0 - does) * FOUND_POOR * largest.max(0.0);
         POOR_LOSS * does * in_time(of) + otherwise - cost
     }
 
     /// Chance that a model's answer does, by what all models that answered told.
-    fn does(&self, model: ModelNumber, told: &[(ModelNumber, u8)], terms: &[Terms]) -> f64 {
-        let named = |number: ModelNumber| terms[usize::from(number)].model;
+    fn success_probability(
+        &self,
+        model: RouteModelIndex,
+        told: &[(RouteModelIndex, u8)],
+        terms: &[ModelCost],
+    ) -> f64 {
+        let named = |number: RouteModelIndex| terms[usize::from(number)].model;
         let expected = told.iter().map(|(from, confidence)| {
             f64::from(*confidence) + self.lift(named(*from), named(model))
         });
@@ -116,7 +131,7 @@
     }
 
     /// A request was answered by two models with these confidences.
-    pub fn learn(&mut self, from: (ServiceModel, u8), to: (ServiceModel, u8)) {
+    pub fn learn(&mut self, from: (ServiceModelIndex, u8), to: (ServiceModelIndex, u8)) {
         let told = |confidence: u8| (1..100).contains(&confidence);
         if !told(from.1) || !told(to.1) {
             return;
@@ -127,16 +142,16 @@
     }
 
     /// An answer waited for this part of its objective beyond what it would have on an idle server.
-    pub fn note_strain(&mut self, part: f64) {
+    pub fn record_strain(&mut self, part: f64) {
         self.strain += STRAIN_GAIN * (part.min(2.0) - self.strain);
     }
 
     /// Price of a typical answer's time at the largest model, as a part of its worth.
-    pub fn time_price(&self) -> f64 {
+    pub fn server_time_price(&self) -> f64 {
         DEAREST_TIME * part_beyond(self.strain, STRAIN_BOUNDS)
     }
 
-    fn lift(&self, from: ServiceModel, to: ServiceModel) -> f64 {
+    fn lift(&self, from: ServiceModelIndex, to: ServiceModelIndex) -> f64 {
         if from == to {
             return 0.0;
         }
@@ -145,9 +160,9 @@
 }
 
 /// Part of its worth that an answer keeps which is expected to begin and end at these times.
-fn in_time(terms: &Terms) -> f64 {
-    let late = part_beyond(terms.begins, IN_TIME_BOUNDS);
-    let cut = part_beyond(terms.ends, WHOLE_BOUNDS);
+fn in_time(terms: &ModelCost) -> f64 {
+    let late = part_beyond(terms.first_byte_ratio, IN_TIME_BOUNDS);
+    let cut = part_beyond(terms.end_ratio, WHOLE_BOUNDS);
     (1.0 - (1.0 - LATE_WORTH) * late) * (1.0 - cut)
 }
 
--- a/crates/decide/src/direct/engine.rs
+++ b/crates/decide/src/direct/engine.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// Number of a model among those of its service, as the configuration lists them.
-pub type ServiceModel = u8;
+pub type ServiceModelIndex = u8;
 
 /// Quantile of the samples that an estimate follows.
 const QUANTILE: f64 = 0.4;
@@ -38,16 +38,16 @@
 
 /// A quantile of positive samples, learned on line.
 #[derive(Debug, Clone, Copy)]
-pub struct Estimate {
+pub struct QuantileEstimate {
     prior: f64,
     value: f64,
-    seen: u32,
+    samples: u32,
 }
 
-impl Estimate {
+impl QuantileEstimate {
     /// Nothing has been seen yet.
     pub fn new(prior: f64) -> Self {
-        Estimate { prior, value: prior, seen: 0 }
+        QuantileEstimate { prior, value: prior, samples: 0 }
     }
 
     /// The value known so far.
@@ -56,77 +56,79 @@
     }
 
     /// Takes one sample in; one that is no positive number tells nothing.
-    pub fn note(&mut self, sample: f64) {
+    pub fn record(&mut self, sample: f64) {
         if !sample.is_finite() || sample <= 0.0 {
             return;
         }
-        let step = FIRST_STEP / (1.0 + f64::from(self.seen) / HALF_STEP_SAMPLES);
+        let step = FIRST_STEP / (1.0 + f64::from(self.samples) / HALF_STEP_SAMPLES);
         let step = step.max(LAST_STEP);
         let up = if sample > self.value { QUANTILE } else { QUANTILE - 1.0 };
         let (least, most) = (self.prior / LARGEST_FACTOR, self.prior * LARGEST_FACTOR);
         self.value = (self.value * (step * up).exp()).clamp(least, most);
-        self.seen = self.seen.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 }
 
 /// The engines of one service.
 #[derive(Debug)]
-pub struct Engine {
+pub struct EngineEstimates {
     models: u8,
-    begins: Estimate,
-    reads: HashMap<ServiceModel, Estimate>,
-    tokens: HashMap<ServiceModel, Estimate>,
+    base: QuantileEstimate,
+    prefill: HashMap<ServiceModelIndex, QuantileEstimate>,
+    tokens: HashMap<ServiceModelIndex, QuantileEstimate>,
 }
 
-impl Engine {
+impl EngineEstimates {
     /// Nothing is known of engines that run this many models; none for a plain service.
     pub fn new(models: u8) -> Self {
-        Engine {
+        EngineEstimates {
             models,
-            begins: Estimate::new(BEGIN_PRIOR_MS),
-            reads: HashMap::new(),
+            base: QuantileEstimate::new(BEGIN_PRIOR_MS),
+            prefill: HashMap::new(),
             tokens: HashMap::new(),
         }
     }
 
     /// Time until an answer begins besides reading, in milliseconds.
-    pub fn begins_ms(&self) -> f64 {
-        self.begins.value()
+    pub fn base_ms(&self) -> f64 {
+        self.base.value()
     }
 
     /// Time to read one token with a model, in milliseconds.
-    pub fn read_ms_per_token(&self, model: ServiceModel) -> f64 {
-        self.reads.get(&model).map_or_else(|| self.read_prior_ms(model), Estimate::value)
+    pub fn prefill_ms_per_token(&self, model: ServiceModelIndex) -> f64 {
+        self.prefill
+            .get(&model)
+            .map_or_else(|| self.prefill_prior_ms(model), QuantileEstimate::value)
     }
 
     /// Time from one token of a model's answer to the next, in milliseconds.
-    pub fn token_ms(&self, model: ServiceModel) -> f64 {
-        self.tokens.get(&model).map_or(TOKEN_PRIOR_MS, Estimate::value)
+    pub fn token_ms(&self, model: ServiceModelIndex) -> f64 {
+        self.tokens.get(&model).map_or(TOKEN_PRIOR_MS, QuantileEstimate::value)
     }
 
     /// An answer began after `took_ms` at a server that had nothing else of this entry waiting,
     /// with so many tokens of its prompt to read.
-    pub fn note_beginning(&mut self, model: ServiceModel, tokens_read: f64, took_ms: f64) {
+    pub fn record_first_byte(&mut self, model: ServiceModelIndex, tokens_read: f64, took_ms: f64) {
         if tokens_read <= FEW_TOKENS {
-            let read_ms = tokens_read * self.read_ms_per_token(model);
-            self.begins.note(took_ms - read_ms);
+            let read_ms = tokens_read * self.prefill_ms_per_token(model);
+            self.base.record(took_ms - read_ms);
         } else if tokens_read >= MANY_TOKENS {
-            let begins_ms = self.begins_ms();
-            let prior = self.read_prior_ms(model);
-            let read = self.reads.entry(model).or_insert_with(|| Estimate::new(prior));
+            let begins_ms = self.base_ms();
+            let prior = self.prefill_prior_ms(model);
+            let read = self.prefill.entry(model).or_insert_with(|| QuantileEstimate::new(prior));
             // NB: an answer that comes sooner than any can begin was held there already.
-            read.note(((took_ms - begins_ms) / tokens_read).max(prior / LARGEST_FACTOR));
+            read.record(((took_ms - begins_ms) / tokens_read).max(prior / LARGEST_FACTOR));
         }
     }
 
     /// A whole answer of a model took this long for each of its tokens, in milliseconds.
-    pub fn note_token_ms(&mut self, model: ServiceModel, token_ms: f64) {
+    pub fn record_token_ms(&mut self, model: ServiceModelIndex, token_ms: f64) {
         let tokens = self.tokens.entry(model);
-        tokens.or_insert_with(|| Estimate::new(TOKEN_PRIOR_MS)).note(token_ms);
+        tokens.or_insert_with(|| QuantileEstimate::new(TOKEN_PRIOR_MS)).record(token_ms);
     }
 
     /// Models are taken to lie evenly between the smallest and the largest, by factors.
-    fn read_prior_ms(&self, model: ServiceModel) -> f64 {
+    fn prefill_prior_ms(&self, model: ServiceModelIndex) -> f64 {
         let (smallest, largest) = READ_PRIORS_MS;
         let last = f64::from(self.models.saturating_sub(1));
         let place = if last > 0.0 { (f64::from(model) / last).min(1.0) } else { 0.5 };
--- a/crates/decide/src/direct/fleet/ask.rs
+++ b/crates/decide/src/direct/fleet/ask.rs
@@ -4,8 +4,8 @@
 
 use pondwalk_types::{DataCentreId, ServerId};
 
-use super::{Life, ServerFacts, ServerIndex, notice::LifeMark};
-use crate::direct::engine::ServiceModel;
+use super::{IncarnationNumber, ServerIndex, ServerInfo, notice::ServerIncarnation};
+use crate::direct::engine::ServiceModelIndex;
 
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,46 +40,46 @@
 
 /// What a request asks of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Parts of the prompt in order; empty for plain services.
     pub parts: &'a [PromptPart],
     /// The model among those of its service.
-    pub model: ServiceModel,
+    pub model: ServiceModelIndex,
     /// Time to read one token of a prompt with that model, in milliseconds.
-    pub read_ms_per_token: f64,
+    pub prefill_ms_per_token: f64,
     /// Time besides reading until the answer begins, in milliseconds.
     pub base_ms: f64,
     /// Servers that are left out.
-    pub avoid: &'a [ServerId],
+    pub excluded_servers: &'a [ServerId],
     /// Versions that may run it.
     pub versions: VersionRule<'a>,
     /// Data centres whose servers may run it.
-    pub homes: Homes<'a>,
+    pub data_centres: DataCentreRule<'a>,
 }
 
-impl Ask<'_> {
+impl PlacementRequest<'_> {
     /// Whether a server may run it, apart from what the server itself can do now.
-    pub fn allows(&self, server: &ServerFacts) -> bool {
-        !self.avoid.contains(&server.id) && self.homes.allow(&server.data_centre)
+    pub fn allows(&self, server: &ServerInfo) -> bool {
+        !self.excluded_servers.contains(&server.id) && self.data_centres.allows(&server.data_centre)
     }
 }
 
 /// The data centres that a request must not leave.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Homes<'a> {
+pub enum DataCentreRule<'a> {
     /// It may go anywhere.
     #[default]
-    Anywhere,
+    Any,
     /// It may go to these only, of which there may be none.
     Only(&'a [DataCentreId]),
 }
 
-impl Homes<'_> {
+impl DataCentreRule<'_> {
     /// Whether it may go to a data centre.
-    pub fn allow(&self, data_centre: &str) -> bool {
+    pub fn allows(&self, data_centre: &str) -> bool {
         match self {
-            Homes::Anywhere => true,
-            Homes::Only(homes) => homes.iter().any(|home| home == data_centre),
+            DataCentreRule::Any => true,
+            DataCentreRule::Only(homes) => homes.iter().any(|home| home == data_centre),
         }
     }
 }
@@ -92,27 +92,27 @@
     /// The server's identity; the position may have been reused since.
     pub server: ServerId,
     /// The life of the server that it was placed in; a server may start again under its identity.
-    pub(super) life: Life,
+    pub(super) incarnation_number: IncarnationNumber,
     /// What tells that life from another, though its entry in the store should go.
-    pub(super) mark: LifeMark,
+    pub(super) incarnation: ServerIncarnation,
     /// When it was placed.
-    pub(super) placed: Duration,
+    pub(super) placed_at: Duration,
     /// When the permit was given by which it may go there, if it has one.
-    pub(super) permit: Option<Duration>,
+    pub(super) permit_granted_at: Option<Duration>,
     /// Time until its answer was expected to begin, in milliseconds, with nothing before it.
     pub expected_ms: f64,
     /// Tokens of its prompt that were to be read.
-    pub read_tokens: f64,
+    pub prefill_tokens: f64,
     /// What this entry had waiting there before it, in milliseconds.
-    pub ahead_ms: f64,
+    pub queued_ms: f64,
     /// Whether its answer has not begun yet.
-    pub(super) waiting: bool,
+    pub(super) is_waiting: bool,
 }
 
 impl Ticket {
     /// Time until its answer was expected to begin with all that was known, in milliseconds.
-    pub fn due_ms(&self) -> f64 {
-        (self.expected_ms + self.ahead_ms).max(1.0)
+    pub fn expected_with_queue_ms(&self) -> f64 {
+        (self.expected_ms + self.queued_ms).max(1.0)
     }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
     /// Time until its answer is expected to begin, in milliseconds.
-    pub begins_ms: f64,
+    pub first_byte_ms: f64,
     /// Time that the server reads its prompt for, in milliseconds.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
 }
--- a/crates/decide/src/direct/fleet/limited.rs
+++ b/crates/decide/src/direct/fleet/limited.rs
@@ -5,106 +5,112 @@
 use pondwalk_types::ServerId;
 use rand::Rng;
 
-use super::{Ask, Fleet, LifeMark, ServerLimit, server::Server};
+use super::{Fleet, PlacementRequest, RateLimit, ServerIncarnation, server::Server};
 
 /// Whether a server that names a rate limit may be chosen without a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Permission {
+pub(super) enum PermitRule {
     /// Only with one at hand.
-    AtHand,
+    Granted,
     /// Also if one may be asked for.
-    Possible,
+    Requestable,
 }
 
 /// How sure it is that a request would be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Certainty {
+pub enum Placeability {
     /// A server could take it now.
-    Sure,
+    Now,
     /// One could if a permit for it is given.
-    IfPermitted,
+    WithPermit,
 }
 
 /// A permit that is to be asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WantedPermit {
+pub struct PermitRequest {
     /// The server that it is for.
     pub server: ServerId,
     /// The life of the server that named the limit.
-    pub life: LifeMark,
+    pub incarnation: ServerIncarnation,
     /// The limit.
-    pub limit: ServerLimit,
+    pub limit: RateLimit,
     /// When it was said.
-    pub said_at: Duration,
+    pub reported_at: Duration,
 }
 
 impl Fleet {
     /// Whether any server would take a request now, and how surely; `None` if none would.
-    pub fn certainty(&self, ask: &Ask<'_>, now: Duration) -> Option<Certainty> {
+    pub fn placeability(&self, ask: &PlacementRequest<'_>, now: Duration) -> Option<Placeability> {
         let could_take = |permission| {
-            let mut open = self.open(ask.versions, now);
-            open.any(|server| ask.allows(&server.facts) && self.has_room(server, permission, now))
+            let mut open = self.available_servers(ask.versions, now);
+            open.any(|server| ask.allows(&server.info) && self.has_room(server, permission, now))
         };
-        if could_take(Permission::AtHand) {
-            return Some(Certainty::Sure);
+        if could_take(PermitRule::Granted) {
+            return Some(Placeability::Now);
         }
-        could_take(Permission::Possible).then_some(Certainty::IfPermitted)
+        could_take(PermitRule::Requestable).then_some(Placeability::WithPermit)
     }
 
     /// The permit that a request is to ask for: the server that it would go to names a rate limit, and none is at
     /// hand.
-    pub fn want_permit(
+    pub fn request_permit(
         &mut self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         now: Duration,
         rng: &mut impl Rng,
-    ) -> Option<WantedPermit> {
-        if !self.may_limit {
+    ) -> Option<PermitRequest> {
+        if !self.may_have_rate_limits {
             return None;
         }
-        self.may_limit = self.count_limited() > 0;
+        self.may_have_rate_limits = self.count_rate_limited() > 0;
         let scatter = || rng.random_range(0.0..1.0);
-        let best = self.best(ask, now, Permission::Possible, scatter)?;
+        let best = self.best_candidate(ask, now, PermitRule::Requestable, scatter)?;
         let server = self.servers[best.index].as_mut()?;
         let limit = server.notice.rate_limit()?;
-        if server.permits.is_at_hand(now) {
+        if server.permits.is_available(now) {
             return None;
         }
-        server.permits.is_asked_for(now);
-        let said_at = server.notice.rate().said_at().unwrap_or(now);
-        Some(WantedPermit {
-            server: server.facts.id.clone(),
-            life: server.mark.clone(),
+        server.permits.on_requested(now);
+        let said_at = server.notice.rate_limit_state().reported_at().unwrap_or(now);
+        Some(PermitRequest {
+            server: server.info.id.clone(),
+            incarnation: server.incarnation.clone(),
             limit,
-            said_at,
+            reported_at: said_at,
         })
     }
 
     /// Permits that may come for a request before `until`, at most.
-    pub fn permits_before(&self, ask: &Ask<'_>, until: Duration, now: Duration) -> usize {
-        let open = self.open(ask.versions, now).filter(|server| ask.allows(&server.facts));
+    pub fn permits_before(
+        &self,
+        ask: &PlacementRequest<'_>,
+        until: Duration,
+        now: Duration,
+    ) -> usize {
+        let open =
+            self.available_servers(ask.versions, now).filter(|server| ask.allows(&server.info));
         let of_one = |server: &Server| {
             let limit = server.notice.rate_limit()?;
-            let left = until.checked_sub(server.permits.opens_at(now))?;
+            let left = until.checked_sub(server.permits.next_available_at(now))?;
             Some(1 + (limit.per_s() * left.as_secs_f64()) as usize)
         };
         open.filter_map(of_one).fold(0, usize::saturating_add)
     }
 
     /// A permit for a server was given, or refused until some time.
-    pub fn take_permit(&mut self, id: &str, permit: Result<(), Duration>, now: Duration) {
-        let server = self.servers.iter_mut().flatten().find(|server| server.facts.id == id);
+    pub fn apply_permit_decision(&mut self, id: &str, permit: Result<(), Duration>, now: Duration) {
+        let server = self.servers.iter_mut().flatten().find(|server| server.info.id == id);
         let Some(server) = server else { return };
         match permit {
-            Ok(()) => server.permits.is_given(now),
-            Err(until) => server.permits.is_refused(until),
+            Ok(()) => server.permits.on_granted(now),
+            Err(until) => server.permits.on_refused(until),
         }
     }
 }
 
 /// Whether the rate limit of a server lets it be chosen.
-pub(super) fn is_permitted(server: &Server, permission: Permission, now: Duration) -> bool {
+pub(super) fn is_permitted(server: &Server, permission: PermitRule, now: Duration) -> bool {
     server.notice.rate_limit().is_none()
-        || server.permits.is_at_hand(now)
-        || permission == Permission::Possible && server.permits.may_be_asked_for(now)
+        || server.permits.is_available(now)
+        || permission == PermitRule::Requestable && server.permits.may_be_requested(now)
 }
--- a/crates/decide/src/direct/fleet/load.rs
+++ b/crates/decide/src/direct/fleet/load.rs
@@ -33,13 +33,13 @@
 pub enum LoadError {
     /// It does not hold three numbers, or four.
     #[error("a load is three numbers by commas: running, waiting, slots; a pace may follow")]
-    NotThree,
+    WrongFieldCount,
     /// One of them is no number.
     #[error("a load holds no number: {0}")]
-    NotANumber(#[from] ParseIntError),
+    InvalidNumber(#[from] ParseIntError),
     /// Its pace is no time.
     #[error("a load's pace is no number from 0 on")]
-    NotAPace,
+    InvalidPace,
 }
 
 /// Reads `RUNNING,WAITING,SLOTS`, or the same with the pace of the moment behind it: how long work takes, 100
@@ -55,8 +55,8 @@
         let (running, waiting, slots) = match numbers[..] {
             [running, waiting, slots] => (running, waiting, slots),
             [running, waiting, slots, pace] if is_pace(pace) => (running, waiting, slots),
-            [_, _, _, _] => return Err(LoadError::NotAPace),
-            _ => return Err(LoadError::NotThree),
+            [_, _, _, _] => return Err(LoadError::InvalidPace),
+            _ => return Err(LoadError::WrongFieldCount),
         };
         Ok(ServerLoad {
             running: running.parse()?,
@@ -75,22 +75,22 @@
 pub struct OthersLoad {
     running: f64,
     waiting: f64,
-    noted: Duration,
+    recorded_at: Duration,
 }
 
 impl OthersLoad {
     /// The server told its load while this entry had so many of its own requests running and
     /// waiting there.
-    pub fn note(&mut self, load: ServerLoad, own_running: u32, own_waiting: u32, now: Duration) {
+    pub fn record(&mut self, load: ServerLoad, own_running: u32, own_waiting: u32, now: Duration) {
         self.running = f64::from(load.running.saturating_sub(own_running));
         self.waiting = f64::from(load.waiting.saturating_sub(own_waiting));
-        self.noted = now;
+        self.recorded_at = now;
     }
 
     /// Time that these requests add to the cost of the server, in milliseconds, if one that waits
     /// is read in `read_ms`. Nothing where the server does not tell its load.
     pub fn cost_ms(&self, read_ms: f64, now: Duration) -> f64 {
-        let age_s = now.saturating_sub(self.noted).as_secs_f64();
+        let age_s = now.saturating_sub(self.recorded_at).as_secs_f64();
         let left = |memory: Duration| (-age_s / memory.as_secs_f64()).exp();
         let running_ms = self.running * OTHER_RUNNING_MS * left(RUNNING_MEMORY);
         running_ms + self.waiting * read_ms * left(WAITING_MEMORY)
--- a/crates/decide/src/direct/fleet/notice.rs
+++ b/crates/decide/src/direct/fleet/notice.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    limit::{KnownLimit, ServerLimit},
-    server::ServerFacts,
+    limit::{RateLimit, RateLimitState},
+    server::ServerInfo,
 };
 
 /// Time for which a server that says it leaves is believed to, from its latest word. Servers serve on for some
@@ -32,26 +32,30 @@
 
 /// What tells one life of a server from another under the same identity.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeMark {
+pub struct ServerIncarnation {
     born_ms: Option<u64>,
     address: SocketAddr,
     version: VersionId,
 }
 
-impl LifeMark {
+impl ServerIncarnation {
     /// The life that the store tells of.
-    pub fn of(facts: &ServerFacts) -> Self {
-        LifeMark { born_ms: facts.born_ms, address: facts.address, version: facts.version.clone() }
+    pub fn of(facts: &ServerInfo) -> Self {
+        ServerIncarnation {
+            born_ms: facts.born_ms,
+            address: facts.address,
+            version: facts.version.clone(),
+        }
     }
 
     /// The same life as the store tells of it now; a start that it no longer tells is kept.
-    pub fn told_again(self, told: LifeMark) -> Self {
-        LifeMark { born_ms: told.born_ms.or(self.born_ms), ..told }
+    pub fn updated_with(self, told: ServerIncarnation) -> Self {
+        ServerIncarnation { born_ms: told.born_ms.or(self.born_ms), ..told }
     }
 
     /// Whether both speak of the same life, as far as they tell. A server keeps address and version for
     /// its life, and where it does not tell its start, it has a new identity in each.
-    pub fn is_same(&self, other: &LifeMark) -> bool {
+    pub fn matches(&self, other: &ServerIncarnation) -> bool {
         let both_born = self.born_ms.zip(other.born_ms);
         let is_same_start = both_born.is_none_or(|(one, other)| one == other);
         is_same_start && self.address == other.address && self.version == other.version
@@ -60,9 +64,9 @@
 
 /// Why a server that is listed as ready gets nothing for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskedFor {
+pub enum NoticeKind {
     /// It leaves.
-    Leaving,
+    Draining,
     /// It wants nothing for a while.
     Backoff,
 }
@@ -71,43 +75,43 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Notice {
     /// When it last said that it leaves.
-    left_at: Option<Duration>,
+    draining_at: Option<Duration>,
     /// Until when it wants nothing.
-    backs_off_until: Duration,
+    backoff_until: Duration,
     /// Most requests that may wait there for the beginning of their answers, after a pause.
-    limit: Option<u32>,
+    max_waiting: Option<u32>,
     /// Pauses in a row that it asked for without taking a request between them, and since when.
-    turned_away: Option<(u32, Duration)>,
+    refusals: Option<(u32, Duration)>,
     /// How often in a row nothing listened at its address since it left, and since when.
-    unheard: Option<(u32, Duration)>,
+    not_listening: Option<(u32, Duration)>,
     /// The rate limit that it names.
-    rate: KnownLimit,
+    rate_limit_state: RateLimitState,
 }
 
 impl Notice {
     /// It said that it leaves. Returns whether that is news.
-    pub fn leaves(&mut self, now: Duration) -> bool {
-        let is_news = !self.is_leaving(now);
-        self.left_at = Some(now);
+    pub fn on_draining(&mut self, now: Duration) -> bool {
+        let is_news = !self.is_draining(now);
+        self.draining_at = Some(now);
         // NB: should it still be there when the word is no longer believed, it is tried with one request.
-        self.limit = Some(FIRST_LIMIT);
+        self.max_waiting = Some(FIRST_LIMIT);
         is_news
     }
 
     /// Nothing listens at its address, though it is thought to leave.
-    pub fn is_unheard(&mut self, now: Duration) {
-        let (times, since) = self.unheard.unwrap_or((0, now));
-        self.unheard = Some((times.saturating_add(1), since));
+    pub fn record_not_listening(&mut self, now: Duration) {
+        let (times, since) = self.not_listening.unwrap_or((0, now));
+        self.not_listening = Some((times.saturating_add(1), since));
     }
 
     /// Something listens at its address. If nothing did for long before, it is another process: the life that
     /// left is over. Returns whether it is.
-    pub fn is_heard(&mut self, now: Duration) -> bool {
-        let unheard = self.unheard.take();
+    pub fn record_listening(&mut self, now: Duration) -> bool {
+        let unheard = self.not_listening.take();
         let is_over =
             unheard.is_some_and(|(times, since)| times >= UNHEARD && now >= since + UNHEARD_TIME);
         if is_over {
-            self.left_at = None;
+            self.draining_at = None;
         }
         is_over
     }
@@ -116,79 +120,79 @@
     /// it gets nothing.
     ///
     /// NB: a later, shorter word does not shorten an earlier one; both were meant.
-    pub fn backs_off(&mut self, asked: Duration, spread: f64, now: Duration) -> Duration {
-        if self.backs_off_until(now).is_none() {
-            let (pauses, since) = self.turned_away.unwrap_or((0, now));
-            self.turned_away = Some((pauses.saturating_add(1), since));
+    pub fn on_backoff(&mut self, asked: Duration, spread: f64, now: Duration) -> Duration {
+        if self.backoff_until(now).is_none() {
+            let (pauses, since) = self.refusals.unwrap_or((0, now));
+            self.refusals = Some((pauses.saturating_add(1), since));
         }
         let asked = asked.min(LONGEST_BACKOFF);
-        let until = now + asked + spread_of(asked, spread);
-        self.backs_off_until = self.backs_off_until.max(until);
-        self.limit = Some(FIRST_LIMIT);
-        self.backs_off_until
+        let until = now + asked + backoff_jitter(asked, spread);
+        self.backoff_until = self.backoff_until.max(until);
+        self.max_waiting = Some(FIRST_LIMIT);
+        self.backoff_until
     }
 
     /// Whether it has said that it leaves, and is still believed to.
-    pub fn is_leaving(&self, now: Duration) -> bool {
-        self.left_at.is_some_and(|at| now < at + LEAVING_MEMORY)
+    pub fn is_draining(&self, now: Duration) -> bool {
+        self.draining_at.is_some_and(|at| now < at + LEAVING_MEMORY)
     }
 
     /// Until when it wants nothing, if it does.
-    pub fn backs_off_until(&self, now: Duration) -> Option<Duration> {
-        Some(self.backs_off_until).filter(|until| now < *until)
+    pub fn backoff_until(&self, now: Duration) -> Option<Duration> {
+        Some(self.backoff_until).filter(|until| now < *until)
     }
 
     /// What keeps requests from it.
-    pub fn asked_for(&self, now: Duration) -> Option<AskedFor> {
-        if self.is_leaving(now) {
-            return Some(AskedFor::Leaving);
+    pub fn active_notice(&self, now: Duration) -> Option<NoticeKind> {
+        if self.is_draining(now) {
+            return Some(NoticeKind::Draining);
         }
-        self.backs_off_until(now).map(|_| AskedFor::Backoff)
+        self.backoff_until(now).map(|_| NoticeKind::Backoff)
     }
 
     /// Since when it has turned everything away, if it has done so several times in a row.
-    pub fn turns_away_since(&self, now: Duration) -> Option<Duration> {
-        let (pauses, since) = self.turned_away?;
-        let is_recent = now < self.backs_off_until + TURNED_AWAY_MEMORY;
+    pub fn refusing_since(&self, now: Duration) -> Option<Duration> {
+        let (pauses, since) = self.refusals?;
+        let is_recent = now < self.backoff_until + TURNED_AWAY_MEMORY;
         (is_recent && pauses >= TURNED_AWAY_PAUSES).then_some(since)
     }
 
     /// Whether one more request may wait there beside those that do.
     pub fn has_room(&self, waiting: u32) -> bool {
-        self.limit.is_none_or(|limit| waiting < limit)
+        self.max_waiting.is_none_or(|limit| waiting < limit)
     }
 
     /// An answer began there; the server takes requests, so it may get twice as many at once, up to all.
     ///
     /// NB: all who waited for the end of a pause would come at that moment, and the server would ask for
     /// the next one.
-    pub fn took_one(&mut self, slots: u32, now: Duration) {
-        if self.asked_for(now).is_some() {
+    pub fn on_answer_started(&mut self, slots: u32, now: Duration) {
+        if self.active_notice(now).is_some() {
             return;
         }
-        self.turned_away = None;
-        self.left_at = None;
-        self.limit = self.limit.map(|limit| limit * 2).filter(|limit| *limit < slots);
+        self.refusals = None;
+        self.draining_at = None;
+        self.max_waiting = self.max_waiting.map(|limit| limit * 2).filter(|limit| *limit < slots);
     }
 
     /// It turned a request away without asking for anything.
-    pub fn refused(&mut self) {
-        self.limit = self.limit.map(|_| FIRST_LIMIT);
+    pub fn on_refused(&mut self) {
+        self.max_waiting = self.max_waiting.map(|_| FIRST_LIMIT);
     }
 
     /// The rate limit that it names, if any.
-    pub fn rate_limit(&self) -> Option<ServerLimit> {
-        self.rate.limit()
+    pub fn rate_limit(&self) -> Option<RateLimit> {
+        self.rate_limit_state.limit()
     }
 
     /// All that is known of its rate limit.
-    pub fn rate(&mut self) -> &mut KnownLimit {
-        &mut self.rate
+    pub fn rate_limit_state(&mut self) -> &mut RateLimitState {
+        &mut self.rate_limit_state
     }
 
     /// Whether anything of it still matters.
-    pub fn is_over(&self, now: Duration) -> bool {
-        self.asked_for(now).is_none() && !self.rate.is_recent(now)
+    pub fn is_expired(&self, now: Duration) -> bool {
+        self.active_notice(now).is_none() && !self.rate_limit_state.is_recent(now)
     }
 }
 
@@ -198,6 +202,6 @@
 
 /// Time by which an entry or a caller comes back later than a pause asks for, so that those who heard the same
 /// come one after the other; `spread` is drawn from 0 to 1.
-pub fn spread_of(pause: Duration, spread: f64) -> Duration {
+pub fn backoff_jitter(pause: Duration, spread: f64) -> Duration {
     pause.mul_f64(SPREAD_PART).min(LONGEST_SPREAD).mul_f64(spread)
 }
--- a/crates/decide/src/direct/fleet/permit.rs
+++ b/crates/decide/src/direct/fleet/permit.rs
@@ -12,47 +12,47 @@
 
 /// Permits for one server.
 #[derive(Debug, Default)]
-pub struct Permits {
+pub struct ServerPermits {
     /// When each was given.
-    given: VecDeque<Duration>,
-    asked_at: Option<Duration>,
+    granted_at: VecDeque<Duration>,
+    requested_at: Option<Duration>,
     /// Until when none is to be asked for.
     refused_until: Duration,
 }
 
-impl Permits {
+impl ServerPermits {
     /// Whether one is at hand.
-    pub fn is_at_hand(&self, now: Duration) -> bool {
-        self.given.back().is_some_and(|at| holds(*at, now))
+    pub fn is_available(&self, now: Duration) -> bool {
+        self.granted_at.back().is_some_and(|at| holds(*at, now))
     }
 
     /// Whether one may be asked for.
-    pub fn may_be_asked_for(&self, now: Duration) -> bool {
-        let is_asked_for = self.asked_at.is_some_and(|at| now < at + ASK_LIMIT);
+    pub fn may_be_requested(&self, now: Duration) -> bool {
+        let is_asked_for = self.requested_at.is_some_and(|at| now < at + ASK_LIMIT);
         !is_asked_for && now >= self.refused_until
     }
 
     /// One is asked for.
-    pub fn is_asked_for(&mut self, now: Duration) {
-        self.asked_at = Some(now);
+    pub fn on_requested(&mut self, now: Duration) {
+        self.requested_at = Some(now);
     }
 
     /// One was given.
-    pub fn is_given(&mut self, now: Duration) {
-        self.asked_at = None;
-        self.given.retain(|at| holds(*at, now));
-        self.given.push_back(now);
+    pub fn on_granted(&mut self, now: Duration) {
+        self.requested_at = None;
+        self.granted_at.retain(|at| holds(*at, now));
+        self.granted_at.push_back(now);
     }
 
     /// None was given, and none will be before `until`.
-    pub fn is_refused(&mut self, until: Duration) {
-        self.asked_at = None;
+    pub fn on_refused(&mut self, until: Duration) {
+        self.requested_at = None;
         self.refused_until = until;
     }
 
     /// Uses one, and tells when it was given.
     pub fn take(&mut self, now: Duration) -> Option<Duration> {
-        while let Some(at) = self.given.pop_front() {
+        while let Some(at) = self.granted_at.pop_front() {
             if holds(at, now) {
                 return Some(at);
             }
@@ -61,7 +61,7 @@
     }
 
     /// When there may be one.
-    pub fn opens_at(&self, now: Duration) -> Duration {
+    pub fn next_available_at(&self, now: Duration) -> Duration {
         self.refused_until.max(now + ASK_LOOK)
     }
 }
--- a/crates/decide/src/direct/fleet/server.rs
+++ b/crates/decide/src/direct/fleet/server.rs
@@ -5,12 +5,12 @@
 use pondwalk_types::{DataCentreId, ServerId, VersionId};
 
 use super::{
-    ask::{Ask, PromptPart, Ticket},
+    ask::{PlacementRequest, PromptPart, Ticket},
     load::{OthersLoad, ServerLoad},
-    notice::{LifeMark, Notice},
-    permit::Permits,
+    notice::{Notice, ServerIncarnation},
+    permit::ServerPermits,
 };
-use crate::direct::{hash::hash_text, warm_up::Warmth};
+use crate::direct::{hash::hash_text, warm_up::WarmUpState};
 
 /// Time that one running request adds to the cost of a server, in milliseconds.
 const RUNNING_MS: f64 = 4.0;
@@ -46,11 +46,11 @@
 const FAILURE_DECAY_PER_S: f64 = 0.2;
 
 /// Number of a server's life among all that a fleet has known.
-pub type Life = u64;
+pub type IncarnationNumber = u64;
 
 /// What the store tells of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerFacts {
+pub struct ServerInfo {
     /// Identity of the server; it may start again under the one that it had.
     pub id: ServerId,
     /// When it started, in milliseconds of Unix time, where it tells.
@@ -73,19 +73,19 @@
 #[derive(Debug)]
 pub struct Server {
     /// What the store tells of it.
-    pub facts: ServerFacts,
+    pub info: ServerInfo,
     /// Which of its lives this is.
-    pub life: Life,
+    pub incarnation_number: IncarnationNumber,
     /// Whether it is cold, and what was sent there of late.
-    pub warmth: Warmth,
+    pub warm_up: WarmUpState,
     /// Hash of its identity, by which rendezvous hashing names servers.
     pub hash: u64,
     /// What tells this life from another.
-    pub mark: LifeMark,
+    pub incarnation: ServerIncarnation,
     /// What it has asked of this entry.
     pub notice: Notice,
     /// Permits for it, where it names a rate limit.
-    pub permits: Permits,
+    pub permits: ServerPermits,
     /// Another one was seen at its address, whatever the store says.
     replaced: bool,
     /// Until when it gets work though the store no longer lists it.
@@ -99,29 +99,29 @@
     /// Requests of other entries, where the server tells its load.
     others: OthersLoad,
     failure_share: f64,
-    failure_noted: Duration,
+    failure_recorded_at: Duration,
     refusals: u32,
-    paused_until: Duration,
+    backoff_until: Duration,
     /// How much later than expected answers began, in milliseconds, when last noted.
     delay_ms: f64,
-    delay_noted: Duration,
+    delay_recorded_at: Duration,
     parts: HashMap<(u64, u8), Duration>,
     sweep_parts_at: usize,
 }
 
 impl Server {
     /// A server of which nothing has been seen.
-    pub fn new(facts: ServerFacts, life: Life) -> Self {
-        let mut warmth = Warmth::default();
-        warmth.is_told(facts.cold_until);
+    pub fn new(facts: ServerInfo, life: IncarnationNumber) -> Self {
+        let mut warmth = WarmUpState::default();
+        warmth.apply_reported(facts.cold_until);
         Server {
             hash: hash_text(&facts.id),
-            mark: LifeMark::of(&facts),
-            facts,
-            life,
-            warmth,
+            incarnation: ServerIncarnation::of(&facts),
+            info: facts,
+            incarnation_number: life,
+            warm_up: warmth,
             notice: Notice::default(),
-            permits: Permits::default(),
+            permits: ServerPermits::default(),
             replaced: false,
             lapses_at: None,
             waiting_ms: 0.0,
@@ -129,11 +129,11 @@
             waiting: 0,
             others: OthersLoad::default(),
             failure_share: 0.0,
-            failure_noted: Duration::ZERO,
+            failure_recorded_at: Duration::ZERO,
             refusals: 0,
-            paused_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             delay_ms: 0.0,
-            delay_noted: Duration::ZERO,
+            delay_recorded_at: Duration::ZERO,
             parts: HashMap::new(),
             sweep_parts_at: MIN_PARTS,
         }
@@ -141,12 +141,12 @@
 
     /// Whether it takes new work.
     pub fn is_open(&self, now: Duration) -> bool {
-        self.facts.ready && !self.replaced && !self.notice.is_leaving(now) && self.is_listed(now)
+        self.info.ready && !self.replaced && !self.notice.is_draining(now) && self.is_listed(now)
     }
 
     /// Whether it is known to leave, by its own word or the store's.
-    pub fn leaves(&self, now: Duration) -> bool {
-        !self.facts.ready || self.notice.is_leaving(now)
+    pub fn is_draining(&self, now: Duration) -> bool {
+        !self.info.ready || self.notice.is_draining(now)
     }
 
     /// Whether the store lists it, or may have lost it a short time ago.
@@ -156,9 +156,9 @@
 
     /// Time until the answer to a request would begin there, in milliseconds, if its prompt takes
     /// `read_ms` to read and one of another entry's `others_read_ms`.
-    pub fn begins_ms(
+    pub fn first_byte_ms(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         read_ms: f64,
         others_read_ms: f64,
         now: Duration,
@@ -169,31 +169,37 @@
 
     /// Cost of a request there whose answer would begin after `begins_ms`, as a time in
     /// milliseconds.
-    pub fn cost(&self, ask: &Ask<'_>, begins_ms: f64, now: Duration, home: &str) -> f64 {
+    pub fn cost(
+        &self,
+        ask: &PlacementRequest<'_>,
+        begins_ms: f64,
+        now: Duration,
+        home: &str,
+    ) -> f64 {
         let mut cost = begins_ms + f64::from(self.running) * RUNNING_MS;
-        if self.facts.data_centre != home {
+        if self.info.data_centre != home {
             cost += REMOTE_MS;
         }
         if self.lapses_at.is_some() {
             cost += LAPSED_MS;
         }
-        if self.running >= self.facts.slots {
-            cost += ask.base_ms * f64::from(self.running - self.facts.slots + 1);
+        if self.running >= self.info.slots {
+            cost += ask.base_ms * f64::from(self.running - self.info.slots + 1);
         }
-        if self.paused_until > now {
+        if self.backoff_until > now {
             cost += FAILURE_MS;
         }
-        cost + self.failures(now) * FAILURE_MS
+        cost + self.failure_share_now(now) * FAILURE_MS
     }
 
     /// Share of failures among the latest answers, faded by the time since the last.
-    fn failures(&self, now: Duration) -> f64 {
-        let quiet_s = now.saturating_sub(self.failure_noted).as_secs_f64();
+    fn failure_share_now(&self, now: Duration) -> f64 {
+        let quiet_s = now.saturating_sub(self.failure_recorded_at).as_secs_f64();
         (self.failure_share * (-FAILURE_DECAY_PER_S * quiet_s).exp()).max(0.0)
     }
 
     /// Tokens of a prompt that are not held there.
-    pub fn tokens_to_read(&self, ask: &Ask<'_>, now: Duration) -> f64 {
+    pub fn uncached_tokens(&self, ask: &PlacementRequest<'_>, now: Duration) -> f64 {
         let held = |part: &&PromptPart| {
             let used = self.parts.get(&(part.id, ask.model));
             used.is_some_and(|at| now.saturating_sub(*at) < PART_MEMORY)
@@ -203,15 +209,15 @@
     }
 
     /// What the store tells has changed, or is told again.
-    pub fn is_told(&mut self, facts: ServerFacts) {
-        self.warmth.is_told(facts.cold_until);
-        self.facts = facts;
+    pub fn apply_info(&mut self, facts: ServerInfo) {
+        self.warm_up.apply_reported(facts.cold_until);
+        self.info = facts;
         self.lapses_at = None;
     }
 
     /// Whether the word on a server speaks of another life of it than this one.
-    pub fn is_born_anew(&self, facts: &ServerFacts) -> bool {
-        self.facts.born_ms != facts.born_ms
+    pub fn is_restarted(&self, facts: &ServerInfo) -> bool {
+        self.info.born_ms != facts.born_ms
     }
 
     /// The store lists it no longer, but may have lost it while away.
@@ -220,12 +226,12 @@
     }
 
     /// Another one has its address.
-    pub fn is_replaced(&mut self) {
+    pub fn mark_replaced(&mut self) {
         self.replaced = true;
     }
 
     /// A request is sent there.
-    pub fn admit(&mut self, ask: &Ask<'_>, expected_ms: f64, now: Duration) {
+    pub fn admit(&mut self, ask: &PlacementRequest<'_>, expected_ms: f64, now: Duration) {
         self.waiting_ms += expected_ms;
         self.running += 1;
         self.waiting += 1;
@@ -240,24 +246,24 @@
     }
 
     /// An answer began.
-    pub fn began(&mut self, ticket: &Ticket, now: Duration) {
-        self.notice.took_one(self.facts.slots, now);
+    pub fn on_answer_started(&mut self, ticket: &Ticket, now: Duration) {
+        self.notice.on_answer_started(self.info.slots, now);
         self.waiting = self.waiting.saturating_sub(1);
         self.waiting_ms = (self.waiting_ms - ticket.expected_ms).max(0.0);
     }
 
     /// An answer began this much later than expected, in milliseconds; less than nothing if sooner.
-    pub fn was_late(&mut self, late_ms: f64, now: Duration) {
+    pub fn record_delay(&mut self, late_ms: f64, now: Duration) {
         let late_ms = late_ms.clamp(0.0, LONGEST_DELAY_MS);
         let known_ms = self.delay_ms(now);
         self.delay_ms = known_ms + DELAY_GAIN * (late_ms - known_ms);
-        self.delay_noted = now;
+        self.delay_recorded_at = now;
     }
 
     /// It told its load with an answer.
-    pub fn tells_load(&mut self, load: ServerLoad, now: Duration) {
+    pub fn on_load_reported(&mut self, load: ServerLoad, now: Duration) {
         let own_running = self.running.saturating_sub(self.waiting);
-        self.others.note(load, own_running, self.waiting, now);
+        self.others.record(load, own_running, self.waiting, now);
     }
 
     /// How much later than expected answers begin here, in milliseconds: what other entries have
@@ -267,12 +273,12 @@
     /// would tell of a server seven times as slow, and drive the long prompts away whose shared
     /// parts it holds.
     pub fn delay_ms(&self, now: Duration) -> f64 {
-        let quiet = now.saturating_sub(self.delay_noted).as_secs_f64();
+        let quiet = now.saturating_sub(self.delay_recorded_at).as_secs_f64();
         self.delay_ms * (-quiet / DELAY_MEMORY.as_secs_f64()).exp()
     }
 
     /// A request is over; `waiting` tells whether its answer had not begun.
-    pub fn ended(&mut self, expected_ms: f64, waiting: bool) {
+    pub fn on_finished(&mut self, expected_ms: f64, waiting: bool) {
         if waiting {
             self.waiting = self.waiting.saturating_sub(1);
             self.waiting_ms = (self.waiting_ms - expected_ms).max(0.0);
@@ -281,19 +287,20 @@
     }
 
     /// It answered; `failed` tells whether with a failure of its own.
-    pub fn answered(&mut self, failed: bool, now: Duration) {
+    pub fn record_outcome(&mut self, failed: bool, now: Duration) {
         let outcome = if failed { 1.0 } else { 0.0 };
-        self.failure_share = self.failures(now) * (1.0 - FAILURE_GAIN) + outcome * FAILURE_GAIN;
-        self.failure_noted = now;
+        self.failure_share =
+            self.failure_share_now(now) * (1.0 - FAILURE_GAIN) + outcome * FAILURE_GAIN;
+        self.failure_recorded_at = now;
         self.refusals = 0;
     }
 
     /// It could not be reached, or refused without running; it is left alone a while. Returns how
     /// many times in a row that has happened.
-    pub fn refused(&mut self, now: Duration) -> u32 {
-        self.notice.refused();
+    pub fn on_refused(&mut self, now: Duration) -> u32 {
+        self.notice.on_refused();
         let pause = FIRST_PAUSE * 2u32.pow(self.refusals.min(4));
-        self.paused_until = now + pause.min(LONGEST_PAUSE);
+        self.backoff_until = now + pause.min(LONGEST_PAUSE);
         self.refusals = self.refusals.saturating_add(1);
         self.refusals
     }
--- a/crates/decide/src/direct/freshness.rs
+++ b/crates/decide/src/direct/freshness.rs
@@ -15,38 +15,38 @@
 pub struct Freshness {
     bound: Duration,
     key_bound: Duration,
-    confirmed: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 impl Freshness {
     /// Nothing is confirmed yet. After a confirmation the state counts as the store's own for
     /// `bound`, and keys may be honoured for `key_bound`.
     pub fn new(bound: Duration, key_bound: Duration) -> Self {
-        Freshness { bound, key_bound, confirmed: None }
+        Freshness { bound, key_bound, confirmed_at: None }
     }
 
     /// The store confirmed the state by a call sent at `sent`; the stamp never moves back.
     pub fn confirm(&mut self, sent: Duration) {
-        self.confirmed = self.confirmed.max(Some(sent));
+        self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 
     /// When the call that last confirmed the state was sent, if any did.
-    pub fn confirmed(&self) -> Option<Duration> {
-        self.confirmed
+    pub fn confirmed_at(&self) -> Option<Duration> {
+        self.confirmed_at
     }
 
     /// Age of the state, if any was ever confirmed.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.confirmed.map(|at| now.saturating_sub(at))
+        self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
     /// Whether the state counts as the store's own, so that refusals for good may rest on it.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_current(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age < self.bound)
     }
 
     /// Whether keys may be honoured.
-    pub fn honours_keys(&self, now: Duration) -> bool {
+    pub fn accepts_keys(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age < self.key_bound)
     }
 }
--- a/crates/decide/src/direct/permits.rs
+++ b/crates/decide/src/direct/permits.rs
@@ -13,7 +13,7 @@
 
 use pondwalk_types::ServerId;
 
-use super::fleet::ServerLimit;
+use super::fleet::RateLimit;
 
 /// Part of a limit that a stand-in grants.
 const STAND_IN_PART: f64 = 0.3;
@@ -37,28 +37,28 @@
 
 /// In which place an entry grants permits for a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Granter {
+pub enum GranterRole {
     /// It is the first in order.
-    First,
+    Primary,
     /// It stands in for those before it, which it cannot reach.
-    StandIn,
+    Backup,
 }
 
-impl Granter {
+impl GranterRole {
     /// Permits a second that it may grant.
-    fn per_s(self, limit: ServerLimit) -> f64 {
+    fn per_s(self, limit: RateLimit) -> f64 {
         let part = match self {
-            Granter::First => 1.0,
-            Granter::StandIn => STAND_IN_PART,
+            GranterRole::Primary => 1.0,
+            GranterRole::Backup => STAND_IN_PART,
         };
         part * limit.per_s().max(LEAST_PER_S)
     }
 
     /// Permits that it may save up where it grants so many a second.
-    fn most_saved(self, per_s: f64) -> f64 {
+    fn max_saved(self, per_s: f64) -> f64 {
         let saved = match self {
-            Granter::First => SAVED_BY_FIRST,
-            Granter::StandIn => SAVED_BY_STAND_IN,
+            GranterRole::Primary => SAVED_BY_FIRST,
+            GranterRole::Backup => SAVED_BY_STAND_IN,
         };
         saved + per_s * BURST_TIME.as_secs_f64()
     }
@@ -79,7 +79,7 @@
     permits: f64,
     filled_at: Duration,
     /// When the last asker that was refused may come back.
-    promised: Duration,
+    last_retry_at: Duration,
 }
 
 impl PermitBuckets {
@@ -87,15 +87,15 @@
     pub fn take(
         &mut self,
         server: &str,
-        limit: ServerLimit,
-        granter: Granter,
+        limit: RateLimit,
+        granter: GranterRole,
         now: Duration,
     ) -> Result<(), Duration> {
         self.sweep(now);
-        let empty = Bucket { permits: 0.0, filled_at: now, promised: now };
+        let empty = Bucket { permits: 0.0, filled_at: now, last_retry_at: now };
         let bucket = self.buckets.entry(server.to_owned()).or_insert(empty);
         let per_s = granter.per_s(limit);
-        bucket.take(per_s, granter.most_saved(per_s), now)
+        bucket.take(per_s, granter.max_saved(per_s), now)
     }
 
     fn sweep(&mut self, now: Duration) {
@@ -117,17 +117,17 @@
             self.permits -= 1.0;
             return Ok(());
         }
-        Err(self.promise(per_s, now))
+        Err(self.next_retry_at(per_s, now))
     }
 
     /// When the next asker may come back: behind most of those that were refused before it.
-    fn promise(&mut self, per_s: f64, now: Duration) -> Duration {
+    fn next_retry_at(&mut self, per_s: f64, now: Duration) -> Duration {
         let latest = now + LONGEST_PAUSE;
         let after =
             |permits: f64| Duration::try_from_secs_f64(permits / per_s).unwrap_or(LONGEST_PAUSE);
         let next = now + after(1.0 - self.permits);
-        let behind = self.promised + after(1.0 / ASKERS_PER_PERMIT);
-        self.promised = next.max(behind).min(latest);
-        self.promised
+        let behind = self.last_retry_at + after(1.0 / ASKERS_PER_PERMIT);
+        self.last_retry_at = next.max(behind).min(latest);
+        self.last_retry_at
     }
 }
--- a/crates/decide/src/direct/pool.rs
+++ b/crates/decide/src/direct/pool.rs
@@ -28,7 +28,7 @@
 
 /// Shares of faulty answers that tell a good version from a bad one.
 #[derive(Debug, Clone, Copy)]
-struct Shares {
+struct FaultShares {
     /// Least share that is expected of a good one.
     least_good: f64,
     /// How many times the old version's share a good one may have.
@@ -40,13 +40,13 @@
 }
 
 /// Failures: a few in a hundred are usual.
-const FAILURES: Shares =
-    Shares { least_good: 0.05, good_ratio: 1.5, least_bad: 0.25, bad_ratio: 3.0 };
+const FAILURES: FaultShares =
+    FaultShares { least_good: 0.05, good_ratio: 1.5, least_bad: 0.25, bad_ratio: 3.0 };
 /// Answers slower than seven in ten of the old version's. Few answers of a slow version are much slower
 /// than usual, since most of the time until one begins goes into reading the prompt; by the slowest twentieth
 /// of the old version's, a bad one is told too late.
-const SLOWNESS: Shares =
-    Shares { least_good: 0.33, good_ratio: 1.1, least_bad: 0.53, bad_ratio: 1.6 };
+const SLOWNESS: FaultShares =
+    FaultShares { least_good: 0.33, good_ratio: 1.1, least_bad: 0.53, bad_ratio: 1.6 };
 /// Largest share that is expected of a bad version.
 const MOST_BAD: f64 = 0.9;
 
@@ -78,7 +78,7 @@
 
 /// Answers that one entry has seen of one kind of request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Kind of request.
     pub kind: String,
     /// Server of the new version that gave them; `None` for all of the old one.
@@ -89,36 +89,36 @@
 
 /// Answers of one kind of request: the old version's, and the new one's by server.
 #[derive(Debug, Clone, Default)]
-struct OfKind {
+struct KindCounts {
     old: Tally,
     new: BTreeMap<ServerId, Tally>,
 }
 
 /// Answers in one step of time, by kind.
-type Step = BTreeMap<String, OfKind>;
+type TimeSlot = BTreeMap<String, KindCounts>;
 
 /// What is known of both versions' latest answers.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct EvidencePool {
     /// Steps of time with answers, by their number.
-    steps: BTreeMap<u128, Step>,
-    untold: Vec<Seen>,
-    told_at: Option<Duration>,
+    steps: BTreeMap<u128, TimeSlot>,
+    unpublished: Vec<Observation>,
+    published_at: Option<Duration>,
 }
 
-impl Pool {
+impl EvidencePool {
     /// Takes in an answer that this entry has seen itself.
-    pub fn note_own(&mut self, seen: Seen, now: Duration) {
-        let same = |one: &&mut Seen| one.kind == seen.kind && one.server == seen.server;
-        match self.untold.iter_mut().find(same) {
+    pub fn record_own(&mut self, seen: Observation, now: Duration) {
+        let same = |one: &&mut Observation| one.kind == seen.kind && one.server == seen.server;
+        match self.unpublished.iter_mut().find(same) {
             Some(one) => one.tally.add(seen.tally),
-            None => self.untold.push(seen.clone()),
+            None => self.unpublished.push(seen.clone()),
         }
-        self.learn(seen, now);
+        self.apply(seen, now);
     }
 
     /// Takes in answers that were seen at `at`, by this entry or another.
-    pub fn learn(&mut self, seen: Seen, at: Duration) {
+    pub fn apply(&mut self, seen: Observation, at: Duration) {
         let step = self.steps.entry(at.as_nanos() / STEP.as_nanos()).or_default();
         let of_kind = step.entry(seen.kind).or_default();
         match seen.server {
@@ -128,33 +128,33 @@
     }
 
     /// Whether this entry has seen answers of the new version that it has not told for `interval`.
-    pub fn is_to_tell(&self, now: Duration, interval: Duration) -> bool {
-        let waited = self.told_at.is_none_or(|at| now.saturating_sub(at) >= interval);
-        waited && self.untold.iter().any(|seen| seen.server.is_some())
+    pub fn is_publication_due(&self, now: Duration, interval: Duration) -> bool {
+        let waited = self.published_at.is_none_or(|at| now.saturating_sub(at) >= interval);
+        waited && self.unpublished.iter().any(|seen| seen.server.is_some())
     }
 
     /// What this entry has seen since it last told.
-    pub fn take_untold(&mut self, now: Duration) -> Vec<Seen> {
-        self.told_at = Some(now);
-        std::mem::take(&mut self.untold)
+    pub fn drain_unpublished(&mut self, now: Duration) -> Vec<Observation> {
+        self.published_at = Some(now);
+        std::mem::take(&mut self.unpublished)
     }
 
     /// Whether the latest answers say that the new version is bad, for all kinds or for one.
     pub fn is_bad(&mut self, now: Duration) -> bool {
         let first = now.saturating_sub(WINDOW).as_nanos() / STEP.as_nanos();
         self.steps = self.steps.split_off(&first);
-        let mut by_kind: BTreeMap<&str, OfKind> = BTreeMap::new();
+        let mut by_kind: BTreeMap<&str, KindCounts> = BTreeMap::new();
         for (kind, of_kind) in self.steps.values().flatten() {
             by_kind.entry(kind).or_default().add(of_kind);
         }
-        let mut all = OfKind::default();
+        let mut all = KindCounts::default();
         by_kind.values().for_each(|of_kind| all.add(of_kind));
         by_kind.values().chain([&all]).any(|of_kind| of_kind.weight() >= BAD_FROM)
     }
 }
 
-impl OfKind {
-    fn add(&mut self, other: &OfKind) {
+impl KindCounts {
+    fn add(&mut self, other: &KindCounts) {
         self.old.add(other.old);
         for (server, tally) in &other.new {
             match self.new.get_mut(server) {
@@ -176,7 +176,7 @@
     }
 }
 
-impl Shares {
+impl FaultShares {
     /// Logarithm of how much likelier the servers' answers are if the version is bad. Each pair is of
     /// faulty answers and all answers.
     fn weigh(&self, old: (u32, u32), servers: impl Iterator<Item = (u32, u32)>) -> f64 {
@@ -195,20 +195,20 @@
     }
 }
 
-impl Seen {
+impl Observation {
     /// One answer.
-    pub fn one(kind: &str, server: Option<&str>, failed: bool, slow: Option<bool>) -> Self {
+    pub fn single(kind: &str, server: Option<&str>, failed: bool, slow: Option<bool>) -> Self {
         let tally = Tally {
             answers: 1,
             failed: u32::from(failed),
             slow: u32::from(slow == Some(true)),
             timed: u32::from(slow.is_some()),
         };
-        Seen { kind: kind.to_owned(), server: server.map(str::to_owned), tally }
+        Observation { kind: kind.to_owned(), server: server.map(str::to_owned), tally }
     }
 
     /// Whether there is nothing in it, or more faulty answers than answers, as nobody counts.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let tally = self.tally;
         !tally.is_empty()
             && tally.failed <= tally.answers
--- a/crates/decide/src/direct/quarantine.rs
+++ b/crates/decide/src/direct/quarantine.rs
@@ -6,9 +6,9 @@
 //!
 //! When servers end for another cause, every request aboard looks like the culprit. Four things keep
 //! such a request from being refused for long. A run that comes to a good end clears its content at
-//! once, everywhere. What came to one before is forgiven some ends ([`GoodContents`]). Ends of several
+//! once, everywhere. What came to one before is forgiven some ends ([`SuccessfulContents`]). Ends of several
 //! servers at the same moment, most of which did not run the request, are held against it only in part
-//! ([`Loss`]). And what is left may be proved: the first probe comes a second after the latest end.
+//! ([`CorrelatedCrashes`]). And what is left may be proved: the first probe comes a second after the latest end.
 //!
 //! The entries agree on one of them that grants the probes of a content (rendezvous hashing, Thaler and
 //! Ravishankar, 1998). Two parts of a deployment that don't reach one another grant at most one probe
@@ -22,16 +22,16 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use good::GoodContents;
-pub use loss::Loss;
+pub use good::SuccessfulContents;
+pub use loss::CorrelatedCrashes;
 
 use super::hash::{hash_text, mix};
-use record::{End, FREE_ENDS, PROBE_PAUSES, Record};
+use record::{Crash, FREE_ENDS, PROBE_PAUSES, Record};
 
 /// What a request carries, as a number by which all entries know it again.
-pub type Content = u128;
+pub type ContentHash = u128;
 /// A number that tells one end that was seen from all others.
-pub type EndId = u64;
+pub type CrashId = u64;
 
 /// Contents remembered, some 200 bytes each. A data centre of the planned size has ten thousand requests
 /// aboard; those that were cleared go first, then those with few ends, the oldest before others.
@@ -41,11 +41,11 @@
 
 /// One end of a server under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerEnd {
+pub struct ServerCrash {
     /// What the request carried.
-    pub content: Content,
+    pub content: ContentHash,
     /// Tells this end from all others.
-    pub id: EndId,
+    pub id: CrashId,
     /// Hash of the server's identity.
     pub server: u64,
     /// Whether others ended at the same moment that did not run the request.
@@ -56,27 +56,27 @@
 
 /// Whether a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Like any other.
-    Free,
+    Unrestricted,
     /// Once, by leave of the entry that grants its probes.
-    OnProbe,
+    ProbeAllowed,
     /// Not before this time.
-    Held {
+    Quarantined {
         /// When it may be asked for again.
         until: Duration,
     },
     /// A probe that this entry granted is under way.
-    Probed,
+    ProbeInProgress,
 }
 
 /// What came of asking for a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grant {
+pub enum ProbeDecision {
     /// The request may run once.
-    Given,
+    Granted,
     /// Another one of its content runs as a probe now.
-    Probed,
+    InProgress,
     /// It may not, before this time.
     Refused {
         /// When it may be asked for again.
@@ -86,25 +86,25 @@
 
 /// Who asks for a probe, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Probe {
+pub struct ProbeRequest {
     /// Content of the request.
-    pub content: Content,
+    pub content: ContentHash,
     /// Longest time that its run may take.
     pub lease: Duration,
     /// Whether this entry comes first in the order of those that may grant it.
-    pub is_first: bool,
+    pub is_primary: bool,
 }
 
 /// The contents under which servers have ended.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    records: HashMap<Content, Record>,
-    given_way: u64,
+    records: HashMap<ContentHash, Record>,
+    evicted: u64,
 }
 
 impl Quarantine {
     /// Whether so many ends hold a content.
-    pub fn holds_from(ends: usize) -> bool {
+    pub fn quarantines_after(ends: usize) -> bool {
         ends >= FREE_ENDS
     }
 
@@ -119,36 +119,36 @@
     }
 
     /// Contents that are held or on probe.
-    pub fn count_held(&self, now: Duration) -> usize {
+    pub fn count_quarantined(&self, now: Duration) -> usize {
         let records = self.records.values();
-        records.filter(|record| record.standing(now) != Standing::Free).count()
+        records.filter(|record| record.status(now) != QuarantineStatus::Unrestricted).count()
     }
 
     /// Contents that gave way to others since there was no room.
-    pub fn given_way(&self) -> u64 {
-        self.given_way
+    pub fn evicted(&self) -> u64 {
+        self.evicted
     }
 
     /// Ends of servers that count against a content.
-    pub fn ends(&self, content: Content) -> usize {
-        self.records.get(&content).map_or(0, Record::count)
+    pub fn crash_count(&self, content: ContentHash) -> usize {
+        self.records.get(&content).map_or(0, Record::crash_count)
     }
 
     /// Takes in that a server ended at `at`. Returns whether it was not known yet.
-    pub fn note_end(&mut self, end: ServerEnd, at: Duration, now: Duration) -> bool {
+    pub fn record_crash(&mut self, end: ServerCrash, at: Duration, now: Duration) -> bool {
         if !self.records.contains_key(&end.content) {
             self.make_room(now);
         }
         let record = self.records.entry(end.content).or_default();
-        if record.cleared.is_some_and(|cleared| at <= cleared) {
+        if record.cleared_at.is_some_and(|cleared| at <= cleared) {
             return false;
         }
-        if let Some(known) = record.ends.iter_mut().find(|known| known.is_same(&end, at)) {
+        if let Some(known) = record.crashes.iter_mut().find(|known| known.is_same(&end, at)) {
             known.in_common_loss |= end.in_common_loss;
             known.on_probe |= end.on_probe;
             return false;
         }
-        record.keep(End {
+        record.push_crash(Crash {
             id: end.id,
             server: end.server,
             at,
@@ -162,11 +162,11 @@
     }
 
     /// A run of this content came to a good end. Returns how many ends of servers counted against it.
-    pub fn note_whole(&mut self, content: Content, at: Duration) -> usize {
+    pub fn record_success(&mut self, content: ContentHash, at: Duration) -> usize {
         let Some(record) = self.records.get_mut(&content) else { return 0 };
-        let before = record.count();
-        record.ends.retain(|end| end.at > at);
-        record.cleared = record.cleared.max(Some(at));
+        let before = record.crash_count();
+        record.crashes.retain(|end| end.at > at);
+        record.cleared_at = record.cleared_at.max(Some(at));
         record.resolve_probe();
         record.unresolved = 0;
         record.unresolved_at = None;
@@ -174,55 +174,66 @@
     }
 
     /// Whether a request of this content may run.
-    pub fn standing(&self, content: Content, now: Duration) -> Standing {
-        self.records.get(&content).map_or(Standing::Free, |record| record.standing(now))
+    pub fn status(&self, content: ContentHash, now: Duration) -> QuarantineStatus {
+        self.records
+            .get(&content)
+            .map_or(QuarantineStatus::Unrestricted, |record| record.status(now))
     }
 
     /// Grants a probe, or tells when to ask again.
     ///
     /// NB: one that is not first grants only a content's first probe: the first may have granted the
     /// others, out of its sight.
-    pub fn grant(&mut self, probe: Probe, now: Duration) -> Grant {
-        let Some(record) = self.records.get_mut(&probe.content) else { return Grant::Given };
-        match record.standing(now) {
-            Standing::Free => Grant::Given,
-            Standing::Probed => Grant::Probed,
-            Standing::Held { until } => Grant::Refused { until },
-            Standing::OnProbe if probe.is_first || record.probes() == 0 => {
+    pub fn request_probe(&mut self, probe: ProbeRequest, now: Duration) -> ProbeDecision {
+        let Some(record) = self.records.get_mut(&probe.content) else {
+            return ProbeDecision::Granted;
+        };
+        match record.status(now) {
+            QuarantineStatus::Unrestricted => ProbeDecision::Granted,
+            QuarantineStatus::ProbeInProgress => ProbeDecision::InProgress,
+            QuarantineStatus::Quarantined { until } => ProbeDecision::Refused { until },
+            QuarantineStatus::ProbeAllowed if probe.is_primary || record.probe_count() == 0 => {
                 record.probed_until = Some(now + probe.lease);
                 record.unresolved += 1;
                 record.unresolved_at = Some(now);
-                Grant::Given
+                ProbeDecision::Granted
+            }
+            QuarantineStatus::ProbeAllowed => {
+                ProbeDecision::Refused { until: now + PROBE_PAUSES[1] }
             }
-            Standing::OnProbe => Grant::Refused { until: now + PROBE_PAUSES[1] },
         }
     }
 
     /// A probe that this entry granted has reached no server; another may be granted.
-    pub fn give_back(&mut self, content: Content) {
+    pub fn release_probe(&mut self, content: ContentHash) {
         if let Some(record) = self.records.get_mut(&content) {
             record.resolve_probe();
         }
     }
 
     /// The ends of a content, with the time since each.
-    pub fn ends_of(&self, content: Content, now: Duration) -> Vec<(ServerEnd, Duration)> {
+    pub fn crashes_of(&self, content: ContentHash, now: Duration) -> Vec<(ServerCrash, Duration)> {
         let record = self.records.get(&content);
         record.map(|record| told(content, record, now)).unwrap_or_default()
     }
 
     /// The ends of all contents that are held or on probe, with the time since each.
-    pub fn held(&self, now: Duration) -> Vec<(ServerEnd, Duration)> {
+    pub fn quarantined_crashes(&self, now: Duration) -> Vec<(ServerCrash, Duration)> {
         let records = self.records.iter();
-        let held = records.filter(|(_, record)| record.standing(now) != Standing::Free);
+        let held =
+            records.filter(|(_, record)| record.status(now) != QuarantineStatus::Unrestricted);
         held.flat_map(|(content, record)| told(*content, record, now)).collect()
     }
 
     /// The ends of the contents that matter most, with the time since each: at most so many.
-    pub fn weightiest(&self, most: usize, now: Duration) -> Vec<(ServerEnd, Duration)> {
+    pub fn most_relevant_crashes(
+        &self,
+        most: usize,
+        now: Duration,
+    ) -> Vec<(ServerCrash, Duration)> {
         let mut records: Vec<_> =
-            self.records.iter().filter(|(_, record)| !record.ends.is_empty()).collect();
-        records.sort_unstable_by_key(|(_, record)| std::cmp::Reverse(record.worth()));
+            self.records.iter().filter(|(_, record)| !record.crashes.is_empty()).collect();
+        records.sort_unstable_by_key(|(_, record)| std::cmp::Reverse(record.retention_rank()));
         let ends = records.into_iter().flat_map(|(content, record)| told(*content, record, now));
         ends.take(most).collect()
     }
@@ -231,32 +242,35 @@
         if self.records.len() < MOST_CONTENTS {
             return;
         }
-        self.records.retain(|_, record| !record.is_over(now));
+        self.records.retain(|_, record| !record.is_expired(now));
         if self.records.len() < MOST_CONTENTS {
             return;
         }
-        let mut by_worth: Vec<_> =
-            self.records.iter().map(|(content, record)| (record.worth(), *content)).collect();
+        let mut by_worth: Vec<_> = self
+            .records
+            .iter()
+            .map(|(content, record)| (record.retention_rank(), *content))
+            .collect();
         by_worth.sort_unstable();
         for (_, content) in by_worth.iter().take(MOST_CONTENTS / MAKE_ROOM_PART) {
             self.records.remove(content);
-            self.given_way += 1;
+            self.evicted += 1;
         }
     }
 
     /// Forgets what is over.
-    pub fn forget_old(&mut self, now: Duration) {
-        self.records.retain(|_, record| !record.is_over(now));
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.records.retain(|_, record| !record.is_expired(now));
     }
 }
 
-fn told(content: Content, record: &Record, now: Duration) -> Vec<(ServerEnd, Duration)> {
-    let end = |end: &End| {
-        let End { id, server, at, in_common_loss, on_probe } = *end;
-        let told = ServerEnd { content, id, server, in_common_loss, on_probe };
+fn told(content: ContentHash, record: &Record, now: Duration) -> Vec<(ServerCrash, Duration)> {
+    let end = |end: &Crash| {
+        let Crash { id, server, at, in_common_loss, on_probe } = *end;
+        let told = ServerCrash { content, id, server, in_common_loss, on_probe };
         (told, now.saturating_sub(at))
     };
-    record.ends.iter().map(end).collect()
+    record.crashes.iter().map(end).collect()
 }
 
 /// The hash of a server's identity, as ends carry it.
@@ -265,7 +279,7 @@
 }
 
 /// The number of an end: by who saw it, at which server, under which try, and when.
-pub fn end_id(texts: &[&str], numbers: &[u64]) -> EndId {
+pub fn crash_id(texts: &[&str], numbers: &[u64]) -> CrashId {
     let texts = texts.iter().map(|text| hash_text(text));
     let step = |id, part| mix(id ^ part).wrapping_add(part);
     texts.chain(numbers.iter().copied()).fold(0, step)
@@ -273,7 +287,7 @@
 
 /// The entries of these names in the order in which they may grant what is asked for by a key: the probes of a
 /// content, or the permits of a server by the hash of its identity.
-pub fn granting_order(key: u128, names: &mut [String]) {
+pub fn granter_order(key: u128, names: &mut [String]) {
     let low = key as u64;
     names.sort_by_cached_key(|name| {
         (std::cmp::Reverse(mix(low ^ mix(hash_text(name)))), name.clone())
--- a/crates/decide/src/direct/quarantine/good.rs
+++ b/crates/decide/src/direct/quarantine/good.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use super::Content;
+use super::ContentHash;
 
 /// Time after which contents that came to a good end are forgotten, up to twice as long; what a request
 /// does to a server may change with the server's software.
@@ -17,26 +17,26 @@
 /// never has; so these are not held when some servers end with them aboard, by chance or by another
 /// request. Callers who all ask the same are aboard wherever a server ends.
 #[derive(Debug, Default)]
-pub struct GoodContents {
+pub struct SuccessfulContents {
     /// Ends of servers since the latest good end, by content.
-    newer: HashMap<Content, usize>,
-    older: HashMap<Content, usize>,
+    newer: HashMap<ContentHash, usize>,
+    older: HashMap<ContentHash, usize>,
     /// When the older ones were the newer ones.
-    turned: Duration,
+    rotated_at: Duration,
 }
 
-impl GoodContents {
+impl SuccessfulContents {
     /// A run of a content came to a good end.
-    pub fn note_whole(&mut self, content: Content, now: Duration) {
-        if self.newer.len() >= MOST_GOOD || now >= self.turned + LIFE_OF_GOOD {
+    pub fn record_success(&mut self, content: ContentHash, now: Duration) {
+        if self.newer.len() >= MOST_GOOD || now >= self.rotated_at + LIFE_OF_GOOD {
             self.older = std::mem::take(&mut self.newer);
-            self.turned = now;
+            self.rotated_at = now;
         }
         self.newer.insert(content, 0);
     }
 
     /// A server ended under a content, here or at another entry.
-    pub fn note_end(&mut self, content: Content) {
+    pub fn record_crash(&mut self, content: ContentHash) {
         let (newer, older) = (self.newer.get_mut(&content), self.older.get_mut(&content));
         if let Some(ends) = newer.or(older) {
             *ends += 1;
@@ -44,7 +44,7 @@
     }
 
     /// Whether a content is known to be good.
-    pub fn holds(&self, content: Content) -> bool {
+    pub fn is_exempt(&self, content: ContentHash) -> bool {
         let ends = self.newer.get(&content).or(self.older.get(&content));
         ends.is_some_and(|ends| *ends <= MOST_FORGIVEN)
     }
--- a/crates/decide/src/direct/quarantine/record.rs
+++ b/crates/decide/src/direct/quarantine/record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{EndId, ServerEnd, Standing};
+use super::{CrashId, QuarantineStatus, ServerCrash};
 
 /// Ends of servers after which a request counts as their cause. A request whose server ends by chance
 /// goes on elsewhere; that this happens to the same one three times is rare.
@@ -33,9 +33,9 @@
 
 /// An end as it is remembered.
 #[derive(Debug, Clone, Copy)]
-pub struct End {
+pub struct Crash {
     /// Tells it from all others.
-    pub id: EndId,
+    pub id: CrashId,
     /// Hash of the server's identity.
     pub server: u64,
     /// When it was seen.
@@ -46,9 +46,9 @@
     pub on_probe: bool,
 }
 
-impl End {
+impl Crash {
     /// Whether another sighting is of the same end: each copy of a request, at each entry, sees it.
-    pub fn is_same(&self, other: &ServerEnd, at: Duration) -> bool {
+    pub fn is_same(&self, other: &ServerCrash, at: Duration) -> bool {
         let apart = self.at.max(at) - self.at.min(at);
         self.id == other.id || self.server == other.server && apart < SAME_END
     }
@@ -58,9 +58,9 @@
 #[derive(Debug, Default)]
 pub struct Record {
     /// Ends since it was last cleared.
-    pub ends: Vec<End>,
+    pub crashes: Vec<Crash>,
     /// When a run last came to a good end.
-    pub cleared: Option<Duration>,
+    pub cleared_at: Option<Duration>,
     /// Until when a probe that this entry granted may be under way.
     pub probed_until: Option<Duration>,
     /// Probes that this entry granted and of which it has heard nothing.
@@ -73,9 +73,9 @@
 
 impl Record {
     /// Ends that count.
-    pub fn count(&self) -> usize {
-        let excused = self.ends.iter().filter(|end| end.in_common_loss).count();
-        self.ends.len() - excused.min(MOST_EXCUSED)
+    pub fn crash_count(&self) -> usize {
+        let excused = self.crashes.iter().filter(|end| end.in_common_loss).count();
+        self.crashes.len() - excused.min(MOST_EXCUSED)
     }
 
     /// Something was heard that tells how the probe under way came out.
@@ -89,54 +89,58 @@
     }
 
     /// Keeps an end; of many, the latest and those under probes.
-    pub fn keep(&mut self, end: End) {
-        self.ends.push(end);
-        if self.ends.len() <= MOST_ENDS {
+    pub fn push_crash(&mut self, end: Crash) {
+        self.crashes.push(end);
+        if self.crashes.len() <= MOST_ENDS {
             return;
         }
-        let order = |(_, end): &(usize, &End)| (end.on_probe, end.at);
-        if let Some((oldest, _)) = self.ends.iter().enumerate().min_by_key(order) {
-            self.ends.swap_remove(oldest);
+        let order = |(_, end): &(usize, &Crash)| (end.on_probe, end.at);
+        if let Some((oldest, _)) = self.crashes.iter().enumerate().min_by_key(order) {
+            self.crashes.swap_remove(oldest);
         }
     }
 
     /// When the latest end was seen.
-    pub fn last_end(&self) -> Option<Duration> {
-        self.ends.iter().map(|end| end.at).max()
+    pub fn last_crash_at(&self) -> Option<Duration> {
+        self.crashes.iter().map(|end| end.at).max()
     }
 
     /// Whether a request of the content may run.
-    pub fn standing(&self, now: Duration) -> Standing {
-        let count = self.count();
-        let Some(last) = self.last_end().filter(|_| count >= FREE_ENDS) else {
-            return Standing::Free;
+    pub fn status(&self, now: Duration) -> QuarantineStatus {
+        let count = self.crash_count();
+        let Some(last) = self.last_crash_at().filter(|_| count >= FREE_ENDS) else {
+            return QuarantineStatus::Unrestricted;
         };
         if self.probed_until.is_some_and(|until| now < until) {
-            return Standing::Probed;
+            return QuarantineStatus::ProbeInProgress;
         }
         let last = self.unresolved_at.map_or(last, |at| at.max(last));
-        let until = last + PROBE_PAUSES[self.probes().min(PROBE_PAUSES.len() - 1)];
-        if now < until { Standing::Held { until } } else { Standing::OnProbe }
+        let until = last + PROBE_PAUSES[self.probe_count().min(PROBE_PAUSES.len() - 1)];
+        if now < until {
+            QuarantineStatus::Quarantined { until }
+        } else {
+            QuarantineStatus::ProbeAllowed
+        }
     }
 
     /// Probes under which a server ended or may have ended, common losses left out.
     ///
     /// NB: not all ends beyond the first few. A request that comes on many connections at once may end as
     /// many servers before any entry knows.
-    pub fn probes(&self) -> usize {
-        let excused = |end: &&End| end.on_probe && end.in_common_loss;
-        let excused = self.ends.iter().filter(excused).count().min(MOST_EXCUSED);
-        self.ends.iter().filter(|end| end.on_probe).count() - excused + self.unresolved
+    pub fn probe_count(&self) -> usize {
+        let excused = |end: &&Crash| end.on_probe && end.in_common_loss;
+        let excused = self.crashes.iter().filter(excused).count().min(MOST_EXCUSED);
+        self.crashes.iter().filter(|end| end.on_probe).count() - excused + self.unresolved
     }
 
     /// Whether nothing of it matters any more.
-    pub fn is_over(&self, now: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration) -> bool {
         let is_past = |at: Option<Duration>, life| at.is_none_or(|at| now >= at + life);
-        is_past(self.last_end(), LIFE) && is_past(self.cleared, LIFE_OF_CLEARED)
+        is_past(self.last_crash_at(), LIFE) && is_past(self.cleared_at, LIFE_OF_CLEARED)
     }
 
     /// Order in which contents give way.
-    pub fn worth(&self) -> (usize, Option<Duration>) {
-        (self.count().min(FREE_ENDS), self.last_end())
+    pub fn retention_rank(&self) -> (usize, Option<Duration>) {
+        (self.crash_count().min(FREE_ENDS), self.last_crash_at())
     }
 }
--- a/crates/decide/src/direct/rank.rs
+++ b/crates/decide/src/direct/rank.rs
@@ -5,17 +5,17 @@
 //! on which the rest of a cascade waits, come soonest.
 
 /// Rank at a backend server, 0 first, as far as 9.
-pub type Rank = u8;
+pub type QueueRank = u8;
 
 /// Rank of a stream that goes on after a break; its caller waits in the middle of an answer.
-pub const RESUMED: Rank = 0;
+pub const RESUMED_RANK: QueueRank = 0;
 /// Rank of the shortest requests and of the longest.
 const BOUNDS: (f64, f64) = (1.0, 8.0);
 /// Expected time in milliseconds at which ranks begin; each one more stands for twice the time.
 const FIRST_MS: f64 = 25.0;
 
 /// Rank of a request whose answer is expected to begin after this time on an idle server.
-pub fn rank_of(expected_ms: f64) -> Rank {
+pub fn queue_rank(expected_ms: f64) -> QueueRank {
     let (first, last) = BOUNDS;
-    (expected_ms / FIRST_MS).log2().clamp(first, last) as Rank
+    (expected_ms / FIRST_MS).log2().clamp(first, last) as QueueRank
 }
--- a/crates/decide/src/direct/reporter.rs
+++ b/crates/decide/src/direct/reporter.rs
@@ -59,11 +59,11 @@
 
 /// What became of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It was taken.
-    Taken,
+    Accepted,
     /// The platform has seen a higher number.
-    Refused,
+    Fenced,
     /// It was not taken, or got no answer.
     Failed,
 }
@@ -73,11 +73,11 @@
 
 /// What became of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It was done, and the record has this revision.
-    Done(u64),
+    Written(u64),
     /// It was not done.
-    NotDone,
+    NotWritten,
     /// Its answer was lost.
     Unknown,
 }
@@ -102,11 +102,11 @@
 
 /// How long this entry leaves to others what is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct ReporterOrder {
+pub struct ReporterDelays {
     /// Wait by its place in the order.
-    pub by_place: Duration,
+    pub by_order: Duration,
     /// Further wait while another entry is the holder.
-    pub to_holder: Duration,
+    pub holder_grace: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -114,7 +114,7 @@
     record: ReporterRecord,
     revision: u64,
     /// When this entry heard of it.
-    since: Duration,
+    received_at: Duration,
 }
 
 /// One entry's part in the task.
@@ -135,22 +135,22 @@
     /// Until when it may say the words of the record, which it wrote itself.
     may_call_until: Duration,
     /// When its latest write that was done was sent.
-    wrote_at: Option<Duration>,
+    written_at: Option<Duration>,
     /// Whether this entry, and nobody else, held the task as the era before ended.
-    held_last: bool,
+    held_previous_era: bool,
     /// Whether the windows that are complete by now may have been reported by somebody unknown.
-    is_unsure: bool,
+    has_unknown_reports: bool,
     /// Newest window that is left out.
     left_out_to: WindowId,
     /// Since when calls have come to nothing.
-    fruitless_since: Option<Duration>,
+    failing_since: Option<Duration>,
     /// Until when a write is left alone whose answer was lost: it may be done yet.
-    awaits_word_until: Duration,
+    pending_write_until: Duration,
     /// Newest window whose report this life has seen taken.
-    taken: Option<WindowId>,
+    accepted: Option<WindowId>,
     /// Window that is due, and since when.
     due_since: Option<(WindowId, Duration)>,
-    aside_until: Duration,
+    yields_until: Duration,
 }
 
 impl Reporter {
@@ -166,15 +166,15 @@
             highest_token: 0,
             refused_token: 0,
             may_call_until: Duration::ZERO,
-            wrote_at: None,
-            held_last: false,
-            is_unsure: false,
+            written_at: None,
+            held_previous_era: false,
+            has_unknown_reports: false,
             left_out_to: 0,
-            fruitless_since: None,
-            awaits_word_until: Duration::ZERO,
-            taken: None,
+            failing_since: None,
+            pending_write_until: Duration::ZERO,
+            accepted: None,
             due_since: None,
-            aside_until: Duration::ZERO,
+            yields_until: Duration::ZERO,
         }
     }
 
@@ -200,13 +200,13 @@
             self.known = None;
             self.may_call_until = Duration::ZERO;
             // NB: within the lease of its own write nobody else has written.
-            self.held_last = self.wrote_at.is_some_and(|at| now < at + self.lease);
-            self.is_unsure = !self.held_last;
+            self.held_previous_era = self.written_at.is_some_and(|at| now < at + self.lease);
+            self.has_unknown_reports = !self.held_previous_era;
         }
     }
 
     /// Hears what the store holds in its era, or that the record is gone.
-    pub fn learn(&mut self, record: Option<(ReporterRecord, u64)>, now: Duration) {
+    pub fn apply_record(&mut self, record: Option<(ReporterRecord, u64)>, now: Duration) {
         let Some((record, revision)) = record else {
             self.known = None;
             self.may_call_until = Duration::ZERO;
@@ -220,78 +220,78 @@
             self.newest = Some(record.clone());
         }
         self.left_out_to = self.left_out_to.max(record.left_out_to);
-        self.is_unsure = false;
+        self.has_unknown_reports = false;
         // NB: also where it shows a write of this entry whose answer was lost. Which of several like writes was
         // done, and so when it was sent, cannot be told.
         self.may_call_until = Duration::ZERO;
-        self.awaits_word_until = Duration::ZERO;
-        self.known = Some(Known { record, revision, since: now });
+        self.pending_write_until = Duration::ZERO;
+        self.known = Some(Known { record, revision, received_at: now });
     }
 
     /// What became of a write sent at `sent`.
-    pub fn written(
+    pub fn on_write_outcome(
         &mut self,
         record: ReporterRecord,
         sent: Duration,
-        end: WriteEnd,
+        end: WriteOutcome,
         now: Duration,
     ) {
         match end {
-            WriteEnd::Done(revision) => {
-                self.learn(Some((record, revision)), now);
+            WriteOutcome::Written(revision) => {
+                self.apply_record(Some((record, revision)), now);
                 let is_latest = self.known.as_ref().is_some_and(|known| known.revision == revision);
                 if is_latest {
                     self.may_call_until = sent + self.lease.mul_f64(CALLING_PART);
-                    self.wrote_at = Some(sent);
+                    self.written_at = Some(sent);
                 }
             }
             // NB: whoever was first is heard of with all other changes.
-            WriteEnd::NotDone => {}
-            WriteEnd::Unknown => self.awaits_word_until = sent + self.lease,
+            WriteOutcome::NotWritten => {}
+            WriteOutcome::Unknown => self.pending_write_until = sent + self.lease,
         }
     }
 
     /// What became of a call with the words of the record.
-    pub fn called(&mut self, record: &ReporterRecord, end: CallEnd, now: Duration) {
+    pub fn on_call_outcome(&mut self, record: &ReporterRecord, end: CallOutcome, now: Duration) {
         match end {
-            CallEnd::Taken => {
-                self.taken = self.taken.max(Some(record.window));
-                self.fruitless_since = None;
+            CallOutcome::Accepted => {
+                self.accepted = self.accepted.max(Some(record.window));
+                self.failing_since = None;
             }
-            CallEnd::Refused => {
+            CallOutcome::Fenced => {
                 self.refused_token = self.refused_token.max(record.fencing_token);
             }
-            CallEnd::Failed => self.note_fruitless(now),
+            CallOutcome::Failed => self.record_failed_call(now),
         }
     }
 
-    fn note_fruitless(&mut self, now: Duration) {
-        let since = *self.fruitless_since.get_or_insert(now);
+    fn record_failed_call(&mut self, now: Duration) {
+        let since = *self.failing_since.get_or_insert(now);
         if now.saturating_sub(since) >= FRUITLESS_TIME {
-            self.fruitless_since = None;
-            self.aside_until = now + ASIDE_TIME;
+            self.failing_since = None;
+            self.yields_until = now + ASIDE_TIME;
         }
     }
 
     /// What this entry is to do now, if anything; `counts` tells what a window's report is to say.
-    pub fn next(
+    pub fn next_step(
         &mut self,
         windows: DueWindows,
-        order: ReporterOrder,
+        order: ReporterDelays,
         now: Duration,
         counts: impl FnOnce(WindowId) -> UsageCounts,
     ) -> Option<ReporterStep> {
         // NB: a write whose answer was lost may still be done; what the store tells ends the wait.
-        if now < self.aside_until || now < self.awaits_word_until {
+        if now < self.yields_until || now < self.pending_write_until {
             return None;
         }
-        if std::mem::take(&mut self.is_unsure) {
+        if std::mem::take(&mut self.has_unknown_reports) {
             self.left_out_to = self.left_out_to.max(windows.newest_complete);
         }
-        if let Some(step) = self.finish_words(windows, now) {
+        if let Some(step) = self.finish_report(windows, now) {
             return Some(step);
         }
-        let window = match self.lost_words(windows) {
+        let window = match self.lost_report(windows) {
             Some(record) => record.window,
             None => self.next_window(windows)?,
         };
@@ -304,7 +304,7 @@
             return None;
         }
         let token = self.own_token();
-        let (window, counts) = match self.words_to_repeat(windows) {
+        let (window, counts) = match self.report_to_repeat(windows) {
             Some(record) => (record.window, record.counts.clone()),
             None => (window, counts(window)),
         };
@@ -312,9 +312,9 @@
     }
 
     /// Says the words that it has written, or asks for more time to do so.
-    fn finish_words(&self, windows: DueWindows, now: Duration) -> Option<ReporterStep> {
+    fn finish_report(&self, windows: DueWindows, now: Duration) -> Option<ReporterStep> {
         let record = self.newest.as_ref().filter(|record| self.continues(record))?;
-        if self.taken >= Some(record.window) || record.window < windows.oldest_in_time {
+        if self.accepted >= Some(record.window) || record.window < windows.oldest_in_time {
             return None;
         }
         if now < self.may_call_until {
@@ -332,30 +332,31 @@
     }
 
     /// Words that another holder, or an earlier life, may have left unsaid.
-    fn words_to_repeat(&self, windows: DueWindows) -> Option<&ReporterRecord> {
+    fn report_to_repeat(&self, windows: DueWindows) -> Option<&ReporterRecord> {
         let record = self.newest.as_ref()?;
         let is_left = !self.continues(record) && record.window >= windows.oldest_in_time;
         is_left.then_some(record)
     }
 
     /// Words that the restored store has lost and that could be said in another way.
-    fn lost_words(&self, windows: DueWindows) -> Option<&ReporterRecord> {
+    fn lost_report(&self, windows: DueWindows) -> Option<&ReporterRecord> {
         let newest = self.newest.as_ref()?;
         let is_lost = self.record().is_none_or(|record| age_order(record) < age_order(newest));
         (is_lost && newest.window >= windows.oldest_in_time).then_some(newest)
     }
 
-    fn may_write(&self, order: ReporterOrder, due_since: Duration, now: Duration) -> bool {
+    fn may_write(&self, order: ReporterDelays, due_since: Duration, now: Duration) -> bool {
         let has_waited = |wait: Duration| now >= due_since + wait;
         match &self.known {
             Some(known) if known.record.holder == self.name => true,
             Some(known) => {
-                has_waited(order.by_place + order.to_holder) && now >= known.since + self.lease
+                has_waited(order.by_order + order.holder_grace)
+                    && now >= known.received_at + self.lease
             }
-            None if self.held_last => true,
+            None if self.held_previous_era => true,
             // NB: whoever held the task in the era before may not have heard that it is over.
             None => {
-                has_waited(order.by_place) && (self.era.0 == 0 || now >= self.era.1 + self.lease)
+                has_waited(order.by_order) && (self.era.0 == 0 || now >= self.era.1 + self.lease)
             }
         }
     }
--- a/crates/decide/src/direct/roll_out.rs
+++ b/crates/decide/src/direct/roll_out.rs
@@ -15,11 +15,11 @@
 
 use super::{
     SessionKey, VersionRule,
-    pool::{Pool, Seen},
+    pool::{EvidencePool, Observation},
 };
 
 pub use own::Evidence;
-use own::OwnEvidence;
+use own::LocalEvidence;
 
 /// Part of the order's time that the trial takes; sessions may be moved only after half of it.
 const TRIAL_PART: f64 = 0.53;
@@ -50,7 +50,7 @@
 
 /// What an entry should make known next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Move {
+pub enum RollOutStep {
     /// That the roll-out is under way.
     Begin,
     /// Which sessions, through this entry, stay on the old version.
@@ -68,23 +68,23 @@
 pub struct RollOut {
     target: VersionId,
     within: Duration,
-    seen: Duration,
+    ordered_at: Duration,
     trial_share: f64,
     /// Time from the start of the trial until sessions are put on the new version. By then the
     /// entries have heard which sessions run already, through whichever of them.
     trial_lead: Duration,
-    known_stage: Option<Stage>,
+    published_stage: Option<Stage>,
     trial_since: Option<Duration>,
     widening_since: Option<Duration>,
     /// Sessions that run on the old version, through any entry.
     kept: HashSet<SessionKey>,
     /// Times that this entry has told which sessions it keeps.
-    own_kept_told: u8,
+    kept_publications: u8,
     tripped: bool,
-    found_bad: bool,
-    own: OwnEvidence,
+    tripped_locally: bool,
+    local_evidence: LocalEvidence,
     /// What all entries have seen.
-    pool: Pool,
+    pool: EvidencePool,
 }
 
 impl RollOut {
@@ -102,17 +102,17 @@
             trial_lead: told.max(LEAST_TRIAL_LEAD),
             target,
             within,
-            seen,
+            ordered_at: seen,
             trial_share,
-            known_stage: None,
+            published_stage: None,
             trial_since: None,
             widening_since: None,
             kept: HashSet::new(),
-            own_kept_told: 0,
+            kept_publications: 0,
             tripped: false,
-            found_bad: false,
-            own: OwnEvidence::default(),
-            pool: Pool::default(),
+            tripped_locally: false,
+            local_evidence: LocalEvidence::default(),
+            pool: EvidencePool::default(),
         }
     }
 
@@ -122,8 +122,8 @@
     }
 
     /// Stage that was made known.
-    pub fn known_stage(&self) -> Option<Stage> {
-        self.known_stage
+    pub fn published_stage(&self) -> Option<Stage> {
+        self.published_stage
     }
 
     /// Whether this entry has found the new version bad.
@@ -132,41 +132,41 @@
     }
 
     /// Whether it was this entry's own evidence that called the version bad.
-    pub fn has_found_bad(&self) -> bool {
-        self.found_bad
+    pub fn has_tripped_locally(&self) -> bool {
+        self.tripped_locally
     }
 
     /// Whether the new version gets nothing any more.
-    pub fn is_off(&self) -> bool {
-        self.tripped || self.known_stage == Some(Stage::Reverted)
+    pub fn is_withdrawn(&self) -> bool {
+        self.tripped || self.published_stage == Some(Stage::Reverted)
     }
 
     /// Learns what was made known by any entry. A later stage is never taken back.
-    pub fn learn_stage(&mut self, stage: Stage, now: Duration) {
+    pub fn apply_stage(&mut self, stage: Stage, now: Duration) {
         if stage == Stage::Trial && self.trial_since.is_none() {
             self.trial_since = Some(now);
         }
         if stage == Stage::Widening && self.widening_since.is_none() {
             self.widening_since = Some(now);
         }
-        self.known_stage = self.known_stage.max(Some(stage));
+        self.published_stage = self.published_stage.max(Some(stage));
     }
 
     /// Sessions stay on the old version that run already, through this entry or another.
-    pub fn learn_kept(&mut self, sessions: impl IntoIterator<Item = SessionKey>) {
+    pub fn add_kept_sessions(&mut self, sessions: impl IntoIterator<Item = SessionKey>) {
         self.kept.extend(sessions);
     }
 
     /// This entry has told which sessions it keeps.
-    pub fn note_kept_told(&mut self) {
-        self.own_kept_told = self.own_kept_told.saturating_add(1);
+    pub fn record_kept_published(&mut self) {
+        self.kept_publications = self.kept_publications.saturating_add(1);
     }
 
     /// Whether this entry is to tell which sessions it keeps: before sessions are put on the new
     /// version, and once more as that begins.
-    fn is_to_tell_kept(&self, now: Duration) -> bool {
-        let time = self.in_trial_for(now);
-        match self.own_kept_told {
+    fn is_kept_publication_due(&self, now: Duration) -> bool {
+        let time = self.time_in_trial(now);
+        match self.kept_publications {
             0 => time >= KEEP_AFTER,
             1 => time >= self.trial_lead,
             _ => false,
@@ -174,32 +174,32 @@
     }
 
     /// Whether a session would be put on the new version by the trial, if nobody knew it.
-    pub fn would_try(&self, session: SessionKey) -> bool {
+    pub fn is_in_trial_share(&self, session: SessionKey) -> bool {
         side(session) < self.trial_share
     }
 
-    fn in_trial_for(&self, now: Duration) -> Duration {
+    fn time_in_trial(&self, now: Duration) -> Duration {
         self.trial_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// A server has started anew under its identity; its answers before say nothing of it any more.
     pub fn forget_server(&mut self, server: &str) {
-        self.own.forget_server(server);
+        self.local_evidence.forget_server(server);
     }
 
     /// Another entry has found the version bad.
-    pub fn learn_bad(&mut self) {
-        self.tripped |= self.known_stage != Some(Stage::Completed);
+    pub fn trip_from_peer(&mut self) {
+        self.tripped |= self.published_stage != Some(Stage::Completed);
     }
 
     /// Share of sessions that belong on the new version now.
     pub fn share(&self, now: Duration) -> f64 {
-        match self.known_stage {
+        match self.published_stage {
             Some(Stage::Completed) => 1.0,
             Some(Stage::Reverted) => 0.0,
             _ if self.tripped => 0.0,
             None => 0.0,
-            Some(Stage::Trial) if self.in_trial_for(now) < self.trial_lead => 0.0,
+            Some(Stage::Trial) if self.time_in_trial(now) < self.trial_lead => 0.0,
             Some(Stage::Trial) => self.trial_share,
             Some(Stage::Widening) => {
                 let since = self.widening_since.unwrap_or(now);
@@ -211,7 +211,7 @@
 
     /// Version for a request of a session that was last on `pinned`, and that a server of the
     /// version `failed` has failed before.
-    pub fn rule(
+    pub fn version_rule(
         &self,
         session: SessionKey,
         pinned: Option<&VersionId>,
@@ -222,7 +222,7 @@
             return VersionRule::Except(&self.target);
         }
         let share = self.share(now);
-        let on_target = match (self.known_stage, pinned) {
+        let on_target = match (self.published_stage, pinned) {
             (Some(Stage::Trial), Some(pinned)) if !self.tripped => *pinned == self.target,
             (Some(Stage::Widening), Some(pinned)) if share > 0.0 && *pinned == self.target => true,
             (Some(Stage::Trial), None) if self.kept.contains(&session) => false,
@@ -232,38 +232,43 @@
     }
 
     /// Takes an answer of either version into account; true if the new one is bad by it.
-    pub fn note(&mut self, version: &str, evidence: &Evidence<'_>, now: Duration) -> bool {
+    pub fn record_answer(&mut self, version: &str, evidence: &Evidence<'_>, now: Duration) -> bool {
         let of_target = version == self.target;
         // NB: with the whole share on the new version, the old one's times are of another load.
         let comparable = self.share(now) < 1.0;
-        let slow = self.own.note(of_target, evidence, comparable);
+        let slow = self.local_evidence.note(of_target, evidence, comparable);
         // NB: once the share widens, the new version's servers have their load still to learn.
-        let slow = slow.filter(|_| self.known_stage == Some(Stage::Trial));
+        let slow = slow.filter(|_| self.published_stage == Some(Stage::Trial));
         let server = of_target.then_some(evidence.server);
-        self.pool.note_own(Seen::one(evidence.kind, server, evidence.failed, slow), now);
-        let widening = self.known_stage == Some(Stage::Widening);
+        self.pool
+            .record_own(Observation::single(evidence.kind, server, evidence.failed, slow), now);
+        let widening = self.published_stage == Some(Stage::Widening);
         of_target && self.may_trip() && {
-            let is_bad = self.own.is_bad(evidence.kind, widening);
+            let is_bad = self.local_evidence.is_bad(evidence.kind, widening);
             self.trip_if(is_bad)
         }
     }
 
     /// Takes in what another entry has seen, this long ago.
-    pub fn learn_seen(&mut self, seen: Vec<Seen>, age: Duration, now: Duration) {
+    pub fn apply_observations(&mut self, seen: Vec<Observation>, age: Duration, now: Duration) {
         let at = now.saturating_sub(age);
-        seen.into_iter().filter(Seen::is_sound).for_each(|one| self.pool.learn(one, at));
+        seen.into_iter().filter(Observation::is_valid).for_each(|one| self.pool.apply(one, at));
     }
 
     /// What this entry has seen since it last told the others, if that is `interval` ago and there
     /// is anything.
-    pub fn take_seen(&mut self, now: Duration, interval: Duration) -> Option<Vec<Seen>> {
-        let is_due = self.may_trip() && self.pool.is_to_tell(now, interval);
-        is_due.then(|| self.pool.take_untold(now))
+    pub fn take_due_observations(
+        &mut self,
+        now: Duration,
+        interval: Duration,
+    ) -> Option<Vec<Observation>> {
+        let is_due = self.may_trip() && self.pool.is_publication_due(now, interval);
+        is_due.then(|| self.pool.drain_unpublished(now))
     }
 
     /// Weighs what all entries have seen, as far as this one knows; true if the version is bad by
     /// it and was not known to be.
-    pub fn weigh(&mut self, now: Duration) -> bool {
+    pub fn evaluate(&mut self, now: Duration) -> bool {
         self.may_trip() && {
             let is_bad = self.pool.is_bad(now);
             self.trip_if(is_bad)
@@ -272,42 +277,44 @@
 
     /// The new version's servers turn everything away, so that nothing can show whether it is good; true if
     /// it is left by that.
-    pub fn turns_away(&mut self) -> bool {
+    pub fn trip_on_refusals(&mut self) -> bool {
         self.may_trip() && self.trip_if(true)
     }
 
     fn may_trip(&self) -> bool {
-        !self.tripped && !matches!(self.known_stage, Some(Stage::Completed | Stage::Reverted))
+        !self.tripped && !matches!(self.published_stage, Some(Stage::Completed | Stage::Reverted))
     }
 
     fn trip_if(&mut self, is_bad: bool) -> bool {
         self.tripped = is_bad;
-        self.found_bad = is_bad;
+        self.tripped_locally = is_bad;
         is_bad
     }
 
     /// What should be made known next, if anything.
-    pub fn next_move(&self, now: Duration) -> Option<Move> {
-        let elapsed = now.saturating_sub(self.seen);
-        match self.known_stage {
+    pub fn next_step(&self, now: Duration) -> Option<RollOutStep> {
+        let elapsed = now.saturating_sub(self.ordered_at);
+        match self.published_stage {
             Some(Stage::Completed | Stage::Reverted) => None,
-            _ if self.tripped => Some(Move::Revert),
-            None => Some(Move::Begin),
-            Some(Stage::Trial) if self.is_to_tell_kept(now) => Some(Move::Keep),
-            Some(Stage::Trial) if elapsed >= self.within.mul_f64(TRIAL_PART) => Some(Move::Widen),
+            _ if self.tripped => Some(RollOutStep::Revert),
+            None => Some(RollOutStep::Begin),
+            Some(Stage::Trial) if self.is_kept_publication_due(now) => Some(RollOutStep::Keep),
+            Some(Stage::Trial) if elapsed >= self.within.mul_f64(TRIAL_PART) => {
+                Some(RollOutStep::Widen)
+            }
             Some(Stage::Trial) => None,
             Some(Stage::Widening) => {
                 let since = self.widening_since.unwrap_or(now);
                 let whole = now.saturating_sub(since) >= WIDENING + WIDENING / 8;
                 let due = elapsed >= self.within.mul_f64(COMPLETE_PART);
-                (whole && due).then_some(Move::Complete)
+                (whole && due).then_some(RollOutStep::Complete)
             }
         }
     }
 
     /// Whether the new version has failed often enough to spare requests a second try there.
     fn may_be_bad(&self) -> bool {
-        self.known_stage != Some(Stage::Completed) && self.own.may_be_bad()
+        self.published_stage != Some(Stage::Completed) && self.local_evidence.may_be_bad()
     }
 }
 
--- a/crates/decide/src/direct/roll_out/own.rs
+++ b/crates/decide/src/direct/roll_out/own.rs
@@ -49,29 +49,29 @@
 
 /// Whether the latest answers were faulty in one way, and whose they were.
 #[derive(Debug, Default)]
-struct Latest {
+struct RecentAnswers {
     answers: VecDeque<(bool, ServerId)>,
 }
 
 /// What is known of one version's answers of one kind.
 #[derive(Debug, Default)]
 struct Record {
-    failed: Latest,
+    failed: RecentAnswers,
     slowness: VecDeque<f64>,
 }
 
 /// What this entry has seen itself.
 #[derive(Debug, Default)]
-pub(super) struct OwnEvidence {
+pub(super) struct LocalEvidence {
     old: HashMap<String, Record>,
     new: HashMap<String, Record>,
     /// The old version's answers of all kinds, for kinds of which too few are known.
     old_of_all_kinds: Record,
     /// Slow answers of the new version, of all kinds.
-    slow: Latest,
+    slow: RecentAnswers,
 }
 
-impl OwnEvidence {
+impl LocalEvidence {
     /// Takes an answer of either version in. Returns whether it was slower than an ordinary one of the
     /// old version, if that can be told.
     pub(super) fn note(
@@ -173,7 +173,7 @@
     }
 }
 
-impl Latest {
+impl RecentAnswers {
     fn push(&mut self, faulty: bool, server: &str) {
         if self.answers.len() == WINDOW {
             self.answers.pop_front();
--- a/crates/decide/src/direct/sharers.rs
+++ b/crates/decide/src/direct/sharers.rs
@@ -12,45 +12,45 @@
 
 /// The entries that share the bounds, as this entry knows them.
 #[derive(Debug, Clone, Default)]
-pub struct Sharers {
+pub struct BoundSharing {
     own: u64,
     listed: Vec<u64>,
     /// Whether there are no others, and never will be.
-    is_alone: bool,
+    is_sole: bool,
     /// Changes with the entries known, so that shares worked out before are found to be old.
-    turn: u64,
+    generation: u64,
 }
 
-impl Sharers {
+impl BoundSharing {
     /// An entry that is listed nowhere yet.
     pub fn new(own: &str) -> Self {
-        Sharers { own: hash_text(own), ..Sharers::default() }
+        BoundSharing { own: hash_text(own), ..BoundSharing::default() }
     }
 
     /// An entry that is never listed, since there are no others.
-    pub fn alone(own: &str) -> Self {
-        Sharers { is_alone: true, ..Sharers::new(own) }
+    pub fn sole(own: &str) -> Self {
+        BoundSharing { is_sole: true, ..BoundSharing::new(own) }
     }
 
     /// The entries listed have changed.
-    pub fn are<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
+    pub fn set_entries<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         self.listed = names.map(hash_text).collect();
-        self.turn += 1;
+        self.generation += 1;
     }
 
     /// Entries that are listed.
-    pub fn count(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Rises each time that the entries listed change.
-    pub fn turn(&self) -> u64 {
-        self.turn
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Part of a bound that may be cut into any pieces: an equal one for each entry.
-    pub fn part(&self) -> f64 {
-        match self.is_alone {
+    pub fn fraction(&self) -> f64 {
+        match self.is_sole {
             true => 1.0,
             false if self.listed.contains(&self.own) => {
                 1.0 / (f64::from(VIEWS) * self.listed.len() as f64)
@@ -62,7 +62,7 @@
     /// A number from 0 to 1 that differs evenly from entry to entry, by which parts of a whole are rounded; 0 as
     /// long as this entry takes no part.
     pub fn rounding(&self) -> f64 {
-        if self.is_alone || !self.listed.contains(&self.own) {
+        if self.is_sole || !self.listed.contains(&self.own) {
             return 0.0;
         }
         // NB: by its place among the others, so that few entries differ as evenly as many.
@@ -73,7 +73,7 @@
     /// Requests that this entry may send to a server within a second, where all entries together may
     /// send `most`. Such a bound is small and cannot be cut into as many pieces as there are entries, so
     /// rendezvous hashing (Thaler and Ravishankar, 1998) names a few owners for each server.
-    pub fn share(&self, server: u64, most: u32) -> u32 {
+    pub fn server_share(&self, server: u64, most: u32) -> u32 {
         let planned = most / VIEWS;
         let owners = planned.min(self.listed.len() as u32);
         if owners == 0 || !self.listed.contains(&self.own) {
--- a/crates/decide/src/direct/true_time.rs
+++ b/crates/decide/src/direct/true_time.rs
@@ -16,16 +16,16 @@
 
 /// What one entry believes the time of day to be.
 #[derive(Debug, Default, Clone)]
-pub struct TrueTime {
+pub struct ClockEstimate {
     /// What the time of day was ahead of the steady clock, in milliseconds.
     readings: VecDeque<i64>,
     /// What others believe it to be ahead of this entry's steady clock, in milliseconds.
-    others: HashMap<String, i64>,
+    peers: HashMap<String, i64>,
 }
 
-impl TrueTime {
+impl ClockEstimate {
     /// Takes a reading of both clocks in: milliseconds since 1970, and the steady clock.
-    pub fn note_reading(&mut self, unix_ms: u64, now: Duration) {
+    pub fn record_reading(&mut self, unix_ms: u64, now: Duration) {
         self.readings.push_back(signed(unix_ms) - millis(now));
         if self.readings.len() > MOST_READINGS {
             self.readings.pop_front();
@@ -33,23 +33,23 @@
     }
 
     /// Milliseconds since 1970 by this entry's own clocks; none before the first reading.
-    pub fn own_unix_ms(&self, now: Duration) -> Option<u64> {
+    pub fn local_unix_ms(&self, now: Duration) -> Option<u64> {
         let lead = median(self.readings.iter().copied())?;
         Some(unsigned(lead + millis(now)))
     }
 
     /// Another entry believes that it was `unix_ms` at `at` on the steady clock.
-    pub fn hear(&mut self, entry: &str, unix_ms: u64, at: Duration) {
+    pub fn apply_peer(&mut self, entry: &str, unix_ms: u64, at: Duration) {
         let lead = signed(unix_ms) - millis(at);
-        if self.others.len() < MOST_OTHERS || self.others.contains_key(entry) {
-            self.others.insert(entry.to_owned(), lead);
+        if self.peers.len() < MOST_OTHERS || self.peers.contains_key(entry) {
+            self.peers.insert(entry.to_owned(), lead);
         }
     }
 
     /// Milliseconds since 1970 by what most entries believe.
     pub fn unix_ms(&self, now: Duration) -> Option<u64> {
         let own = median(self.readings.iter().copied())?;
-        let lead = median(self.others.values().copied().chain([own]))?;
+        let lead = median(self.peers.values().copied().chain([own]))?;
         Some(unsigned(lead + millis(now)))
     }
 }
--- a/crates/decide/src/direct/warm_up.rs
+++ b/crates/decide/src/direct/warm_up.rs
@@ -10,7 +10,7 @@
 
 use std::{cell::Cell, collections::VecDeque, time::Duration};
 
-use super::sharers::Sharers;
+use super::sharers::BoundSharing;
 
 /// Time within which a server's requests are counted: a second, and what timers may be off by.
 const WINDOW: Duration = Duration::from_millis(1_050);
@@ -36,18 +36,18 @@
 
 /// How far a cold server's requests may go beyond what it bears, and how late its word may come.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdBound {
+pub struct ColdServerBound {
     /// Factor on what it bears.
     pub overshoot: f64,
     /// Requests in a second on top of that.
     pub tolerance: f64,
     /// Time after which a server that is back has told that it is cold.
-    pub told_after: Duration,
+    pub report_delay: Duration,
 }
 
-impl ColdBound {
+impl ColdServerBound {
     /// Requests that a cold server may get within any second, from all entries together.
-    pub fn most_in_a_second(&self, warm_up: WarmUp) -> u32 {
+    pub fn max_requests_per_second(&self, warm_up: WarmUp) -> u32 {
         let most = warm_up.requests_per_s * self.overshoot + self.tolerance;
         // NB: a number that is negative or none at all becomes 0.
         most.floor() as u32
@@ -56,61 +56,61 @@
 
 /// Why a server counts as cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Coldness {
+pub enum ColdReason {
     /// It says so itself.
-    Told,
+    Reported,
     /// It could not be reached, and may have started anew since.
-    Unreached,
+    Unreachable,
     /// Its data centre was taken back after an evacuation.
-    TakenBack,
+    Reinstated,
 }
 
 /// What is known of one server's warm-up, and what this entry has sent there of late.
 #[derive(Debug, Default)]
-pub struct Warmth {
-    told_until: Duration,
-    doubted: Option<(Duration, Coldness)>,
+pub struct WarmUpState {
+    reported_until: Duration,
+    presumed: Option<(Duration, ColdReason)>,
     /// Until when all entries know it to be in doubt.
-    known_until: Duration,
+    published_until: Duration,
     sent: VecDeque<Duration>,
     /// The turn of the sharers for which the share was worked out, and the share.
     share: Cell<Option<(u64, u32)>>,
 }
 
-impl Warmth {
+impl WarmUpState {
     /// The server tells until when it is cold; a time that has passed if it is not.
-    pub fn is_told(&mut self, until: Duration) {
-        self.told_until = until;
+    pub fn apply_reported(&mut self, until: Duration) {
+        self.reported_until = until;
     }
 
     /// The server may be cold until then, whatever it has said before. Returns whether other entries
     /// should be told: nobody knows yet, or only of a time that is over much sooner.
-    pub fn doubt(&mut self, until: Duration, coldness: Coldness) -> bool {
-        if self.doubted.is_none_or(|(before, _)| before < until) {
-            self.doubted = Some((until, coldness));
+    pub fn presume_cold(&mut self, until: Duration, coldness: ColdReason) -> bool {
+        if self.presumed.is_none_or(|(before, _)| before < until) {
+            self.presumed = Some((until, coldness));
         }
-        let is_news = until >= self.known_until + TELL_AGAIN;
+        let is_news = until >= self.published_until + TELL_AGAIN;
         if is_news {
-            self.known_until = until;
+            self.published_until = until;
         }
         is_news
     }
 
     /// Why it counts as cold, if it does.
-    pub fn coldness(&self, now: Duration) -> Option<Coldness> {
-        if now < self.told_until {
-            return Some(Coldness::Told);
+    pub fn cold_reason(&self, now: Duration) -> Option<ColdReason> {
+        if now < self.reported_until {
+            return Some(ColdReason::Reported);
         }
-        self.doubted.filter(|(until, _)| now < *until).map(|(_, coldness)| coldness)
+        self.presumed.filter(|(until, _)| now < *until).map(|(_, coldness)| coldness)
     }
 
     /// When it stops to count as cold.
     pub fn cold_until(&self) -> Duration {
-        self.doubted.map_or(self.told_until, |(until, _)| until.max(self.told_until))
+        self.presumed.map_or(self.reported_until, |(until, _)| until.max(self.reported_until))
     }
 
     /// A request goes there.
-    pub fn note_sent(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         if self.sent.len() == MOST_SENDS {
             self.sent.pop_front();
         }
@@ -118,15 +118,15 @@
     }
 
     /// A request that was to go there at `planned` goes there only now.
-    pub fn note_sent_later(&mut self, planned: Duration, now: Duration) {
+    pub fn reschedule_sent(&mut self, planned: Duration, now: Duration) {
         if let Some(place) = self.sent.iter().position(|at| *at == planned) {
             self.sent.remove(place);
         }
-        self.note_sent(now);
+        self.record_sent(now);
     }
 
     /// Requests sent there within the last second, but for the one that was placed at `placed`.
-    pub fn sent_beside(&self, placed: Duration, now: Duration) -> usize {
+    pub fn recent_sends_except(&self, placed: Duration, now: Duration) -> usize {
         let lately = self.sent.iter().filter(|at| **at + WINDOW > now).count();
         let own = placed + WINDOW > now && self.sent.contains(&placed);
         lately - usize::from(own)
@@ -134,7 +134,7 @@
 
     /// When this entry may next send a request to the cold server, with `share` of them in a second;
     /// `None` if it is none of the owners.
-    pub fn opens_at(&self, share: u32) -> Option<Duration> {
+    pub fn next_send_at(&self, share: u32) -> Option<Duration> {
         let share = share as usize;
         if share == 0 {
             return None;
@@ -145,46 +145,51 @@
     }
 
     /// This entry's share of what the server with this hash may get.
-    pub fn share(&self, server: u64, most: u32, sharers: &Sharers) -> u32 {
+    pub fn share(&self, server: u64, most: u32, sharers: &BoundSharing) -> u32 {
         match self.share.get() {
-            Some((turn, share)) if turn == sharers.turn() => share,
+            Some((turn, share)) if turn == sharers.generation() => share,
             _ => {
-                let share = sharers.share(server, most);
-                self.share.set(Some((sharers.turn(), share)));
+                let share = sharers.server_share(server, most);
+                self.share.set(Some((sharers.generation(), share)));
                 share
             }
         }
     }
 
     /// The share must be worked out anew, as the bound has changed.
-    pub fn forget_share(&self) {
+    pub fn reset_share(&self) {
         self.share.set(None);
     }
 }
 
 /// What a fleet's servers may get while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pacing {
+pub struct ColdServerPacing {
     /// Time for which a server is cold after its start.
-    pub time: Duration,
+    pub warm_up_time: Duration,
     /// Requests that one may get within a second, from all entries together.
-    pub most: u32,
+    pub max_requests_per_second: u32,
     /// Time after which a server that is back has told that it is cold.
-    pub told_after: Duration,
+    pub report_delay: Duration,
     /// Until when this entry's own earlier sends, in a life before this one, may count.
-    pub from: Duration,
+    pub not_before: Duration,
 }
 
-impl Pacing {
+impl ColdServerPacing {
     /// What follows from how a service's servers warm up; nothing where they bear everything at once.
-    pub fn of(warm_up: Option<WarmUp>, bound: Option<ColdBound>) -> Option<Self> {
+    pub fn of(warm_up: Option<WarmUp>, bound: Option<ColdServerBound>) -> Option<Self> {
         let (warm_up, bound) = (warm_up?, bound?);
-        let most = bound.most_in_a_second(warm_up);
-        Some(Pacing { time: warm_up.time, most, told_after: bound.told_after, from: WINDOW })
+        let most = bound.max_requests_per_second(warm_up);
+        Some(ColdServerPacing {
+            warm_up_time: warm_up.time,
+            max_requests_per_second: most,
+            report_delay: bound.report_delay,
+            not_before: WINDOW,
+        })
     }
 }
 
 /// Longest time for which a request with this objective waits for room at cold servers.
-pub fn longest_wait(objective: Duration) -> Duration {
+pub fn max_cold_wait(objective: Duration) -> Duration {
     objective.mul_f64(WAIT_PART)
 }
--- a/crates/decide/src/direct/window_budget.rs
+++ b/crates/decide/src/direct/window_budget.rs
@@ -1,7 +1,7 @@
 //! The limit on sends beyond each request's first, over a sliding window.
 //!
 //! Every entry keeps its part: a ratio of its own requests, and the part of the fixed extra that
-//! [`Sharers::part`](super::Sharers::part) gives it. The parts add up to no more than the whole.
+//! [`BoundSharing::part`](super::Sharers::part) gives it. The parts add up to no more than the whole.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
     }
 
     /// Counts a request.
-    pub fn note_request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.current(now).requests += 1;
     }
 
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::{Admission, AdmissionQueue, QueuedWork, direct::ServerLimit};
+use pondwalk_decide::{Admission, AdmissionQueue, QueuedWork, direct::RateLimit};
 use pondwalk_types::Refusal;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -109,7 +109,7 @@
 #[test]
 fn a_server_that_names_a_limit_starts_no_more_and_callers_hear_when_to_come_back() {
     let mut queue = AdmissionQueue::new(8, 8);
-    let limit = ServerLimit::try_from("2").expect("a limit");
+    let limit = RateLimit::try_from("2").expect("a limit");
     queue.set_rate_limit(Some(limit));
     let mut started = 0;
     for ms in (0..10_000).step_by(20) {
@@ -138,7 +138,7 @@
         let patient = QueuedWork { deadline: SECOND * 600, ..work(n, "one", 5) };
         queue.offer(Duration::ZERO, patient);
     });
-    queue.set_rate_limit(Some(ServerLimit::try_from("1").expect("a limit")));
+    queue.set_rate_limit(Some(RateLimit::try_from("1").expect("a limit")));
     let mut started = 0;
     for ms in (0..8_000).step_by(100) {
         let now = Duration::from_millis(ms);
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Ask, Fleet, Homes, PromptPart, ServerFacts, VersionRule};
+use pondwalk_decide::direct::{
+    DataCentreRule, Fleet, PlacementRequest, PromptPart, ServerInfo, VersionRule,
+};
 
 /// Milliseconds.
 pub fn ms(ms: u64) -> Duration {
@@ -12,8 +14,8 @@
 }
 
 /// A server in the first data centre.
-pub fn server(id: &str, version: &str) -> ServerFacts {
-    ServerFacts {
+pub fn server(id: &str, version: &str) -> ServerInfo {
+    ServerInfo {
         id: id.to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         data_centre: "dc1".to_owned(),
@@ -28,20 +30,20 @@
 /// Servers `s0` and on, of one version.
 pub fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new("dc1");
-    (0..count).for_each(|n| fleet.put(server(&format!("s{n}"), "v1")));
+    (0..count).for_each(|n| fleet.apply_server(server(&format!("s{n}"), "v1")));
     fleet
 }
 
 /// A request to the smallest model.
-pub fn ask(parts: &[PromptPart]) -> Ask<'_> {
-    Ask {
+pub fn ask(parts: &[PromptPart]) -> PlacementRequest<'_> {
+    PlacementRequest {
         parts,
         model: 0,
-        read_ms_per_token: 0.05,
+        prefill_ms_per_token: 0.05,
         base_ms: 20.0,
-        avoid: &[],
+        excluded_servers: &[],
         versions: VersionRule::Any,
-        homes: Homes::Anywhere,
+        data_centres: DataCentreRule::Any,
     }
 }
 
--- a/crates/decide/tests/engines.rs
+++ b/crates/decide/tests/engines.rs
@@ -6,7 +6,8 @@
 
 use common::fleet;
 use pondwalk_decide::direct::{
-    Ask, Cascade, Engine, Estimate, Fleet, Homes, PromptPart, Terms, VersionRule,
+    Cascade, DataCentreRule, EngineEstimates, Fleet, ModelCost, PlacementRequest, PromptPart,
+    QuantileEstimate, VersionRule,
 };
 use quickcheck::{Gen, QuickCheck};
 use rand::{Rng, SeedableRng};
@@ -23,15 +24,15 @@
 }
 
 /// An engine of which so many answers were seen whose times are `factor` times the usual.
-fn engine_seen(factor: f64, answers: u32, rng: &mut Pcg64Mcg) -> Engine {
-    let mut engine = Engine::new(3);
+fn engine_seen(factor: f64, answers: u32, rng: &mut Pcg64Mcg) -> EngineEstimates {
+    let mut engine = EngineEstimates::new(3);
     for n in 0..answers {
         let model = (n % 3) as u8;
         let read_ms = factor * [0.0055, 0.017, 0.053][usize::from(model)];
         let took_ms = scattered(rng, factor * 25.0 + 4_000.0 * read_ms);
-        engine.note_beginning(model, 4_000.0, took_ms);
-        engine.note_beginning(model, 50.0, scattered(rng, factor * 25.0 + 50.0 * read_ms));
-        engine.note_token_ms(model, scattered(rng, factor * 12.0));
+        engine.record_first_byte(model, 4_000.0, took_ms);
+        engine.record_first_byte(model, 50.0, scattered(rng, factor * 25.0 + 50.0 * read_ms));
+        engine.record_token_ms(model, scattered(rng, factor * 12.0));
     }
     engine
 }
@@ -41,10 +42,10 @@
     fn property(seed: u64, factor: u8) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let truth = 10.0 * 2f64.powf(f64::from(factor % 7) - 3.0);
-        let mut estimate = Estimate::new(10.0);
-        (0..150).for_each(|_| estimate.note(scattered(&mut rng, truth)));
+        let mut estimate = QuantileEstimate::new(10.0);
+        (0..150).for_each(|_| estimate.record(scattered(&mut rng, truth)));
         let first = estimate.value() / truth;
-        (0..250).for_each(|_| estimate.note(scattered(&mut rng, 2.0 * truth)));
+        (0..250).for_each(|_| estimate.record(scattered(&mut rng, 2.0 * truth)));
         let second = estimate.value() / (2.0 * truth);
         (0.75..1.3).contains(&first) && (0.75..1.3).contains(&second)
     }
@@ -54,8 +55,8 @@
 #[test]
 fn an_estimate_stays_in_bounds_whatever_comes() {
     fn property(samples: Vec<f64>) -> bool {
-        let mut estimate = Estimate::new(10.0);
-        samples.into_iter().for_each(|sample| estimate.note(sample));
+        let mut estimate = QuantileEstimate::new(10.0);
+        samples.into_iter().for_each(|sample| estimate.record(sample));
         estimate.value().is_finite() && (0.5..=200.0).contains(&estimate.value())
     }
     check(property as fn(Vec<f64>) -> bool);
@@ -65,18 +66,18 @@
 fn no_single_answer_moves_a_known_time_by_more_than_a_few_percent() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut engine = engine_seen(1.0, 300, &mut rng);
-    let before = engine.read_ms_per_token(2);
-    engine.note_beginning(2, 4_000.0, 1e9);
-    assert!((engine.read_ms_per_token(2) / before - 1.0).abs() < 0.05);
+    let before = engine.prefill_ms_per_token(2);
+    engine.record_first_byte(2, 4_000.0, 1e9);
+    assert!((engine.prefill_ms_per_token(2) / before - 1.0).abs() < 0.05);
 }
 
 #[test]
 fn what_is_learned_of_one_model_tells_nothing_of_another() {
-    let mut engine = Engine::new(3);
+    let mut engine = EngineEstimates::new(3);
     assert_eq!(engine.token_ms(2), engine.token_ms(1), "nothing is known yet");
-    (0..200).for_each(|_| engine.note_token_ms(2, 30.0));
+    (0..200).for_each(|_| engine.record_token_ms(2, 30.0));
     assert!((engine.token_ms(2) / 30.0 - 1.0).abs() < 0.05, "a step either way");
-    assert_eq!(engine.token_ms(1), Engine::new(3).token_ms(1));
+    assert_eq!(engine.token_ms(1), EngineEstimates::new(3).token_ms(1));
 }
 
 #[test]
@@ -85,8 +86,8 @@
     for factor in [0.25, 1.0, 4.0] {
         for answers in [150, 300] {
             let engine = engine_seen(factor, answers, &mut rng);
-            let reads = engine.read_ms_per_token(2) / (factor * 0.053);
-            let begins = engine.begins_ms() / (factor * 25.0);
+            let reads = engine.prefill_ms_per_token(2) / (factor * 0.053);
+            let begins = engine.base_ms() / (factor * 25.0);
             let tokens = engine.token_ms(1) / (factor * 12.0);
             for ratio in [reads, begins, tokens] {
                 assert!((0.7..1.4).contains(&ratio), "{factor} {reads} {begins} {tokens}");
@@ -98,37 +99,40 @@
 #[test]
 fn engines_with_one_two_or_four_models_start_from_sound_times() {
     let reads = |models: u8| -> Vec<f64> {
-        let engine = Engine::new(models);
-        (0..models).map(|model| engine.read_ms_per_token(model)).collect()
+        let engine = EngineEstimates::new(models);
+        (0..models).map(|model| engine.prefill_ms_per_token(model)).collect()
     };
     for models in [1, 2, 4] {
         let reads = reads(models);
         assert!(reads.windows(2).all(|pair| pair[0] < pair[1]), "{reads:?}");
         assert!(reads.iter().all(|read| (0.005..0.06).contains(read)), "{reads:?}");
     }
-    assert!(Engine::new(0).read_ms_per_token(0) > 0.0, "a plain service divides by nothing");
+    assert!(
+        EngineEstimates::new(0).prefill_ms_per_token(0) > 0.0,
+        "a plain service divides by nothing"
+    );
 }
 
 /// The model that a poor answer of the smallest one leads to, for a prompt of this many tokens and
 /// an objective of 2 s, on servers of this engine.
-fn model_after_a_poor_answer(engine: &Engine, tokens: u32) -> Option<u8> {
+fn model_after_a_poor_answer(engine: &EngineEstimates, tokens: u32) -> Option<u8> {
     let parts = [PromptPart { id: 1, tokens: 10 }, PromptPart { id: 2, tokens }];
     let fleet: Fleet = fleet(4);
-    let terms: Vec<Terms> = (0..3u8)
+    let terms: Vec<ModelCost> = (0..3u8)
         .map(|model| {
-            let ask = Ask {
+            let ask = PlacementRequest {
                 parts: &parts,
                 model,
-                read_ms_per_token: engine.read_ms_per_token(model),
-                base_ms: engine.begins_ms(),
-                avoid: &[],
+                prefill_ms_per_token: engine.prefill_ms_per_token(model),
+                base_ms: engine.base_ms(),
+                excluded_servers: &[],
                 versions: VersionRule::Any,
-                homes: Homes::Anywhere,
+                data_centres: DataCentreRule::Any,
             };
             let forecast = fleet.forecast(&ask, Duration::ZERO).expect("a server");
-            let begins = forecast.begins_ms / 2_000.0;
+            let begins = forecast.first_byte_ms / 2_000.0;
             let price = [0.02, 0.14, 0.27][usize::from(model)];
-            Terms { model, price, load: 0.5, begins, ends: 0.3 }
+            ModelCost { model, price, server_time: 0.5, first_byte_ratio: begins, end_ratio: 0.3 }
         })
         .collect();
     Cascade::default().next_model(&[(0, 45)], &terms)
--- a/crates/decide/tests/fleet_delays.rs
+++ b/crates/decide/tests/fleet_delays.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ask, fleet, ms, server};
-use pondwalk_decide::direct::{Ask, Fleet, PromptPart, Ticket, Weighed};
+use pondwalk_decide::direct::{Fleet, PlacementRequest, PromptPart, ScoringTerms, Ticket};
 use quickcheck::{Gen, QuickCheck};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -15,8 +15,8 @@
 
 /// An answer that began after this time, and ended at once.
 fn answer(fleet: &mut Fleet, ticket: &mut Ticket, took_ms: f64, at: Duration) {
-    fleet.began(ticket, took_ms, at);
-    fleet.ended(ticket);
+    fleet.on_answer_started(ticket, took_ms, at);
+    fleet.on_finished(ticket);
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let mut fleet = fleet(4);
     let others: Vec<String> = (0..4).map(|n| format!("s{n}")).filter(|id| *id != named).collect();
     for n in 0..20 {
-        let short = Ask { avoid: &others, ..ask(&[]) };
+        let short = PlacementRequest { excluded_servers: &others, ..ask(&[]) };
         let mut ticket = fleet.place(&short, ms(n), &mut rng).expect("a place");
         answer(&mut fleet, &mut ticket, 150.0, ms(n));
     }
@@ -40,13 +40,13 @@
     let mut fleet = fleet(2);
     let other = ["s1".to_owned()];
     for n in 0..20 {
-        let only = Ask { avoid: &other, ..ask(&[]) };
+        let only = PlacementRequest { excluded_servers: &other, ..ask(&[]) };
         let mut ticket = fleet.place(&only, ms(n), &mut rng).expect("a place");
         answer(&mut fleet, &mut ticket, 2_000.0, ms(n));
     }
     let mut placed = |at| {
         let ticket = fleet.place(&ask(&[]), at, &mut rng).expect("a place");
-        fleet.ended(&ticket);
+        fleet.on_finished(&ticket);
         ticket.server
     };
     assert!((0..20).all(|n| placed(ms(30 + n)) == "s1"));
@@ -56,9 +56,9 @@
 #[test]
 fn a_delay_counts_for_nothing_where_it_is_not_weighed() {
     let mut rng = Pcg64Mcg::seed_from_u64(4);
-    let weighed = Weighed { delays: false, ..Weighed::default() };
-    let mut fleet = Fleet::weighing("dc1", weighed);
-    fleet.put(server("s0", "v1"));
+    let weighed = ScoringTerms { delays: false, ..ScoringTerms::default() };
+    let mut fleet = Fleet::with_scoring("dc1", weighed);
+    fleet.apply_server(server("s0", "v1"));
     let before = fleet.forecast(&ask(&[]), ms(0));
     let mut ticket = fleet.place(&ask(&[]), ms(0), &mut rng).expect("a place");
     answer(&mut fleet, &mut ticket, 2_000.0, ms(0));
@@ -78,7 +78,7 @@
         }
         let forecast = fleet.forecast(&ask(&[]), ms(0));
         forecast.is_some_and(|forecast| {
-            (20.0..=20.0 + longest.min(10_000.0) + 1e-6).contains(&forecast.begins_ms)
+            (20.0..=20.0 + longest.min(10_000.0) + 1e-6).contains(&forecast.first_byte_ms)
         })
     }
     let mut checker = QuickCheck::new().rng(Gen::from_size_and_seed(60, 17)).tests(300);
--- a/crates/decide/tests/fleet_loads.rs
+++ b/crates/decide/tests/fleet_loads.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ask, fleet, ms, server};
-use pondwalk_decide::direct::{Ask, Fleet, LoadError, ServerLoad, Weighed};
+use pondwalk_decide::direct::{Fleet, LoadError, PlacementRequest, ScoringTerms, ServerLoad};
 use quickcheck::{Gen, QuickCheck};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -11,11 +11,11 @@
 /// Server `s0` answers a request of this entry and tells its load meanwhile.
 fn tell(fleet: &mut Fleet, load: ServerLoad, rng: &mut Pcg64Mcg) {
     let others = ["s1".to_owned()];
-    let only = Ask { avoid: &others, ..ask(&[]) };
+    let only = PlacementRequest { excluded_servers: &others, ..ask(&[]) };
     let mut ticket = fleet.place(&only, ms(0), rng).expect("a place");
-    fleet.began(&mut ticket, 20.0, ms(0));
-    fleet.tells_load(&ticket, load, ms(0));
-    fleet.ended(&ticket);
+    fleet.on_answer_started(&mut ticket, 20.0, ms(0));
+    fleet.on_load_reported(&ticket, load, ms(0));
+    fleet.on_finished(&ticket);
 }
 
 #[test]
@@ -23,7 +23,7 @@
     let load = ServerLoad { running: 7, waiting: 2, slots: 64 };
     assert_eq!(ServerLoad::try_from("7,2,64"), Ok(load));
     assert_eq!(ServerLoad::try_from(" 7, 2 ,64"), Ok(load));
-    assert_eq!(ServerLoad::try_from("7,2"), Err(LoadError::NotThree));
+    assert_eq!(ServerLoad::try_from("7,2"), Err(LoadError::WrongFieldCount));
     for text in ["", "a,2,64", "7,-2,64", "7,2,64,1,9", "7,2,64,quick", "7,2,64,-1"] {
         assert!(ServerLoad::try_from(text).is_err(), "{text}");
     }
@@ -43,7 +43,7 @@
     tell(&mut fleet, ServerLoad { running: 10, waiting: 5, slots: 64 }, &mut rng);
     let mut placed = |at| {
         let ticket = fleet.place(&ask(&[]), at, &mut rng).expect("a place");
-        fleet.ended(&ticket);
+        fleet.on_finished(&ticket);
         ticket.server
     };
     assert!((0..20).all(|n| placed(ms(10 + n)) == "s1"));
@@ -53,9 +53,9 @@
 #[test]
 fn a_load_counts_for_nothing_where_it_is_not_weighed() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
-    let weighed = Weighed { told_loads: false, ..Weighed::default() };
-    let mut fleet = Fleet::weighing("dc1", weighed);
-    (0..2).for_each(|n| fleet.put(server(&format!("s{n}"), "v1")));
+    let weighed = ScoringTerms { told_loads: false, ..ScoringTerms::default() };
+    let mut fleet = Fleet::with_scoring("dc1", weighed);
+    (0..2).for_each(|n| fleet.apply_server(server(&format!("s{n}"), "v1")));
     let before = fleet.forecast(&ask(&[]), ms(0));
     tell(&mut fleet, ServerLoad { running: 10, waiting: 5, slots: 64 }, &mut rng);
     assert_eq!(fleet.forecast(&ask(&[]), ms(0)), before);
@@ -71,11 +71,14 @@
             .filter_map(|_| fleet.place(&ask(&[]), ms(0), &mut rng))
             .collect();
         // NB: answers that begin at once tell of no delay.
-        tickets.iter_mut().take(running.into()).for_each(|one| fleet.began(one, 0.0, ms(0)));
+        tickets
+            .iter_mut()
+            .take(running.into())
+            .for_each(|one| fleet.on_answer_started(one, 0.0, ms(0)));
         let before = fleet.forecast(&ask(&[]), ms(0));
         let load = ServerLoad { running: running.into(), waiting: waiting.into(), slots: 512 };
         if let Some(ticket) = tickets.first() {
-            fleet.tells_load(ticket, load, ms(0));
+            fleet.on_load_reported(ticket, load, ms(0));
         }
         fleet.forecast(&ask(&[]), ms(0)) == before
     }
--- a/crates/decide/tests/permits.rs
+++ b/crates/decide/tests/permits.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Granter, PermitBuckets, ServerLimit};
+use pondwalk_decide::direct::{GranterRole, PermitBuckets, RateLimit};
 use quickcheck::{Gen, QuickCheck};
 
 const WINDOW: Duration = Duration::from_secs(4);
 /// Longest time for which a permit may wait to be used.
 const USED_LATE: Duration = Duration::from_millis(250);
 
-fn limit(text: &str) -> ServerLimit {
-    ServerLimit::try_from(text).expect("a limit")
+fn limit(text: &str) -> RateLimit {
+    RateLimit::try_from(text).expect("a limit")
 }
 
 /// Requests that a server may get in four seconds.
-fn allowed(limit: ServerLimit) -> usize {
+fn allowed(limit: RateLimit) -> usize {
     (1.5 * limit.per_s() * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 /// When permits are granted to whoever asks each so often.
 fn granted(
     buckets: &mut PermitBuckets,
-    (limit, granter): (ServerLimit, Granter),
+    (limit, granter): (RateLimit, GranterRole),
     (from, to, gap): (Duration, Duration, Duration),
 ) -> Vec<Duration> {
     let mut granted = Vec::new();
@@ -57,7 +57,8 @@
     for text in ["0.05", "0.4", "1.7", "12", "64", "300"] {
         let limit = limit(text);
         let mut buckets = PermitBuckets::default();
-        let granted = granted(&mut buckets, (limit, Granter::First), (Duration::ZERO, MINUTE, GAP));
+        let granted =
+            granted(&mut buckets, (limit, GranterRole::Primary), (Duration::ZERO, MINUTE, GAP));
         assert!(most_used(&granted) <= allowed(limit), "{text}");
         let taken = limit.per_s() * MINUTE.as_secs_f64();
         let count = granted.len() as f64;
@@ -72,7 +73,7 @@
         // NB: both have saved up all they may.
         let rested = MINUTE * 2;
         let mut all = Vec::new();
-        for granter in [Granter::First, Granter::StandIn] {
+        for granter in [GranterRole::Primary, GranterRole::Backup] {
             let mut buckets = PermitBuckets::default();
             let _ = buckets.take("s1", limit, granter, Duration::ZERO);
             all.extend(granted(&mut buckets, (limit, granter), (rested, rested + MINUTE, GAP)));
@@ -92,7 +93,7 @@
             let mut buckets = PermitBuckets::default();
             let from = Duration::from_millis(1_500) * life;
             let span = (from, from + Duration::from_millis(1_500), GAP);
-            all.extend(granted(&mut buckets, (limit, Granter::First), span));
+            all.extend(granted(&mut buckets, (limit, GranterRole::Primary), span));
         }
         assert!(most_used(&all) <= allowed(limit), "{text}");
     }
@@ -101,10 +102,10 @@
 #[test]
 fn a_limit_that_is_lowered_takes_what_was_saved_up() {
     let mut buckets = PermitBuckets::default();
-    let _ = buckets.take("s1", limit("60"), Granter::First, Duration::ZERO);
+    let _ = buckets.take("s1", limit("60"), GranterRole::Primary, Duration::ZERO);
     let from = Duration::from_secs(10);
     let low = limit("0.4");
-    let granted = granted(&mut buckets, (low, Granter::First), (from, from + MINUTE, GAP));
+    let granted = granted(&mut buckets, (low, GranterRole::Primary), (from, from + MINUTE, GAP));
     assert!(most_used(&granted) <= allowed(low));
     assert!(granted.len() <= 27);
 }
@@ -113,7 +114,7 @@
 fn those_who_are_refused_come_back_one_after_the_other() {
     let mut buckets = PermitBuckets::default();
     let ask = |buckets: &mut PermitBuckets| {
-        buckets.take("s1", limit("2"), Granter::First, Duration::ZERO).expect_err("none yet")
+        buckets.take("s1", limit("2"), GranterRole::Primary, Duration::ZERO).expect_err("none yet")
     };
     let told: Vec<Duration> = (0..100).map(|_| ask(&mut buckets)).collect();
     assert_eq!(told[0], Duration::from_millis(500), "when there is one");
@@ -125,8 +126,11 @@
 #[test]
 fn a_server_that_takes_nothing_is_asked_now_and_then() {
     let mut buckets = PermitBuckets::default();
-    let granted =
-        granted(&mut buckets, (limit("0"), Granter::First), (Duration::ZERO, MINUTE * 5, GAP));
+    let granted = granted(
+        &mut buckets,
+        (limit("0"), GranterRole::Primary),
+        (Duration::ZERO, MINUTE * 5, GAP),
+    );
     assert!((10..=17).contains(&granted.len()), "{} in five minutes", granted.len());
 }
 
@@ -139,7 +143,7 @@
         let mut granted = Vec::new();
         for gap_ms in gaps_ms.iter().cycle().take(gaps_ms.len() * 20) {
             now += Duration::from_millis(u64::from(*gap_ms));
-            if buckets.take("s1", limit, Granter::First, now).is_ok() {
+            if buckets.take("s1", limit, GranterRole::Primary, now).is_ok() {
                 granted.push(now);
             }
         }
--- a/crates/decide/tests/pooled_evidence.rs
+++ b/crates/decide/tests/pooled_evidence.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Evidence, Pool, RollOut, Seen, Stage};
+use pondwalk_decide::direct::{Evidence, EvidencePool, Observation, RollOut, Stage};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -42,19 +42,19 @@
 /// Answers of the new version after which it is called bad, if it is.
 fn called_bad_after(trial: Trial, old: Version, new: Version, seed: u64) -> Option<u32> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut pool = Pool::default();
+    let mut pool = EvidencePool::default();
     let kinds = ["brief", "digest", "chat"];
     for number in 0..trial.answers {
         let now = ms(u64::from(number) * 1_000 / trial.new_per_s);
         // NB: the old version has most of the work, and is told of in sums.
         for kind in kinds {
             let (failed, slow) = old.answer(&mut rng, 1);
-            pool.learn(Seen::one(kind, None, failed, Some(slow)), now);
+            pool.apply(Observation::single(kind, None, failed, Some(slow)), now);
         }
         let server = rng.random_range(0..trial.servers);
         let (failed, slow) = new.answer(&mut rng, server);
         let kind = kinds[rng.random_range(0..kinds.len())];
-        pool.learn(Seen::one(kind, Some(&format!("s{server}")), failed, Some(slow)), now);
+        pool.apply(Observation::single(kind, Some(&format!("s{server}")), failed, Some(slow)), now);
         if number % 8 == 7 && pool.is_bad(now) {
             return Some(number + 1);
         }
@@ -115,15 +115,18 @@
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let late = Version { failing: 0.5, ..GOOD };
     for _ in 0..50 {
-        let mut pool = Pool::default();
+        let mut pool = EvidencePool::default();
         let mut called_at = None;
         for number in 0..1_500u64 {
             let now = ms(number * 14);
             let version = if number < 1_000 { GOOD } else { late };
             let server = rng.random_range(0..60);
             let (failed, slow) = version.answer(&mut rng, server);
-            pool.learn(Seen::one("brief", None, false, Some(false)), now);
-            pool.learn(Seen::one("brief", Some(&format!("s{server}")), failed, Some(slow)), now);
+            pool.apply(Observation::single("brief", None, false, Some(false)), now);
+            pool.apply(
+                Observation::single("brief", Some(&format!("s{server}")), failed, Some(slow)),
+                now,
+            );
             if number % 8 == 7 && pool.is_bad(now) {
                 called_at = called_at.or(Some(number));
             }
@@ -136,14 +139,14 @@
 #[test]
 fn a_version_that_fails_one_kind_of_request_only_is_called_bad_by_that_kind() {
     let mut rng = Pcg64Mcg::seed_from_u64(12);
-    let mut pool = Pool::default();
+    let mut pool = EvidencePool::default();
     for number in 0..300u64 {
         let now = ms(number * 14);
         let kind = if number % 8 == 0 { "chat" } else { "brief" };
         let failed = kind == "chat" && rng.random_bool(0.6);
         let server = format!("s{}", number % 30);
-        pool.learn(Seen::one(kind, Some(&server), failed, Some(false)), now);
-        pool.learn(Seen::one(kind, None, false, Some(false)), now);
+        pool.apply(Observation::single(kind, Some(&server), failed, Some(false)), now);
+        pool.apply(Observation::single(kind, None, false, Some(false)), now);
     }
     assert!(pool.is_bad(ms(4_200)));
 }
@@ -151,32 +154,32 @@
 #[test]
 fn what_many_entries_saw_a_little_of_trips_the_one_that_hears_it_all() {
     let mut root = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
-    root.learn_stage(Stage::Trial, ms(0));
+    root.apply_stage(Stage::Trial, ms(0));
     // NB: each of 40 entries sees one answer only, every other a failure.
     for n in 0..40u64 {
         let mut entry = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
-        entry.learn_stage(Stage::Trial, ms(0));
+        entry.apply_stage(Stage::Trial, ms(0));
         let server = format!("s{}", n % 9);
         let seen = Evidence { kind: "k", server: &server, failed: n % 2 == 0, slowness: 1.0 };
-        assert!(!entry.note("v2", &seen, ms(2_000)));
-        assert!(!entry.weigh(ms(2_000)));
-        let seen = entry.take_seen(ms(2_100), ms(250)).expect("it has seen something");
-        assert_eq!(entry.take_seen(ms(2_400), ms(250)), None, "nothing new");
-        root.learn_seen(seen, ms(50), ms(2_150));
+        assert!(!entry.record_answer("v2", &seen, ms(2_000)));
+        assert!(!entry.evaluate(ms(2_000)));
+        let seen = entry.take_due_observations(ms(2_100), ms(250)).expect("it has seen something");
+        assert_eq!(entry.take_due_observations(ms(2_400), ms(250)), None, "nothing new");
+        root.apply_observations(seen, ms(50), ms(2_150));
     }
     assert!(!root.is_tripped());
-    assert!(root.weigh(ms(2_200)) && root.has_found_bad() && root.is_off());
-    assert!(!root.weigh(ms(2_300)), "once is enough");
+    assert!(root.evaluate(ms(2_200)) && root.has_tripped_locally() && root.is_withdrawn());
+    assert!(!root.evaluate(ms(2_300)), "once is enough");
 }
 
 #[test]
 fn what_cannot_have_been_seen_is_left_out() {
     let mut one = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
-    one.learn_stage(Stage::Trial, ms(0));
+    one.apply_stage(Stage::Trial, ms(0));
     for server in ["a", "b", "c", "d", "e"] {
-        let mut seen = Seen::one("k", Some(server), true, None);
+        let mut seen = Observation::single("k", Some(server), true, None);
         seen.tally.failed = 1_000;
-        one.learn_seen(vec![seen], ms(0), ms(1_000));
+        one.apply_observations(vec![seen], ms(0), ms(1_000));
     }
-    assert!(!one.weigh(ms(1_000)));
+    assert!(!one.evaluate(ms(1_000)));
 }
--- a/crates/decide/tests/reporter.rs
+++ b/crates/decide/tests/reporter.rs
@@ -8,13 +8,13 @@
 };
 
 use pondwalk_decide::direct::{
-    CallEnd, DueWindows, FencingToken, Reporter, ReporterOrder, ReporterRecord, ReporterStep,
-    UsageCounts, WindowId, WriteEnd,
+    CallOutcome, DueWindows, FencingToken, Reporter, ReporterDelays, ReporterRecord, ReporterStep,
+    UsageCounts, WindowId, WriteOutcome,
 };
 
 const LEASE: Duration = Duration::from_secs(3);
-const NO_WAIT: ReporterOrder =
-    ReporterOrder { by_place: Duration::ZERO, to_holder: Duration::ZERO };
+const NO_WAIT: ReporterDelays =
+    ReporterDelays { by_order: Duration::ZERO, holder_grace: Duration::ZERO };
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(1_000_000 + ms)
@@ -29,7 +29,7 @@
 }
 
 fn next(reporter: &mut Reporter, window: WindowId, now: Duration) -> Option<ReporterStep> {
-    reporter.next(due(window), NO_WAIT, now, |_| counts(1))
+    reporter.next_step(due(window), NO_WAIT, now, |_| counts(1))
 }
 
 /// Lets an entry write what it wants to; returns the record and its revision.
@@ -42,7 +42,7 @@
     let Some(ReporterStep::Write(record, _)) = next(reporter, window, now) else {
         panic!("it does not write");
     };
-    reporter.written(record.clone(), now, WriteEnd::Done(revision), now);
+    reporter.on_write_outcome(record.clone(), now, WriteOutcome::Written(revision), now);
     (record, revision)
 }
 
@@ -55,13 +55,13 @@
         panic!("no call")
     };
     assert_eq!((called.clone(), until), (record, at(1_500)));
-    reporter.called(&called, CallEnd::Failed, at(20));
+    reporter.on_call_outcome(&called, CallOutcome::Failed, at(20));
     assert!(matches!(next(&mut reporter, 5, at(30)), Some(ReporterStep::Call(..))));
-    reporter.called(&called, CallEnd::Taken, at(40));
+    reporter.on_call_outcome(&called, CallOutcome::Accepted, at(40));
     // The next window goes under the same number.
     let (record, _) = write(&mut reporter, 5, 2, at(50));
     assert_eq!((record.fencing_token, record.window), (1, 5));
-    reporter.called(&record, CallEnd::Taken, at(60));
+    reporter.on_call_outcome(&record, CallOutcome::Accepted, at(60));
     assert_eq!(next(&mut reporter, 5, at(70)), None);
 }
 
@@ -80,9 +80,9 @@
     let mut first = Reporter::new("e1", 1, LEASE);
     let mut second = Reporter::new("e2", 2, LEASE);
     let (record, revision) = write(&mut first, 5, 1, at(0));
-    second.learn(Some((record.clone(), revision)), at(400));
+    second.apply_record(Some((record.clone(), revision)), at(400));
     assert_eq!(next(&mut second, 5, at(3_399)), None);
-    let step = second.next(due(5), NO_WAIT, at(3_400), |_| counts(99));
+    let step = second.next_step(due(5), NO_WAIT, at(3_400), |_| counts(99));
     let Some(ReporterStep::Write(taken, Some(1))) = step else { panic!("it does not take over") };
     assert_eq!((taken.fencing_token, taken.window), (2, record.window));
     assert_eq!(taken.counts, record.counts);
@@ -100,7 +100,7 @@
         counts: counts(1),
         left_out_to: 0,
     };
-    first.learn(Some((other, 2)), at(100));
+    first.apply_record(Some((other, 2)), at(100));
     assert_eq!(next(&mut first, 9, at(3_000)), None);
     let Some(ReporterStep::Write(record, Some(2))) = next(&mut first, 9, at(3_100)) else {
         panic!("it does not take over");
@@ -112,7 +112,7 @@
 fn a_refused_number_is_not_used_again() {
     let mut reporter = Reporter::new("e1", 1, LEASE);
     let (record, _) = write(&mut reporter, 5, 1, at(0));
-    reporter.called(&record, CallEnd::Refused, at(10));
+    reporter.on_call_outcome(&record, CallOutcome::Fenced, at(10));
     let Some(ReporterStep::Write(record, Some(1))) = next(&mut reporter, 5, at(20)) else {
         panic!("it calls again");
     };
@@ -125,15 +125,15 @@
     let Some(ReporterStep::Write(record, None)) = next(&mut reporter, 5, at(0)) else {
         panic!("no write")
     };
-    reporter.written(record.clone(), at(0), WriteEnd::Unknown, at(1_000));
+    reporter.on_write_outcome(record.clone(), at(0), WriteOutcome::Unknown, at(1_000));
     assert_eq!(next(&mut reporter, 5, at(1_100)), None);
-    reporter.learn(Some((record.clone(), 9)), at(1_200));
+    reporter.apply_record(Some((record.clone(), 9)), at(1_200));
     // NB: when the write that was done had been sent cannot be told, so it gives no leave to call.
     let Some(ReporterStep::Write(again, Some(9))) = next(&mut reporter, 5, at(1_210)) else {
         panic!("it does not ask for leave");
     };
     assert_eq!(again, record);
-    reporter.written(again, at(1_210), WriteEnd::Done(10), at(1_220));
+    reporter.on_write_outcome(again, at(1_210), WriteOutcome::Written(10), at(1_220));
     assert!(matches!(next(&mut reporter, 5, at(1_230)), Some(ReporterStep::Call(..))));
 }
 
@@ -146,10 +146,15 @@
         match next(&mut reporter, 5, at(now)) {
             Some(ReporterStep::Write(record, _)) => {
                 revision += 1;
-                reporter.written(record, at(now), WriteEnd::Done(revision), at(now));
+                reporter.on_write_outcome(
+                    record,
+                    at(now),
+                    WriteOutcome::Written(revision),
+                    at(now),
+                );
             }
             Some(ReporterStep::Call(record, _)) => {
-                reporter.called(&record, CallEnd::Failed, at(now))
+                reporter.on_call_outcome(&record, CallOutcome::Failed, at(now))
             }
             None => break,
         }
@@ -164,7 +169,7 @@
 fn windows_that_can_no_longer_be_in_time_are_left_out() {
     let mut reporter = Reporter::new("e1", 1, LEASE);
     let (record, _) = write(&mut reporter, 5, 1, at(0));
-    reporter.called(&record, CallEnd::Taken, at(10));
+    reporter.on_call_outcome(&record, CallOutcome::Accepted, at(10));
     let (record, _) = write(&mut reporter, 20, 2, at(60_000));
     assert_eq!(record.window, 19);
 }
@@ -296,7 +301,7 @@
         let mut next = self.clone();
         next.reporters[n].enter_era(self.era, self.now());
         if let Some((record, revision)) = &self.store {
-            next.reporters[n].learn(Some((record_of(record), *revision)), self.now());
+            next.reporters[n].apply_record(Some((record_of(record), *revision)), self.now());
         }
         (next != *self).then_some(next)
     }
@@ -329,7 +334,8 @@
         let mut asked = self.clone();
         // NB: entries have heard different counts, and an entry in its second life others again.
         let own = 10 * (n as u64 + 1) + self.lives[n];
-        let step = asked.reporters[n].next(self.windows(), NO_WAIT, self.now(), |_| counts(own));
+        let step =
+            asked.reporters[n].next_step(self.windows(), NO_WAIT, self.now(), |_| counts(own));
         match step {
             Some(ReporterStep::Write(record, expected)) => asked.after_write(n, &record, expected),
             Some(ReporterStep::Call(record, _)) => asked.after_call(n, &record),
@@ -343,20 +349,20 @@
         let revision = answered.carry_out_write(&row(record), expected);
         let end = match revision {
             // NB: the answer tells that the store is in another era.
-            _ if self.reporters[n].era() != self.era => WriteEnd::Unknown,
-            revision => revision.map_or(WriteEnd::NotDone, WriteEnd::Done),
+            _ if self.reporters[n].era() != self.era => WriteOutcome::Unknown,
+            revision => revision.map_or(WriteOutcome::NotWritten, WriteOutcome::Written),
         };
-        answered.reporters[n].written(record.clone(), now, end, now);
+        answered.reporters[n].on_write_outcome(record.clone(), now, end, now);
         let mut followers = vec![answered];
         if let Some(mut lost) = self.with_fault() {
             lost.carry_out_write(&row(record), expected);
-            lost.reporters[n].written(record.clone(), now, WriteEnd::Unknown, now);
+            lost.reporters[n].on_write_outcome(record.clone(), now, WriteOutcome::Unknown, now);
             followers.push(lost);
         }
         if let Some(mut late) = self.with_fault() {
             late.late.push(Late::Write { record: row(record), expected });
             late.late.sort();
-            late.reporters[n].written(record.clone(), now, WriteEnd::Unknown, now);
+            late.reporters[n].on_write_outcome(record.clone(), now, WriteOutcome::Unknown, now);
             followers.push(late);
         }
         followers
@@ -366,17 +372,17 @@
         let now = self.now();
         let mut answered = self.clone();
         let end = answered.carry_out_call(&row(record), true);
-        answered.reporters[n].called(record, end, now);
+        answered.reporters[n].on_call_outcome(record, end, now);
         let mut followers = vec![answered];
         if let Some(mut lost) = self.with_fault() {
             lost.carry_out_call(&row(record), true);
-            lost.reporters[n].called(record, CallEnd::Failed, now);
+            lost.reporters[n].on_call_outcome(record, CallOutcome::Failed, now);
             followers.push(lost);
         }
         if let Some(mut late) = self.with_fault() {
             late.late.push(Late::Call { record: row(record) });
             late.late.sort();
-            late.reporters[n].called(record, CallEnd::Failed, now);
+            late.reporters[n].on_call_outcome(record, CallOutcome::Failed, now);
             followers.push(late);
         }
         followers
@@ -400,13 +406,13 @@
     }
 
     /// The platform gets a call; what must hold of it is checked here.
-    fn carry_out_call(&mut self, record: &RecordOfModel, is_prompt: bool) -> CallEnd {
+    fn carry_out_call(&mut self, record: &RecordOfModel, is_prompt: bool) -> CallOutcome {
         let (holder, _, token, window, count, _) = record;
         let user = self.users.entry(*token).or_insert_with(|| holder.clone());
         assert_eq!(user, holder, "two holders use the number {token}");
         if *token < self.highest {
             assert!(!is_prompt, "{holder} calls under {token} after {} was seen", self.highest);
-            return CallEnd::Refused;
+            return CallOutcome::Fenced;
         }
         self.highest = *token;
         let words = *self.words.entry(*window).or_insert(*count);
@@ -414,7 +420,7 @@
         if is_prompt {
             self.note_act(holder);
         }
-        CallEnd::Taken
+        CallOutcome::Accepted
     }
 
     /// Holders must not act in the order A, B, A within the lease.
--- a/crates/decide/tests/shared_bounds.rs
+++ b/crates/decide/tests/shared_bounds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Sharers, WindowBudget, WindowLimits};
+use pondwalk_decide::direct::{BoundSharing, WindowBudget, WindowLimits};
 
 /// Sends beyond the share that all entries together may make in a window.
 const EXTRA: f64 = 104.0;
@@ -14,26 +14,26 @@
     format!("edge-hall-{n}")
 }
 
-fn sharers(own: usize, listed: std::ops::Range<usize>) -> Sharers {
+fn sharers(own: usize, listed: std::ops::Range<usize>) -> BoundSharing {
     let names: Vec<String> = listed.map(name).collect();
-    let mut sharers = Sharers::new(&name(own));
-    sharers.are(names.iter().map(String::as_str));
+    let mut sharers = BoundSharing::new(&name(own));
+    sharers.set_entries(names.iter().map(String::as_str));
     sharers
 }
 
 /// Sends beyond its share that one entry takes in a window in which everything fails.
-fn taken(sharers: &Sharers, requests: u32) -> f64 {
-    let (extra, rounding) = (EXTRA * sharers.part(), sharers.rounding());
+fn taken(sharers: &BoundSharing, requests: u32) -> f64 {
+    let (extra, rounding) = (EXTRA * sharers.fraction(), sharers.rounding());
     let limits = WindowLimits { ratio: 0.9, extra, window: WINDOW, rounding };
     let mut budget = WindowBudget::new(limits);
     let now = Duration::from_secs(100);
-    (0..requests).for_each(|_| budget.note_request(now));
+    (0..requests).for_each(|_| budget.record_request(now));
     let sends = std::iter::repeat_with(|| budget.try_take(now, 0.0)).take_while(|taken| *taken);
     sends.count() as f64
 }
 
 /// Sends of all entries beyond the ratio of their requests, each with its view of the others.
-fn beyond_the_ratio(size: usize, requests: u32, view: impl Fn(usize) -> Sharers) -> f64 {
+fn beyond_the_ratio(size: usize, requests: u32, view: impl Fn(usize) -> BoundSharing) -> f64 {
     let all: f64 = (0..size).map(|own| taken(&view(own), requests)).sum();
     all - 0.9 * f64::from(requests) * size as f64
 }
@@ -63,7 +63,7 @@
     for size in SIZES {
         let seen = beyond_the_ratio(2 * size, 0, |own| sharers(own, 0..size));
         assert!(seen <= EXTRA, "{size} entries listed of {}: {seen} beyond", 2 * size);
-        assert_eq!(taken(&Sharers::new("new"), 0), 0.0);
+        assert_eq!(taken(&BoundSharing::new("new"), 0), 0.0);
     }
 }
 
@@ -80,7 +80,7 @@
 
 #[test]
 fn an_entry_that_is_alone_for_good_has_it_whole() {
-    assert_eq!(Sharers::alone("e1").part(), 1.0);
+    assert_eq!(BoundSharing::sole("e1").fraction(), 1.0);
 }
 
 #[test]
--- a/crates/decide/tests/usage.rs
+++ b/crates/decide/tests/usage.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Teller, TrueTime, UsageCounts, UsageMeter, UsageTotals};
+use pondwalk_decide::direct::{
+    ClockEstimate, UsageCounts, UsageMeter, UsagePublisher, UsageTotals,
+};
 use quickcheck::{Gen, QuickCheck};
 use rand::{SeedableRng, seq::SliceRandom};
 use rand_pcg::Pcg64Mcg;
@@ -13,28 +15,28 @@
     UsageCounts::from([("w1".to_owned(), of_one), ("w2".to_owned(), 2 * of_one)])
 }
 
-fn teller(n: u64) -> Teller {
+fn teller(n: u64) -> UsagePublisher {
     (format!("e{n}"), n)
 }
 
 #[test]
 fn counts_are_told_whole_and_again_only_when_they_change() {
     let mut meter = UsageMeter::default();
-    meter.note(7, "w1");
-    meter.note(7, "w1");
-    meter.note(8, "w2");
-    let told = meter.take_untold();
+    meter.record_request(7, "w1");
+    meter.record_request(7, "w1");
+    meter.record_request(8, "w2");
+    let told = meter.drain_unpublished();
     assert_eq!(told[0], (7, UsageCounts::from([("w1".to_owned(), 2)])));
     assert_eq!(told[1], (8, UsageCounts::from([("w2".to_owned(), 1)])));
-    assert!(meter.take_untold().is_empty());
-    meter.note(7, "w2");
+    assert!(meter.drain_unpublished().is_empty());
+    meter.record_request(7, "w2");
     let whole = UsageCounts::from([("w1".to_owned(), 2), ("w2".to_owned(), 1)]);
-    assert_eq!(meter.take_untold(), vec![(7, whole)]);
-    meter.tell_again();
-    assert_eq!(meter.take_untold().len(), 2);
-    meter.forget_before(8);
-    meter.tell_again();
-    assert_eq!(meter.take_untold().len(), 1);
+    assert_eq!(meter.drain_unpublished(), vec![(7, whole)]);
+    meter.mark_all_unpublished();
+    assert_eq!(meter.drain_unpublished().len(), 2);
+    meter.remove_before(8);
+    meter.mark_all_unpublished();
+    assert_eq!(meter.drain_unpublished().len(), 1);
 }
 
 #[test]
@@ -54,7 +56,7 @@
         told.shuffle(&mut rng);
         let mut totals = UsageTotals::default();
         for (from, number, counts) in told {
-            totals.hear(from, number, 3, counts);
+            totals.apply_counts(from, number, 3, counts);
         }
         totals.total(3) == counts(tellers * messages)
     }
@@ -65,45 +67,45 @@
 #[test]
 fn an_entry_that_starts_anew_adds_to_what_its_life_before_told() {
     let mut totals = UsageTotals::default();
-    totals.hear(("e1".to_owned(), 1), 40, 3, counts(5));
-    totals.hear(("e1".to_owned(), 2), 0, 3, counts(2));
+    totals.apply_counts(("e1".to_owned(), 1), 40, 3, counts(5));
+    totals.apply_counts(("e1".to_owned(), 2), 0, 3, counts(2));
     assert_eq!(totals.total(3), counts(7));
 }
 
 #[test]
 fn absurd_counts_do_not_overflow() {
     let mut totals = UsageTotals::default();
-    totals.hear(teller(1), 0, 3, UsageCounts::from([("w1".to_owned(), u64::MAX)]));
-    totals.hear(teller(2), 0, 3, UsageCounts::from([("w1".to_owned(), 9)]));
+    totals.apply_counts(teller(1), 0, 3, UsageCounts::from([("w1".to_owned(), u64::MAX)]));
+    totals.apply_counts(teller(2), 0, 3, UsageCounts::from([("w1".to_owned(), 9)]));
     assert_eq!(totals.total(3)["w1"], u64::MAX);
     for window in 0..10_000 {
-        totals.hear(teller(1), 1, window, counts(1));
+        totals.apply_counts(teller(1), 1, window, counts(1));
     }
     assert!(totals.total(0).is_empty(), "old windows give way");
 }
 
 #[test]
 fn a_clock_that_jumps_and_comes_back_changes_nothing() {
-    let mut time = TrueTime::default();
+    let mut time = ClockEstimate::default();
     let at = Duration::from_secs;
     for second in 0..12 {
         let jump = if (5..8).contains(&second) { 9_000 } else { 0 };
-        time.note_reading(START_MS + second * 1_000 + jump, at(second));
+        time.record_reading(START_MS + second * 1_000 + jump, at(second));
     }
-    assert_eq!(time.own_unix_ms(at(20)), Some(START_MS + 20_000));
+    assert_eq!(time.local_unix_ms(at(20)), Some(START_MS + 20_000));
 }
 
 #[test]
 fn a_clock_that_was_wrong_at_the_start_is_set_right_by_the_others() {
-    let mut time = TrueTime::default();
+    let mut time = ClockEstimate::default();
     let now = Duration::from_secs(3_600);
-    time.note_reading(START_MS + 5_000, now);
+    time.record_reading(START_MS + 5_000, now);
     assert_eq!(time.unix_ms(now), Some(START_MS + 5_000));
     for n in 0..4 {
-        time.hear(&format!("e{n}"), START_MS, now);
+        time.apply_peer(&format!("e{n}"), START_MS, now);
     }
     assert_eq!(time.unix_ms(now), Some(START_MS));
-    time.hear("liar", u64::MAX, now);
-    time.hear("other liar", 0, now);
+    time.apply_peer("liar", u64::MAX, now);
+    time.apply_peer("other liar", 0, now);
     assert_eq!(time.unix_ms(now), Some(START_MS));
 }
--- a/crates/decide/tests/warm_up.rs
+++ b/crates/decide/tests/warm_up.rs
@@ -6,15 +6,16 @@
 
 use common::{ask, ms, server};
 use pondwalk_decide::direct::{
-    ColdBound, Coldness, Fleet, Pacing, ServerFacts, Sharers, Ticket, Unreached, WarmUp,
+    BoundSharing, ColdReason, ColdServerBound, ColdServerPacing, Fleet, ServerInfo, Ticket,
+    UnreachableReason, WarmUp,
 };
 use quickcheck::{Gen, QuickCheck};
 use rand::{Rng, SeedableRng, seq::SliceRandom};
 use rand_pcg::Pcg64Mcg;
 
 const WARM_UP: WarmUp = WarmUp { time: Duration::from_secs(3), requests_per_s: 14.0 };
-const BOUND: ColdBound =
-    ColdBound { overshoot: 1.5, tolerance: 5.0, told_after: Duration::from_millis(2_400) };
+const BOUND: ColdServerBound =
+    ColdServerBound { overshoot: 1.5, tolerance: 5.0, report_delay: Duration::from_millis(2_400) };
 /// What the bound allows in a second: 14 x 1.5 + 5.
 const MOST: usize = 26;
 
@@ -25,17 +26,17 @@
 /// A fleet as the entry `own` keeps it, which knows the entries `listed`.
 fn fleet_of(own: usize, listed: &[usize], servers: usize, cold_until: Duration) -> Fleet {
     let mut fleet = Fleet::new("dc1");
-    fleet.set_pacing(Pacing::of(Some(WARM_UP), Some(BOUND)));
-    let mut sharers = Sharers::new(&name(own));
+    fleet.set_pacing(ColdServerPacing::of(Some(WARM_UP), Some(BOUND)));
+    let mut sharers = BoundSharing::new(&name(own));
     let names: Vec<String> = listed.iter().map(|n| name(*n)).collect();
-    sharers.are(names.iter().map(String::as_str));
-    fleet.set_sharers(&sharers);
-    (0..servers).for_each(|n| fleet.put(cold(&format!("s{n}"), cold_until)));
+    sharers.set_entries(names.iter().map(String::as_str));
+    fleet.set_bound_sharing(&sharers);
+    (0..servers).for_each(|n| fleet.apply_server(cold(&format!("s{n}"), cold_until)));
     fleet
 }
 
-fn cold(id: &str, cold_until: Duration) -> ServerFacts {
-    ServerFacts { cold_until, ..server(id, "v1") }
+fn cold(id: &str, cold_until: Duration) -> ServerInfo {
+    ServerInfo { cold_until, ..server(id, "v1") }
 }
 
 /// Most sends to one server within any second.
@@ -61,7 +62,7 @@
         for fleet in fleets.iter_mut() {
             while let Some(ticket) = fleet.place(&ask(&[]), now, &mut rng) {
                 sends.push((ticket.server.clone(), now));
-                fleet.ended(&ticket);
+                fleet.on_finished(&ticket);
             }
         }
         now += ms(20);
@@ -146,9 +147,12 @@
     let tickets: Vec<Ticket> =
         (0..20).filter_map(|_| fleet.place(&ask(&[]), ms(10_000), &mut rng)).collect();
     assert_eq!(tickets.len(), 20, "a warm server takes all");
-    fleet.put(cold("s0", ms(13_000)));
+    fleet.apply_server(cold("s0", ms(13_000)));
     assert!(fleet.place(&ask(&[]), ms(10_500), &mut rng).is_none());
-    assert_eq!(fleet.opens_at(&ask(&[]), ms(10_500)).map(|opening| opening.at), Some(ms(11_050)));
+    assert_eq!(
+        fleet.next_availability(&ask(&[]), ms(10_500)).map(|opening| opening.at),
+        Some(ms(11_050))
+    );
     assert!(fleet.place(&ask(&[]), ms(11_050), &mut rng).is_some());
 }
 
@@ -158,8 +162,8 @@
     let mut fleet = fleet_of(0, &[0], 1, ms(0));
     let tickets: Vec<Ticket> =
         (0..20).filter_map(|_| fleet.place(&ask(&[]), ms(10_000), &mut rng)).collect();
-    fleet.put(cold("s0", ms(13_000)));
-    let left = tickets.iter().filter(|ticket| fleet.may_leave(ticket, ms(10_200))).count();
+    fleet.apply_server(cold("s0", ms(13_000)));
+    let left = tickets.iter().filter(|ticket| fleet.may_send(ticket, ms(10_200))).count();
     assert!(left <= MOST / 2, "{left} requests left for a server that had turned cold");
 }
 
@@ -176,7 +180,7 @@
         // NB: the process stood still for five seconds; new requests come first.
         let woken: Vec<Ticket> =
             std::iter::from_fn(|| fleet.place(&ask(&[]), ms(15_000), &mut rng)).collect();
-        let late = held.iter().filter(|ticket| fleet.may_leave(ticket, ms(15_001))).count();
+        let late = held.iter().filter(|ticket| fleet.may_send(ticket, ms(15_001))).count();
         left += woken.len() + late;
     }
     assert!(left <= MOST, "{left} requests left at once");
@@ -186,11 +190,11 @@
 fn a_server_turns_cold_for_the_second_time_by_its_word() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = fleet_of(0, &[1, 2], 1, ms(3_000));
-    assert_eq!(fleet.coldness("s0", ms(2_000)), Some(Coldness::Told));
+    assert_eq!(fleet.cold_reason("s0", ms(2_000)), Some(ColdReason::Reported));
     assert!(fleet.place(&ask(&[]), ms(3_000), &mut rng).is_some(), "it is warm");
-    fleet.put(cold("s0", ms(9_000)));
+    fleet.apply_server(cold("s0", ms(9_000)));
     assert!(fleet.place(&ask(&[]), ms(7_000), &mut rng).is_none(), "it is cold again");
-    fleet.put(cold("s0", ms(0)));
+    fleet.apply_server(cold("s0", ms(0)));
     assert!(fleet.place(&ask(&[]), ms(7_500), &mut rng).is_some(), "it tells that it is warm");
 }
 
@@ -199,71 +203,74 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = fleet_of(0, &[1, 2], 1, ms(0));
     let ticket = fleet.place(&ask(&[]), ms(5_000), &mut rng).expect("a place");
-    assert!(!fleet.unreached(&ticket, Unreached::Silent, ms(5_000)), "a packet may be lost");
-    assert_eq!(fleet.coldness("s0", ms(5_001)), None);
-    assert!(fleet.unreached(&ticket, Unreached::Refused, ms(5_000)));
-    assert_eq!(fleet.coldness("s0", ms(10_399)), Some(Coldness::Unreached));
-    assert_eq!(fleet.coldness("s0", ms(10_400)), None);
-    assert!(fleet.is_told_unreached("s0", ms(11_000), ms(11_300)));
-    assert_eq!(fleet.coldness("s0", ms(16_399)), Some(Coldness::Unreached));
+    assert!(
+        !fleet.on_unreachable(&ticket, UnreachableReason::TimedOut, ms(5_000)),
+        "a packet may be lost"
+    );
+    assert_eq!(fleet.cold_reason("s0", ms(5_001)), None);
+    assert!(fleet.on_unreachable(&ticket, UnreachableReason::Refused, ms(5_000)));
+    assert_eq!(fleet.cold_reason("s0", ms(10_399)), Some(ColdReason::Unreachable));
+    assert_eq!(fleet.cold_reason("s0", ms(10_400)), None);
+    assert!(fleet.apply_peer_unreachable("s0", ms(11_000), ms(11_300)));
+    assert_eq!(fleet.cold_reason("s0", ms(16_399)), Some(ColdReason::Unreachable));
 }
 
 #[test]
 fn an_evacuated_data_centre_gets_nothing_and_comes_back_cold() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = fleet_of(0, &[1, 2], 2, ms(0));
-    fleet.put(ServerFacts { data_centre: "dc2".to_owned(), ..cold("far", ms(0)) });
+    fleet.apply_server(ServerInfo { data_centre: "dc2".to_owned(), ..cold("far", ms(0)) });
     let placed = fleet.place(&ask(&[]), ms(5_000), &mut rng).expect("a place");
     fleet.evacuate("dc1");
-    assert!(!fleet.may_leave(&placed, ms(5_001)), "its connection stood too late");
+    assert!(!fleet.may_send(&placed, ms(5_001)), "its connection stood too late");
     for _ in 0..20 {
         let ticket = fleet.place(&ask(&[]), ms(5_010), &mut rng).expect("a place");
         assert_eq!(ticket.server, "far");
     }
-    fleet.put(cold("s7", ms(0)));
+    fleet.apply_server(cold("s7", ms(0)));
     let ticket = fleet.place(&ask(&[]), ms(5_020), &mut rng).expect("a place");
     assert_eq!(ticket.server, "far", "a server that starts there gets nothing either");
-    fleet.take_back("dc1", ms(8_000));
-    assert_eq!(fleet.coldness("s0", ms(10_999)), Some(Coldness::TakenBack));
-    assert_eq!(fleet.coldness("s0", ms(11_000)), None);
-    assert_eq!(fleet.coldness("far", ms(8_000)), None);
+    fleet.reinstate("dc1", ms(8_000));
+    assert_eq!(fleet.cold_reason("s0", ms(10_999)), Some(ColdReason::Reinstated));
+    assert_eq!(fleet.cold_reason("s0", ms(11_000)), None);
+    assert_eq!(fleet.cold_reason("far", ms(8_000)), None);
 }
 
 #[test]
 fn servers_of_services_that_bear_everything_at_once_are_never_cold() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = Fleet::new("dc1");
-    fleet.put(cold("s0", ms(60_000)));
+    fleet.apply_server(cold("s0", ms(60_000)));
     let tickets = (0..100).filter_map(|_| fleet.place(&ask(&[]), ms(1), &mut rng)).count();
     assert_eq!(tickets, 100);
     let none = WarmUp { time: Duration::ZERO, requests_per_s: 0.0 };
-    assert_eq!(Pacing::of(Some(none), None), None);
+    assert_eq!(ColdServerPacing::of(Some(none), None), None);
 }
 
 #[test]
 fn a_server_born_anew_under_its_identity_holds_and_knows_nothing_of_before() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let born = |ms| ServerFacts { born_ms: Some(ms), ..server("s0", "v1") };
+    let born = |ms| ServerInfo { born_ms: Some(ms), ..server("s0", "v1") };
     let mut fleet = Fleet::new("dc1");
-    fleet.put(born(1_000));
+    fleet.apply_server(born(1_000));
     let prompt = common::parts(&[2_000, 10]);
     let first = fleet.place(&ask(&prompt), ms(0), &mut rng).expect("a place");
-    let cached = fleet.forecast(&ask(&prompt), ms(1)).expect("a place").read_ms;
-    (0..4).for_each(|_| fleet.answered(&first, true, ms(2)));
-    fleet.is_replaced(&first);
+    let cached = fleet.forecast(&ask(&prompt), ms(1)).expect("a place").prefill_ms;
+    (0..4).for_each(|_| fleet.record_outcome(&first, true, ms(2)));
+    fleet.mark_replaced(&first);
     assert!(fleet.place(&ask(&prompt), ms(3), &mut rng).is_none(), "it is leaving");
-    fleet.put(born(2_000));
+    fleet.apply_server(born(2_000));
     let anew = fleet.forecast(&ask(&prompt), ms(4)).expect("it takes work again");
-    assert!(anew.read_ms > cached + 50.0, "nothing is held there: {} {cached}", anew.read_ms);
-    assert_eq!(fleet.under_way(pondwalk_decide::direct::VersionRule::Any), 0);
-    assert!(!fleet.may_leave(&first, ms(5)), "what was placed in its life before is placed anew");
+    assert!(anew.prefill_ms > cached + 50.0, "nothing is held there: {} {cached}", anew.prefill_ms);
+    assert_eq!(fleet.in_flight(pondwalk_decide::direct::VersionRule::Any), 0);
+    assert!(!fleet.may_send(&first, ms(5)), "what was placed in its life before is placed anew");
     let second = fleet.place(&ask(&prompt), ms(5), &mut rng).expect("a place");
-    assert!(fleet.may_leave(&second, ms(5)));
+    assert!(fleet.may_send(&second, ms(5)));
     // NB: what belongs to the life before changes nothing any more.
-    fleet.is_replaced(&first);
-    fleet.ended(&first);
-    assert_eq!(fleet.under_way(pondwalk_decide::direct::VersionRule::Any), 1);
-    fleet.ended(&second);
+    fleet.mark_replaced(&first);
+    fleet.on_finished(&first);
+    assert_eq!(fleet.in_flight(pondwalk_decide::direct::VersionRule::Any), 1);
+    fleet.on_finished(&second);
     assert!(fleet.place(&ask(&prompt), ms(6), &mut rng).is_some());
 }
 
@@ -271,13 +278,13 @@
 fn a_server_removed_and_listed_again_is_not_the_one_before() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = Fleet::new("dc1");
-    fleet.put(server("s0", "v1"));
+    fleet.apply_server(server("s0", "v1"));
     let first = fleet.place(&ask(&[]), ms(0), &mut rng).expect("a place");
     fleet.remove("s0");
-    assert!(!fleet.may_leave(&first, ms(1)), "its server has gone");
-    fleet.put(server("s0", "v1"));
+    assert!(!fleet.may_send(&first, ms(1)), "its server has gone");
+    fleet.apply_server(server("s0", "v1"));
     let second = fleet.place(&ask(&[]), ms(1), &mut rng).expect("a place");
-    fleet.ended(&first);
-    assert_eq!(fleet.under_way(pondwalk_decide::direct::VersionRule::Any), 1);
-    fleet.ended(&second);
+    fleet.on_finished(&first);
+    assert_eq!(fleet.in_flight(pondwalk_decide::direct::VersionRule::Any), 1);
+    fleet.on_finished(&second);
 }
--- a/crates/direct/src/conductor.rs
+++ b/crates/direct/src/conductor.rs
@@ -20,7 +20,7 @@
     time::Duration,
 };
 
-use pondwalk_decide::direct::{Move, RollOut, SessionKey, Stage};
+use pondwalk_decide::direct::{RollOut, RollOutStep, SessionKey, Stage};
 use pondwalk_store::{Change, Expect, Position, StoreError};
 use tokio::{sync::Notify, time::timeout};
 
@@ -127,13 +127,13 @@
     }
 
     /// How long this entry waits with a step that is due.
-    fn wait_with(&self, service: &ServiceId, step: Move) -> Duration {
+    fn wait_with(&self, service: &ServiceId, step: RollOutStep) -> Duration {
         let membership = &self.core.settings.membership;
         let is_known_to_all = match step {
             // NB: news goes nowhere near the store, and is gathered on its way.
-            Move::Keep => return Duration::ZERO,
-            Move::Begin | Move::Widen | Move::Complete => true,
-            Move::Revert => !self.has_found_bad(service),
+            RollOutStep::Keep => return Duration::ZERO,
+            RollOutStep::Begin | RollOutStep::Widen | RollOutStep::Complete => true,
+            RollOutStep::Revert => !self.has_found_bad(service),
         };
         if is_known_to_all && membership.ordered_steps {
             self.wait_in_order()
@@ -160,10 +160,10 @@
 
     fn has_found_bad(&self, service: &ServiceId) -> bool {
         let state = self.core.state.borrow();
-        state.roll_outs.get(service).is_some_and(RollOut::has_found_bad)
+        state.roll_outs.get(service).is_some_and(RollOut::has_tripped_locally)
     }
 
-    fn due(&self) -> Vec<(ServiceId, Move)> {
+    fn due(&self) -> Vec<(ServiceId, RollOutStep)> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         let due = state.roll_outs.iter();
@@ -171,24 +171,29 @@
             .collect()
     }
 
-    fn due_for(&self, service: &ServiceId) -> Option<Move> {
+    fn due_for(&self, service: &ServiceId) -> Option<RollOutStep> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         self.next_step(service, state.roll_outs.get(service)?, now)
     }
 
-    fn next_step(&self, service: &ServiceId, roll_out: &RollOut, now: Duration) -> Option<Move> {
-        self.lost_step(service, roll_out).or_else(|| roll_out.next_move(now))
+    fn next_step(
+        &self,
+        service: &ServiceId,
+        roll_out: &RollOut,
+        now: Duration,
+    ) -> Option<RollOutStep> {
+        self.lost_step(service, roll_out).or_else(|| roll_out.next_step(now))
     }
 
-    async fn make(&self, service: &ServiceId, step: Move) {
+    async fn make(&self, service: &ServiceId, step: RollOutStep) {
         let Some(target) = self.target_of(service) else { return };
         let stage = match step {
-            Move::Begin => Stage::Trial,
-            Move::Widen => Stage::Widening,
-            Move::Complete => Stage::Completed,
-            Move::Revert => Stage::Reverted,
-            Move::Keep => return self.tell_kept(service, target),
+            RollOutStep::Begin => Stage::Trial,
+            RollOutStep::Widen => Stage::Widening,
+            RollOutStep::Complete => Stage::Completed,
+            RollOutStep::Revert => Stage::Reverted,
+            RollOutStep::Keep => return self.tell_kept(service, target),
         };
         let outcome = outcome_at(stage);
         let progress = Progress { service: service.clone(), target: target.clone(), outcome };
@@ -202,7 +207,8 @@
         ];
         let written = self.commit(changes, StoreCause::StepWon).await;
         self.note_written(service, step, &written);
-        if step == Move::Revert && matches!(&written, Err(error) if *error != StoreError::Conflict)
+        if step == RollOutStep::Revert
+            && matches!(&written, Err(error) if *error != StoreError::Conflict)
         {
             self.tell_bad(service);
         }
@@ -216,7 +222,7 @@
             // left behind; until then the step counts as due.
             tokio::time::sleep(RETRY_PAUSE).await;
         } else if let Some(roll_out) = self.core.state.borrow_mut().roll_outs.get_mut(service) {
-            roll_out.learn_stage(stage, self.core.clock.now());
+            roll_out.apply_stage(stage, self.core.clock.now());
             self.lost_steps.borrow_mut().remove(service);
             let (service, stage) = (service.to_string(), stage.into());
             told = Some(News::Stage { service, target: progress.target, stage });
@@ -238,7 +244,7 @@
         let interval = self.telling_interval();
         let mut told = Vec::new();
         for (service, one) in &mut self.core.state.borrow_mut().roll_outs {
-            if let Some(seen) = one.take_seen(now, interval) {
+            if let Some(seen) = one.take_due_observations(now, interval) {
                 let (service, target) = (service.to_string(), one.target().clone());
                 told.push(News::Seen { service, target, seen });
             }
@@ -257,8 +263,9 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let trials = state.roll_outs.iter_mut();
-        let bad: Vec<ServiceId> =
-            trials.filter_map(|(service, one)| one.weigh(now).then(|| service.clone())).collect();
+        let bad: Vec<ServiceId> = trials
+            .filter_map(|(service, one)| one.evaluate(now).then(|| service.clone()))
+            .collect();
         drop(state);
         for service in bad {
             let event = RollOutEvent::FoundBadTogether { service: &service };
@@ -274,17 +281,22 @@
             let (service, sessions) = (service.to_string(), some.to_vec());
             self.core.tell_news(News::Kept { service, target: target.clone(), sessions });
         }
-        self.teach(service, &target, RollOut::note_kept_told);
+        self.teach(service, &target, RollOut::record_kept_published);
     }
 
     fn kept(&self, service: &ServiceId, target: &str) -> Vec<SessionKey> {
         let state = self.core.state.borrow();
         let Some(roll_out) = state.roll_outs.get(service) else { return Vec::new() };
-        let running = state.sessions.running_off(target, self.core.clock.now());
-        running.filter(|session| roll_out.would_try(*session)).collect()
+        let running = state.sessions.running_on_other_versions(target, self.core.clock.now());
+        running.filter(|session| roll_out.is_in_trial_share(*session)).collect()
     }
 
-    fn note_written(&self, service: &str, step: Move, written: &Result<Position, StoreError>) {
+    fn note_written(
+        &self,
+        service: &str,
+        step: RollOutStep,
+        written: &Result<Position, StoreError>,
+    ) {
         let step = format!("{step:?}").to_lowercase();
         let event = match written {
             Ok(Position { revision, .. }) => {
