--- a/crates/direct/src/conductor/learn.rs
+++ b/crates/direct/src/conductor/learn.rs
@@ -57,10 +57,10 @@
         let fleet = state.fleet(service);
         // NB: the servers of a version that was reverted stay for a while, and are no part of the
         // old version that the next one is compared with.
-        if let Some(before) = before.filter(RollOut::is_off) {
-            fleet.leave_out(before.target());
+        if let Some(before) = before.filter(RollOut::is_withdrawn) {
+            fleet.exclude_version(before.target());
         }
-        fleet.let_in(&order.target);
+        fleet.readmit_version(&order.target);
         drop(state);
         let within_ms = order.within.as_millis() as u64;
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
@@ -129,21 +129,21 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(service) else { return };
-        let before = roll_out.known_stage();
+        let before = roll_out.published_stage();
         if let Some(record) = self.stages.borrow().get(service)
             && record.target == *roll_out.target()
         {
-            roll_out.learn_stage(record.stage.into(), now);
+            roll_out.apply_stage(record.stage.into(), now);
         }
         let told = self.told.borrow();
         if let Some(progress) = told.get(service).filter(|told| told.target == *roll_out.target()) {
             match progress.outcome {
-                Outcome::InProgress => roll_out.learn_stage(Stage::Trial, now),
-                Outcome::Completed => roll_out.learn_stage(Stage::Completed, now),
-                Outcome::Reverted => roll_out.learn_stage(Stage::Reverted, now),
+                Outcome::InProgress => roll_out.apply_stage(Stage::Trial, now),
+                Outcome::Completed => roll_out.apply_stage(Stage::Completed, now),
+                Outcome::Reverted => roll_out.apply_stage(Stage::Reverted, now),
             }
         }
-        let after = roll_out.known_stage();
+        let after = roll_out.published_stage();
         if after == before {
             return;
         }
--- a/crates/direct/src/conductor/restored.rs
+++ b/crates/direct/src/conductor/restored.rs
@@ -3,7 +3,7 @@
 //! No entry forgets how far a roll-out has come. Where the store holds less than that, the operator was told
 //! less, and the step is due once more.
 
-use pondwalk_decide::direct::{Move, RollOut, Stage};
+use pondwalk_decide::direct::{RollOut, RollOutStep, Stage};
 
 use super::Conductor;
 use crate::{catalog::ServiceId, facts::Outcome};
@@ -25,10 +25,10 @@
     }
 
     /// The step of a roll-out that the store has lost, if it still lacks it.
-    pub(super) fn lost_step(&self, service: &ServiceId, roll_out: &RollOut) -> Option<Move> {
+    pub(super) fn lost_step(&self, service: &ServiceId, roll_out: &RollOut) -> Option<RollOutStep> {
         let is_lost = self.lost_steps.borrow().contains(service);
         if is_lost && self.lacks_step(service, roll_out) {
-            roll_out.known_stage().map(step_to)
+            roll_out.published_stage().map(step_to)
         } else {
             None
         }
@@ -36,7 +36,7 @@
 
     /// Whether the store holds an earlier stage of a roll-out than is known, or the operator was told so.
     fn lacks_step(&self, service: &ServiceId, roll_out: &RollOut) -> bool {
-        let Some(known) = roll_out.known_stage() else { return false };
+        let Some(known) = roll_out.published_stage() else { return false };
         let (stages, told) = (self.stages.borrow(), self.told.borrow());
         let stage = stages.get(service).filter(|record| record.target == *roll_out.target());
         let progress = told.get(service).filter(|told| told.target == *roll_out.target());
@@ -46,12 +46,12 @@
 }
 
 /// The step that leads to a stage.
-fn step_to(stage: Stage) -> Move {
+fn step_to(stage: Stage) -> RollOutStep {
     match stage {
-        Stage::Trial => Move::Begin,
-        Stage::Widening => Move::Widen,
-        Stage::Completed => Move::Complete,
-        Stage::Reverted => Move::Revert,
+        Stage::Trial => RollOutStep::Begin,
+        Stage::Widening => RollOutStep::Widen,
+        Stage::Completed => RollOutStep::Complete,
+        Stage::Reverted => RollOutStep::Revert,
     }
 }
 
--- a/crates/direct/src/conductor/turning_away.rs
+++ b/crates/direct/src/conductor/turning_away.rs
@@ -46,7 +46,7 @@
     fn find_turning_away(&self, now: Duration) -> TurningAway {
         let state = self.core.state.borrow();
         let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-            let versions = fleet.versions_turning_away(TURNS_AWAY_TIME, now).into_iter();
+            let versions = fleet.versions_refusing_all(TURNS_AWAY_TIME, now).into_iter();
             versions.map(|version| (service.clone(), version))
         });
         of_fleets.collect()
@@ -55,7 +55,7 @@
     fn leave_on_trial(&self, service: &ServiceId, version: &str) {
         let mut state = self.core.state.borrow_mut();
         let roll_out = state.roll_outs.get_mut(service).filter(|one| one.target() == version);
-        let is_left = roll_out.is_some_and(|roll_out| roll_out.turns_away());
+        let is_left = roll_out.is_some_and(|roll_out| roll_out.trip_on_refusals());
         drop(state);
         if is_left {
             self.tell_bad(service);
--- a/crates/direct/src/conductor/turns.rs
+++ b/crates/direct/src/conductor/turns.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use pondwalk_decide::direct::Move;
+use pondwalk_decide::direct::RollOutStep;
 
 use crate::catalog::ServiceId;
 
@@ -18,7 +18,7 @@
 /// The steps that are due, and since when.
 #[derive(Debug, Default)]
 pub struct Turns {
-    due: HashMap<ServiceId, (Move, Duration)>,
+    due: HashMap<ServiceId, (RollOutStep, Duration)>,
 }
 
 impl Turns {
@@ -26,9 +26,9 @@
     /// `wait` says, and the time until the next one will have been.
     pub fn ready(
         &mut self,
-        due: &[(ServiceId, Move)],
+        due: &[(ServiceId, RollOutStep)],
         now: Duration,
-        wait: impl Fn(&ServiceId, Move) -> Duration,
+        wait: impl Fn(&ServiceId, RollOutStep) -> Duration,
     ) -> (Vec<ServiceId>, Option<Duration>) {
         self.due.retain(|service, (step, _)| due.contains(&(service.clone(), *step)));
         let mut ready = Vec::new();
--- a/crates/direct/src/content.rs
+++ b/crates/direct/src/content.rs
@@ -11,7 +11,7 @@
 //! where something is known against any content at all.
 
 use hmac::{Hmac, Mac};
-use pondwalk_decide::direct::Content;
+use pondwalk_decide::direct::ContentHash;
 use sha2::Sha256;
 
 /// Bytes of the code that are kept.
@@ -31,7 +31,7 @@
 }
 
 /// The content of a request of these parts.
-pub fn content_of(parts: Parts<'_>) -> Content {
+pub fn content_of(parts: Parts<'_>) -> ContentHash {
     let (path, query) = parts.target.split_once('?').unwrap_or((parts.target, ""));
     let mut hash = Hmac::<Sha256>::new_from_slice(parts.caller.as_bytes())
         .unwrap_or_else(|_| unreachable!("a key of any length is taken"));
@@ -44,7 +44,7 @@
     let code = hash.finalize().into_bytes();
     let mut kept = [0; CONTENT_BYTES];
     kept.copy_from_slice(&code[..CONTENT_BYTES]);
-    Content::from_be_bytes(kept)
+    ContentHash::from_be_bytes(kept)
 }
 
 /// Adds a part behind its length, so that no two parts can be taken for one.
@@ -54,6 +54,6 @@
 }
 
 /// A content as logs write it.
-pub fn content_text(content: Content) -> String {
+pub fn content_text(content: ContentHash) -> String {
     format!("{content:032x}")
 }
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -196,7 +196,7 @@
         let state = self.state.borrow();
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
-        let limited = state.fleets.values().map(Fleet::count_limited);
+        let limited = state.fleets.values().map(Fleet::count_rate_limited);
         let (leaving, backing_off) =
             notices.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let mut gauges = vec![
@@ -206,8 +206,8 @@
             ("servers_cold", cold.sum::<usize>() as u64),
             ("data_centres_evacuated", state.evacuated.len() as u64),
             ("contents_remembered", state.quarantine.len() as u64),
-            ("contents_held", state.quarantine.count_held(self.clock.now()) as u64),
-            ("contents_given_way", state.quarantine.given_way()),
+            ("contents_held", state.quarantine.count_quarantined(self.clock.now()) as u64),
+            ("contents_given_way", state.quarantine.evicted()),
             ("entries_listed", self.roster.count() as u64),
             ("asks_store", u64::from(asks_store)),
             ("store_era", state.replica.position().era),
@@ -229,7 +229,7 @@
         let state = self.state.borrow();
         let Some(catalog) = &state.catalog else { return false };
         // NB: without keys there is nothing that an old configuration must not be trusted with.
-        let serves = !catalog.asks_for_keys() || state.freshness.honours_keys(self.clock.now());
+        let serves = !catalog.asks_for_keys() || state.freshness.accepts_keys(self.clock.now());
         self.stopping.get() == Stopping::No && serves
     }
 }
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -277,9 +277,9 @@
     /// The state was confirmed by the store at `at`; its answer was heard from it, or from others.
     fn confirm(&mut self, at: Duration, position: Position, heard_from: Heard) {
         let mut state = self.core.state.borrow_mut();
-        let before = state.freshness.confirmed();
+        let before = state.freshness.confirmed_at();
         state.freshness.confirm(at);
-        if state.freshness.confirmed() == before {
+        if state.freshness.confirmed_at() == before {
             return;
         }
         state.turn += 1;
--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/others.rs
@@ -122,7 +122,7 @@
     fn give_up_at(&self) -> Instant {
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
-        let too_old = state.freshness.confirmed().unwrap_or_default() + times.oldest_told;
+        let too_old = state.freshness.confirmed_at().unwrap_or_default() + times.oldest_told;
         // NB: where the store answers late every state is as old, and told anew at each interval.
         let hold = match state.store_takes > times.exchange {
             true => times.hold_while_old.max(times.confirm_interval + times.exchange),
--- a/crates/direct/src/follow/watching.rs
+++ b/crates/direct/src/follow/watching.rs
@@ -148,7 +148,7 @@
 
     /// Whether an answer to this question would still have told something.
     fn is_of_use(&self, asked: Asked) -> bool {
-        self.core.state.borrow().freshness.confirmed().is_none_or(|at| asked.sent >= at)
+        self.core.state.borrow().freshness.confirmed_at().is_none_or(|at| asked.sent >= at)
     }
 
     fn note_answer(&self, asked: Asked, bytes: usize) {
@@ -168,7 +168,7 @@
         let takes = self.core.state.borrow().store_takes;
         let wait = self.core.settings.store.watch_wait;
         let limit = SILENCE + takes + if self.is_alone() { wait } else { NO_WAIT };
-        let confirmed = self.core.state.borrow().freshness.confirmed().unwrap_or_default();
+        let confirmed = self.core.state.borrow().freshness.confirmed_at().unwrap_or_default();
         let from = oldest.max(confirmed);
         let is_silent = self.core.clock.now().saturating_sub(from) > limit;
         if is_silent && !self.watching.is_moving() && !self.lost {
--- a/crates/direct/src/foresight.rs
+++ b/crates/direct/src/foresight.rs
@@ -3,7 +3,9 @@
 
 use std::collections::HashMap;
 
-use pondwalk_decide::direct::{Ask, Engine, ModelNumber, Terms, VersionRule};
+use pondwalk_decide::direct::{
+    EngineEstimates, ModelCost, PlacementRequest, RouteModelIndex, VersionRule,
+};
 use pondwalk_types::ServerId;
 
 use crate::{catalog::ServiceId, core::Core, request::Job, state::State};
@@ -19,7 +21,7 @@
 
 /// What asking each of the route's models would cost a job that has used this part of its
 /// objective, servers in `avoid` left out; nothing if no server could take it.
-pub fn terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<Terms> {
+pub fn terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<ModelCost> {
     let prices = job.prices();
     let objective_ms = job.route.objective.as_secs_f64().max(0.001) * 1_000.0;
     let allowed_ms = (job.give_up - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
@@ -29,54 +31,65 @@
     let Some(fleet) = fleets.get(&job.service.name) else { return Vec::new() };
     let mut terms = Vec::with_capacity(prices.len());
     for (position, price) in prices.into_iter().enumerate() {
-        let number = position as ModelNumber;
+        let number = position as RouteModelIndex;
         let ask = ask_for(engine, job, number, avoid, VersionRule::Any);
         // NB: without a server for one model there is none for any.
         let Some(forecast) = fleet.forecast(&ask, core.clock.now()) else { return Vec::new() };
-        let begins = used + forecast.begins_ms / objective_ms;
+        let begins = used + forecast.first_byte_ms / objective_ms;
         let making_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(ask.model);
         let ends = (begins * objective_ms + making_ms) / allowed_ms;
-        let load = load_of(engine, job, forecast.read_ms, ask.read_ms_per_token);
-        terms.push(Terms { model: ask.model, price, load, begins, ends });
+        let load = load_of(engine, job, forecast.prefill_ms, ask.prefill_ms_per_token);
+        terms.push(ModelCost {
+            model: ask.model,
+            price,
+            server_time: load,
+            first_byte_ratio: begins,
+            end_ratio: ends,
+        });
     }
     terms
 }
 
 /// Servers' time that an answer takes, by its size, as a multiple of a typical one's of the route's
 /// largest model.
-fn load_of(engine: &Engine, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
+fn load_of(engine: &EngineEstimates, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
     let (tokens_in, tokens_out) =
         (f64::from(job.prompt.tokens_in), f64::from(job.prompt.tokens_out));
     let size = (tokens_in + SIZE_OF_TOKEN_OUT * tokens_out).max(1.0);
     let made_ms = MADE_AS_READ * tokens_out * read_ms_per_token;
-    let last = job.route.models.len().saturating_sub(1) as ModelNumber;
-    let largest = engine.read_ms_per_token(job.service_model(last));
+    let last = job.route.models.len().saturating_sub(1) as RouteModelIndex;
+    let largest = engine.prefill_ms_per_token(job.service_model(last));
     (read_ms + made_ms) / size / (TYPICAL_READ_PART * largest)
 }
 
 /// What a job asks of a server with the model at a position of its route's list.
 pub fn ask_for<'a>(
-    engine: &Engine,
+    engine: &EngineEstimates,
     job: &'a Job,
-    number: ModelNumber,
+    number: RouteModelIndex,
     avoid: &'a [ServerId],
     versions: VersionRule<'a>,
-) -> Ask<'a> {
+) -> PlacementRequest<'a> {
     let model = job.service_model(number);
-    Ask {
+    PlacementRequest {
         parts: &job.prompt.parts,
         model,
-        read_ms_per_token: engine.read_ms_per_token(model),
-        base_ms: engine.begins_ms(),
-        avoid,
+        prefill_ms_per_token: engine.prefill_ms_per_token(model),
+        base_ms: engine.base_ms(),
+        excluded_servers: avoid,
         versions,
-        homes: job.homes(),
+        data_centres: job.homes(),
     }
 }
 
 /// What is known of the engines of a job's service.
-pub fn engine_of<'a>(engines: &'a mut HashMap<ServiceId, Engine>, job: &Job) -> &'a mut Engine {
+pub fn engine_of<'a>(
+    engines: &'a mut HashMap<ServiceId, EngineEstimates>,
+    job: &Job,
+) -> &'a mut EngineEstimates {
     let models = job.service.engine.as_ref().map_or(0, |engine| engine.models.len());
     let service = job.service.name.clone();
-    engines.entry(service).or_insert_with(|| Engine::new(models.min(usize::from(u8::MAX)) as u8))
+    engines
+        .entry(service)
+        .or_insert_with(|| EngineEstimates::new(models.min(usize::from(u8::MAX)) as u8))
 }
--- a/crates/direct/src/http/intake.rs
+++ b/crates/direct/src/http/intake.rs
@@ -75,14 +75,14 @@
     if let Some(age) = state.freshness.age(arrived) {
         core.metrics.time(Timer::ConfigurationAge, age);
     }
-    let is_fresh = state.freshness.holds(arrived);
+    let is_fresh = state.freshness.is_current(arrived);
     let id = text(&parts.headers, &core.dialect.request_id).ok_or(Refusal::Malformed)?;
     let host = host_of(&parts.uri, &parts.headers).ok_or(Refusal::Malformed)?;
     // NB: what is refused for good must not rest on an old configuration.
     let absent = if is_fresh { Refusal::NoRoute } else { Refusal::Stale };
     let route = catalog.route(&host, parts.uri.path()).cloned().ok_or(absent)?;
     let needs_key = catalog.asks_for_keys() && !route.anonymous;
-    if needs_key && !state.freshness.honours_keys(arrived) {
+    if needs_key && !state.freshness.accepts_keys(arrived) {
         return Err(Refusal::Stale);
     }
     let key = key_of(core, &parts.headers);
--- a/crates/direct/src/http/notes.rs
+++ b/crates/direct/src/http/notes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::{Response, StatusCode, body::Incoming};
-use pondwalk_decide::direct::LimitWord;
+use pondwalk_decide::direct::ReportedRateLimit;
 
 use super::{report::RequestEvent, run::Run};
 use crate::{
@@ -57,16 +57,16 @@
     }
 
     /// Counts and logs that a server's rate limit has changed.
-    fn note_limit(&self, placement: &Placement, word: LimitWord, status: u16) {
+    fn note_limit(&self, placement: &Placement, word: ReportedRateLimit, status: u16) {
         self.core.metrics.count(Counter::LimitsChanged);
         let (request, server) = (self.job.id.as_str(), placement.server());
         let after_ms = self.after_ms();
         let event = match word {
-            LimitWord::Named(limit) => {
+            ReportedRateLimit::Limit(limit) => {
                 let per_s = limit.per_s();
                 RequestEvent::ServerNamedLimit { request, server, status, per_s, after_ms }
             }
-            LimitWord::Unnamed | LimitWord::Unsaid => {
+            ReportedRateLimit::NoLimit | ReportedRateLimit::NotReported => {
                 RequestEvent::ServerLiftedLimit { request, server, status, after_ms }
             }
         };
--- a/crates/direct/src/http/placing.rs
+++ b/crates/direct/src/http/placing.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Certainty, ModelNumber, Shut, longest_wait};
+use pondwalk_decide::direct::{Placeability, RouteModelIndex, UnavailableReason, max_cold_wait};
 use tokio::{
     task::spawn_local,
     time::{sleep_until, timeout},
@@ -35,21 +35,22 @@
     }
 
     /// How surely the request could be sent with a model now, and if it could not, why.
-    pub fn outlook(&self, model: ModelNumber) -> Result<Certainty, NoPlace> {
+    pub fn outlook(&self, model: RouteModelIndex) -> Result<Placeability, NoPlace> {
         Placement::outlook(&self.core, &self.job, NextSend { model, ..self.next_send() })
     }
 
     /// Whether it could be sent once more to a server other than this one, now or after a short wait.
-    pub fn could_go_on(&self, besides: &Placement) -> Result<Certainty, NoPlace> {
+    pub fn could_go_on(&self, besides: &Placement) -> Result<Placeability, NoPlace> {
         let mut avoid = self.avoid.clone();
         avoid.push(besides.server().clone());
         let failed = Some(besides.version.as_str());
         let next = NextSend { model: self.model, avoid: &avoid, failed };
         match Placement::outlook(&self.core, &self.job, next) {
             Err(NoPlace::Shut(opening))
-                if opening.shut != Shut::Limited && opening.at < self.wait_until() =>
+                if opening.reason != UnavailableReason::Limited
+                    && opening.at < self.wait_until() =>
             {
-                Ok(Certainty::Sure)
+                Ok(Placeability::Now)
             }
             outlook => outlook,
         }
@@ -57,8 +58,8 @@
 
     /// Takes the place of the next send already, where it hangs on a permit. Returns whether the send is sure of a
     /// place, so that an answer at hand may be dropped for it.
-    pub async fn secure(&mut self, certainty: Certainty) -> bool {
-        if certainty == Certainty::Sure {
+    pub async fn secure(&mut self, certainty: Placeability) -> bool {
+        if certainty == Placeability::Now {
             return true;
         }
         self.ask_for_permits(PERMITS_AT_FIRST).await;
@@ -92,7 +93,7 @@
 
     /// Until when a request waits for a server that is shut.
     fn wait_until(&self) -> Duration {
-        let longest = longest_wait(self.job.route.objective);
+        let longest = max_cold_wait(self.job.route.objective);
         (self.core.clock.now() + longest).min(self.job.give_up)
     }
 
@@ -113,7 +114,7 @@
                 Err(NoPlace::Shut(opening)) if opening.at < until => opening,
                 found => return found,
             };
-            if opening.shut == Shut::Limited && waiting.is_none() {
+            if opening.reason == UnavailableReason::Limited && waiting.is_none() {
                 waiting = self.wait_for_permit(until);
                 if waiting.is_none() {
                     return Err(NoPlace::Shut(opening));
@@ -123,7 +124,11 @@
                 self.core.metrics.count(Counter::HeldForRoom);
             }
             // NB: others may have taken the room by then, so the shortest pause is more than none.
-            let pause = if opening.shut == Shut::Limited { PERMIT_PAUSE } else { SHORTEST_PAUSE };
+            let pause = if opening.reason == UnavailableReason::Limited {
+                PERMIT_PAUSE
+            } else {
+                SHORTEST_PAUSE
+            };
             let at = opening.at.max(self.core.clock.now() + pause);
             sleep_until(self.core.clock.instant(at)).await;
         }
--- a/crates/direct/src/http/refuse.rs
+++ b/crates/direct/src/http/refuse.rs
@@ -6,7 +6,9 @@
     Response,
     header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER},
 };
-use pondwalk_decide::direct::{Opening, Shut, Standing, spread_of};
+use pondwalk_decide::direct::{
+    NextAvailability, QuarantineStatus, UnavailableReason, backoff_jitter,
+};
 use rand::Rng;
 use serde::Serialize;
 
@@ -107,19 +109,21 @@
         }
     }
 
-    fn shut(&self, Opening { at, shut }: Opening) -> Refusal {
+    fn shut(&self, NextAvailability { at, reason: shut }: NextAvailability) -> Refusal {
         let opens_in = at.saturating_sub(self.core.clock.now());
         match shut {
-            Shut::Cold => Refusal::AllCold { opens_in },
-            Shut::Backoff => Refusal::AllBackingOff { opens_in: self.spread(opens_in) },
-            Shut::Limited => Refusal::AllLimited { opens_in: self.spread(opens_in) },
+            UnavailableReason::Cold => Refusal::AllCold { opens_in },
+            UnavailableReason::Backoff => {
+                Refusal::AllBackingOff { opens_in: self.spread(opens_in) }
+            }
+            UnavailableReason::Limited => Refusal::AllLimited { opens_in: self.spread(opens_in) },
         }
     }
 
     /// When callers that hear of the same opening come back, one a little later than another.
     fn spread(&self, opens_in: Duration) -> Duration {
         let drawn = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
-        opens_in + spread_of(opens_in.max(LEAST_SPREAD_OVER), drawn)
+        opens_in + backoff_jitter(opens_in.max(LEAST_SPREAD_OVER), drawn)
     }
 
     pub(super) fn refuse(&self, refusal: Refusal) -> Response<AnswerBody> {
@@ -129,7 +133,7 @@
         } else {
             refusal
         };
-        let is_held = || self.core.standing(&self.job) != Standing::Free;
+        let is_held = || self.core.standing(&self.job) != QuarantineStatus::Unrestricted;
         let refusal = match refusal {
             Refusal::OutcomeUnknown if is_held() => Refusal::EndedServers,
             refusal => refusal,
--- a/crates/direct/src/http/run.rs
+++ b/crates/direct/src/http/run.rs
@@ -9,7 +9,8 @@
     header::{ACCEPT_ENCODING, CONTENT_ENCODING, HOST, HeaderName, HeaderValue},
 };
 use pondwalk_decide::direct::{
-    Grant, ModelNumber, RESUMED, ServerLoad, Standing, longest_wait, rank_of,
+    ProbeDecision, QuarantineStatus, RESUMED_RANK, RouteModelIndex, ServerLoad, max_cold_wait,
+    queue_rank,
 };
 use pondwalk_types::{ServerId, VersionId};
 use tokio::time::sleep;
@@ -61,9 +62,9 @@
     /// Servers that are not asked again.
     pub avoid: Vec<ServerId>,
     /// Model of the next send, among the route's.
-    pub model: ModelNumber,
+    pub model: RouteModelIndex,
     /// Models whose answers were dropped, with their confidences.
-    pub dropped: Vec<(ModelNumber, u8)>,
+    pub dropped: Vec<(RouteModelIndex, u8)>,
     /// Version whose server failed the request last.
     pub failed_version: Option<VersionId>,
     /// Whether any send may have run.
@@ -81,7 +82,7 @@
     /// A request that has just been read.
     pub fn new(core: &Rc<Core>, job: Job, under_way: UnderWay) -> Self {
         let now = core.clock.now();
-        core.state.borrow_mut().budget(&job.service.name).note_request(now);
+        core.state.borrow_mut().budget(&job.service.name).record_request(now);
         Run {
             core: Rc::clone(core),
             job: Rc::new(job),
@@ -136,10 +137,10 @@
             return Ok(());
         }
         let refused = match self.core.standing(&self.job) {
-            Standing::Free => return Ok(()),
-            Standing::Held { until } => return Err(until),
-            Standing::Probed => Grant::Probed,
-            Standing::OnProbe => match self.core.ask_for_probe(&self.job).await {
+            QuarantineStatus::Unrestricted => return Ok(()),
+            QuarantineStatus::Quarantined { until } => return Err(until),
+            QuarantineStatus::ProbeInProgress => ProbeDecision::InProgress,
+            QuarantineStatus::ProbeAllowed => match self.core.ask_for_probe(&self.job).await {
                 Ok(lease) => {
                     self.probe = Some(Rc::new(lease));
                     return Ok(());
@@ -148,8 +149,8 @@
             },
         };
         match refused {
-            Grant::Refused { until } => Err(until),
-            Grant::Probed | Grant::Given => self.wait_for_probe().await,
+            ProbeDecision::Refused { until } => Err(until),
+            ProbeDecision::InProgress | ProbeDecision::Granted => self.wait_for_probe().await,
         }
     }
 
@@ -157,13 +158,13 @@
     /// good end, all that carry the same go on.
     async fn wait_for_probe(&self) -> Result<(), Duration> {
         let asked = self.core.clock.now();
-        let until = (asked + longest_wait(self.job.route.objective)).min(self.job.give_up);
+        let until = (asked + max_cold_wait(self.job.route.objective)).min(self.job.give_up);
         while self.core.clock.now() < until {
             sleep(PROBE_LOOK).await;
             match self.core.standing(&self.job) {
-                Standing::Free => return Ok(()),
-                Standing::Held { until } => return Err(until),
-                Standing::Probed | Standing::OnProbe => {}
+                QuarantineStatus::Unrestricted => return Ok(()),
+                QuarantineStatus::Quarantined { until } => return Err(until),
+                QuarantineStatus::ProbeInProgress | QuarantineStatus::ProbeAllowed => {}
             }
         }
         Err(self.core.clock.now() + WHILE_PROBED)
@@ -171,7 +172,7 @@
 
     /// Whether what is known of its content lets it be sent now, without asking anybody.
     fn is_not_held(&self) -> bool {
-        self.probe.is_some() || self.core.standing(&self.job) == Standing::Free
+        self.probe.is_some() || self.core.standing(&self.job) == QuarantineStatus::Unrestricted
     }
 
     /// Sends the request to its place and waits for the head of the answer.
@@ -223,7 +224,7 @@
         let state = self.core.state.borrow();
         let holds =
             state.catalog.as_ref().is_some_and(|catalog| key_still_holds(&self.job, catalog));
-        holds && state.freshness.honours_keys(self.core.clock.now())
+        holds && state.freshness.accepts_keys(self.core.clock.now())
     }
 
     /// Takes one more send out of the request's own limit and the shared budget.
@@ -269,7 +270,7 @@
         if let Some(model) = &placement.model {
             put(headers, &dialect.model, model);
             let resumed = last_event_id.is_some();
-            let rank = if resumed { RESUMED } else { rank_of(placement.expected_ms()) };
+            let rank = if resumed { RESUMED_RANK } else { queue_rank(placement.expected_ms()) };
             if self.core.settings.policy.ranks {
                 put(headers, &dialect.priority, &rank.to_string());
             }
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -4,7 +4,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Request, Response, StatusCode, body::Incoming, http::response::Parts};
-use pondwalk_decide::direct::ModelNumber;
+use pondwalk_decide::direct::RouteModelIndex;
 use tokio::time::timeout_at;
 
 use super::{
@@ -263,7 +263,7 @@
     }
 
     /// Learns from an answer's confidence, and tells the model to ask next, if any.
-    fn next_model(&self, confidence: u8, placement: &Placement) -> Option<ModelNumber> {
+    fn next_model(&self, confidence: u8, placement: &Placement) -> Option<RouteModelIndex> {
         let job = &self.job;
         let objective_ms = job.route.objective.as_millis().max(1) as f64;
         let used = self.after_ms() as f64 / objective_ms;
@@ -277,7 +277,7 @@
             cascade.learn(named(*dropped), named(answer));
         }
         if policy.time_price {
-            cascade.note_strain(placement.queued_ms() / objective_ms);
+            cascade.record_strain(placement.queued_ms() / objective_ms);
         }
         let told: Vec<_> = self.dropped.iter().copied().chain([answer]).collect();
         cascade.next_model(&told, &terms)
--- a/crates/direct/src/leavers.rs
+++ b/crates/direct/src/leavers.rs
@@ -61,7 +61,7 @@
     let now = core.clock.now();
     let state = core.state.borrow();
     let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-        let leaving = fleet.told_leaving_at(now).into_iter();
+        let leaving = fleet.draining_addresses(now).into_iter();
         leaving.map(|(server, address)| Leaver { service: service.clone(), server, address })
     });
     let mut leavers: Vec<Leaver> = of_fleets.collect();
@@ -79,7 +79,8 @@
     let now = core.clock.now();
     let mut state = core.state.borrow_mut();
     let fleet = state.fleets.get_mut(&leaver.service);
-    let is_anew = fleet.is_some_and(|fleet| fleet.listens(&leaver.server, listens, now));
+    let is_anew =
+        fleet.is_some_and(|fleet| fleet.record_listen_check(&leaver.server, listens, now));
     drop(state);
     if is_anew {
         let event = LeaverEvent::LeaverStartedAnew { server: &leaver.server };
--- a/crates/direct/src/membership/news.rs
+++ b/crates/direct/src/membership/news.rs
@@ -10,7 +10,8 @@
 };
 
 use pondwalk_decide::direct::{
-    Content, LifeMark, Seen, ServerEnd, ServerLimit, SessionKey, Stage, UsageCounts, WindowId,
+    ContentHash, Observation, RateLimit, ServerCrash, ServerIncarnation, SessionKey, Stage,
+    UsageCounts, WindowId,
 };
 use pondwalk_types::ServerId;
 use serde::{Deserialize, Serialize};
@@ -47,7 +48,7 @@
         /// Version on trial.
         target: String,
         /// The answers.
-        seen: Vec<Seen>,
+        seen: Vec<Observation>,
     },
     /// It has written to the store that a roll-out has come so far.
     Stage {
@@ -79,19 +80,19 @@
         /// The server.
         server: ServerId,
         /// The life in which it said so.
-        life: LifeMark,
+        life: ServerIncarnation,
         /// The limit.
-        limit: Option<ServerLimit>,
+        limit: Option<RateLimit>,
     },
     /// Servers ended under requests of these contents; each with the time since, when this was told.
     Ended {
         /// The ends.
-        ends: Vec<(ServerEnd, Duration)>,
+        ends: Vec<(ServerCrash, Duration)>,
     },
     /// A request of this content came to a good end.
     Cleared {
         /// The content.
-        content: Content,
+        content: ContentHash,
     },
     /// Requests that it has seen begin to run in a window, all of them so far. This only goes up.
     Used {
--- a/crates/direct/src/membership/roster.rs
+++ b/crates/direct/src/membership/roster.rs
@@ -8,7 +8,7 @@
 };
 
 use pondwalk_config::DirectSettings;
-use pondwalk_decide::direct::{granting_order, session_key};
+use pondwalk_decide::direct::{granter_order, session_key};
 
 use super::{
     LEAST_INFORMED,
@@ -212,7 +212,7 @@
         if names.is_empty() {
             names.push(self.own.2.clone());
         }
-        granting_order(key, &mut names);
+        granter_order(key, &mut names);
         let address = |name: &String| self.listing_of(name).map(|listing| listing.address);
         let asked = |name: String| match name == self.own.2 {
             true => Some((name, None)),
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -191,7 +191,7 @@
 fn too_old_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
     let oldest_told = core.settings.membership.times.oldest_told + state.store_takes;
-    state.freshness.confirmed().map(|at| at + oldest_told)
+    state.freshness.confirmed_at().map(|at| at + oldest_told)
 }
 
 /// Whether the asker gains anything by an answer now.
@@ -237,7 +237,7 @@
         incarnation: core.incarnation,
         now: core.clock.now(),
         // NB: only an entry that was confirmed answers.
-        confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
+        confirmed: state.freshness.confirmed_at().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
         store_takes: state.store_takes,
         turn: state.turn,
--- a/crates/direct/src/membership/spread.rs
+++ b/crates/direct/src/membership/spread.rs
@@ -141,14 +141,14 @@
         let Some(roll_out) = roll_out.filter(|one| one.target() == target) else { return };
         let is_own = item.origin == self.settings.name && item.incarnation == self.incarnation;
         match &item.news {
-            News::Kept { sessions, .. } => roll_out.learn_kept(sessions.iter().copied()),
+            News::Kept { sessions, .. } => roll_out.add_kept_sessions(sessions.iter().copied()),
             // NB: what this entry has seen itself it weighs already.
             News::Seen { .. } if is_own => {}
             News::Seen { seen, .. } => {
-                roll_out.learn_seen(seen.clone(), item.age, self.clock.now());
+                roll_out.apply_observations(seen.clone(), item.age, self.clock.now());
             }
-            News::Stage { stage, .. } => roll_out.learn_stage((*stage).into(), self.clock.now()),
-            News::Bad { .. } => roll_out.learn_bad(),
+            News::Stage { stage, .. } => roll_out.apply_stage((*stage).into(), self.clock.now()),
+            News::Bad { .. } => roll_out.trip_from_peer(),
             News::Unreached { .. }
             | News::Limited { .. }
             | News::Ended { .. }
@@ -164,7 +164,7 @@
         let at = now.saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet);
-        let is_new = fleet.is_some_and(|fleet| fleet.is_told_unreached(server, at, now));
+        let is_new = fleet.is_some_and(|fleet| fleet.apply_peer_unreachable(server, at, now));
         drop(state);
         if is_new {
             let event = SpreadEvent::ServerDoubted { server, from: &item.origin };
--- a/crates/direct/src/notice.rs
+++ b/crates/direct/src/notice.rs
@@ -6,7 +6,7 @@
     HeaderMap, StatusCode,
     header::{HeaderName, RETRY_AFTER},
 };
-use pondwalk_decide::direct::{LimitWord, ServerLimit};
+use pondwalk_decide::direct::{RateLimit, ReportedRateLimit};
 use pondwalk_types::read_retry_after;
 
 use crate::dialect::Dialect;
@@ -19,7 +19,7 @@
     /// It wants no request for so long.
     pub backoff: Option<Duration>,
     /// What it says of its rate limit.
-    pub limit: LimitWord,
+    pub limit: ReportedRateLimit,
 }
 
 impl Notice {
@@ -48,12 +48,16 @@
 }
 
 /// What a head says of its server's rate limit; `is_whole_word` tells whether a head without a limit lifts it.
-fn limit_word(dialect: &Dialect, headers: &HeaderMap, is_whole_word: bool) -> LimitWord {
+fn limit_word(dialect: &Dialect, headers: &HeaderMap, is_whole_word: bool) -> ReportedRateLimit {
     if !headers.contains_key(&dialect.limit) {
-        return if is_whole_word { LimitWord::Unnamed } else { LimitWord::Unsaid };
+        return if is_whole_word {
+            ReportedRateLimit::NoLimit
+        } else {
+            ReportedRateLimit::NotReported
+        };
     }
-    let limit = text(headers, &dialect.limit).map(ServerLimit::try_from);
-    limit.and_then(Result::ok).map_or(LimitWord::Unsaid, LimitWord::Named)
+    let limit = text(headers, &dialect.limit).map(RateLimit::try_from);
+    limit.and_then(Result::ok).map_or(ReportedRateLimit::NotReported, ReportedRateLimit::Limit)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use pondwalk_decide::direct::{
-    Granter, LifeMark, PermitBuckets, ServerLimit, WantedPermit, server_hash,
+    GranterRole, PermitBuckets, PermitRequest, RateLimit, ServerIncarnation, server_hash,
 };
 use pondwalk_types::ServerId;
 use serde::{Deserialize, Serialize};
@@ -41,9 +41,9 @@
 struct PermitQuestion {
     service: String,
     server: ServerId,
-    life: LifeMark,
+    life: ServerIncarnation,
     /// The limit that the asker knows.
-    limit: ServerLimit,
+    limit: RateLimit,
     /// How long ago it was said.
     said_ago: Duration,
     /// Whether the asker stands in for the entry that is asked, which must then decide alone.
@@ -139,19 +139,19 @@
     /// One of them decided.
     Decided(PermitAnswer),
     /// It is this entry's turn.
-    OwnTurn(Granter),
+    OwnTurn(GranterRole),
     /// None of them answered.
     Unanswered(Option<AskError>),
 }
 
 impl Core {
     /// Asks for a permit, and notes in the fleet what came of it.
-    pub async fn ask_for_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
-        let said_ago = self.clock.now().saturating_sub(wanted.said_at);
+    pub async fn ask_for_permit(self: Rc<Self>, service: ServiceId, wanted: PermitRequest) {
+        let said_ago = self.clock.now().saturating_sub(wanted.reported_at);
         let question = PermitQuestion {
             service: service.to_string(),
             server: wanted.server,
-            life: wanted.life,
+            life: wanted.incarnation,
             limit: wanted.limit,
             said_ago,
             is_passed_on: false,
@@ -180,16 +180,16 @@
         match answer {
             PermitAnswer::Given => {
                 self.metrics.count(Counter::PermitsGiven);
-                fleet.take_permit(&question.server, Ok(()), now);
+                fleet.apply_permit_decision(&question.server, Ok(()), now);
             }
             PermitAnswer::Refused { opens_in } => {
                 self.metrics.count(Counter::PermitsRefused);
-                fleet.take_permit(&question.server, Err(now + opens_in), now);
+                fleet.apply_permit_decision(&question.server, Err(now + opens_in), now);
             }
             PermitAnswer::Lifted { ago } => {
                 let at = now.saturating_sub(ago);
-                fleet.is_told_limit(&question.server, &question.life, None, at);
-                fleet.take_permit(&question.server, Err(now), now);
+                fleet.apply_peer_rate_limit(&question.server, &question.life, None, at);
+                fleet.apply_permit_decision(&question.server, Err(now), now);
             }
         }
     }
@@ -269,22 +269,22 @@
     }
 
     /// In which place this entry grants permits for a server.
-    fn own_place(&self, server: &str) -> Granter {
+    fn own_place(&self, server: &str) -> GranterRole {
         let order = self.roster.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
-        place.map_or(Granter::StandIn, granter_at)
+        place.map_or(GranterRole::Backup, granter_at)
     }
 
     /// Grants a permit or refuses it, by the latest word on the server's limit.
-    fn grant_permit(&self, question: &PermitQuestion, granter: Granter) -> PermitAnswer {
+    fn grant_permit(&self, question: &PermitQuestion, granter: GranterRole) -> PermitAnswer {
         let now = self.clock.now();
         let said_at = now.saturating_sub(question.said_ago);
         let PermitQuestion { server, life, limit, .. } = question;
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(question.service.as_str());
         let known = fleet.and_then(|fleet| {
-            fleet.is_told_limit(server, life, Some(*limit), said_at);
-            fleet.limit_of(server, life)
+            fleet.apply_peer_rate_limit(server, life, Some(*limit), said_at);
+            fleet.rate_limit_of(server, life)
         });
         drop(state);
         let limit = match known {
@@ -305,16 +305,17 @@
         let at = self.clock.now().saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet.as_str());
-        let changes = fleet.is_some_and(|fleet| fleet.is_told_limit(server, life, *limit, at));
+        let changes =
+            fleet.is_some_and(|fleet| fleet.apply_peer_rate_limit(server, life, *limit, at));
         drop(state);
         if changes {
-            let (from, per_s) = (item.origin.as_str(), limit.map(ServerLimit::per_s));
+            let (from, per_s) = (item.origin.as_str(), limit.map(RateLimit::per_s));
             let event = PermitEvent::ServerLimitHeard { server, from, per_s };
             self.journal.note(Rank::State, &event);
         }
     }
 }
 
-fn granter_at(place: usize) -> Granter {
-    if place == 0 { Granter::First } else { Granter::StandIn }
+fn granter_at(place: usize) -> GranterRole {
+    if place == 0 { GranterRole::Primary } else { GranterRole::Backup }
 }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -7,7 +7,9 @@
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Evidence, LimitWord, ServerLoad, ServiceModel, Ticket, Unreached};
+use pondwalk_decide::direct::{
+    Evidence, ReportedRateLimit, ServerLoad, ServiceModelIndex, Ticket, UnreachableReason,
+};
 use pondwalk_types::{ModelId, ServerId, VersionId};
 use rand::Rng;
 
@@ -30,7 +32,7 @@
     job: Rc<Job>,
     ticket: Ticket,
     /// The model among those of its service.
-    number: ServiceModel,
+    number: ServiceModelIndex,
     sent: Duration,
     /// Time until its answer began, in milliseconds, once it has.
     took_ms: f64,
@@ -56,14 +58,14 @@
         let session = job.session.unwrap_or_else(|| state.rng.random());
         let found = find_by_rule(&mut state, job, next, Some(session), now, |fleet, ask, rng| {
             let ticket = fleet.place(ask, now, rng)?;
-            let facts = fleet.facts(&ticket.server)?;
+            let facts = fleet.server_info(&ticket.server)?;
             let (address, version) = (facts.address, facts.version.clone());
-            let has_alternative = fleet.has_other(ask, &ticket.server, now);
+            let has_alternative = fleet.has_alternative(ask, &ticket.server, now);
             Some((ticket, address, version, has_alternative))
         });
         let (ticket, address, version, has_alternative) = found?;
         if let Some(session) = job.session {
-            state.sessions.note(session, &version, now);
+            state.sessions.record(session, &version, now);
         }
         drop(state);
         let model = job.route.models.get(usize::from(next.model)).filter(|_| job.chooses_model);
@@ -125,16 +127,16 @@
         let now = self.core.clock.now();
         let took_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
         self.took_ms = took_ms;
-        let late_ms = (took_ms - self.ticket.due_ms()).max(0.0);
+        let late_ms = (took_ms - self.ticket.expected_with_queue_ms()).max(0.0);
         self.core.metrics.time(Timer::ServerQueue, Duration::from_secs_f64(late_ms / 1_000.0));
         let mut state = self.core.state.borrow_mut();
         let State { fleets, engines, .. } = &mut *state;
-        if self.core.settings.policy.learned_engines && self.ticket.ahead_ms <= 0.0 {
+        if self.core.settings.policy.learned_engines && self.ticket.queued_ms <= 0.0 {
             let engine = engine_of(engines, &self.job);
-            engine.note_beginning(self.number, self.ticket.read_tokens, took_ms);
+            engine.record_first_byte(self.number, self.ticket.prefill_tokens, took_ms);
         }
         if let Some(fleet) = fleets.get_mut(&self.job.service.name) {
-            fleet.began(&mut self.ticket, took_ms, now);
+            fleet.on_answer_started(&mut self.ticket, took_ms, now);
         }
     }
 
@@ -143,7 +145,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.tells_load(&self.ticket, load, now);
+            fleet.on_load_reported(&self.ticket, load, now);
         }
     }
 
@@ -157,7 +159,7 @@
         let making_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.took_ms;
         let mut state = self.core.state.borrow_mut();
         let engine = engine_of(&mut state.engines, &self.job);
-        engine.note_token_ms(self.number, making_ms / f64::from(tokens_out));
+        engine.record_token_ms(self.number, making_ms / f64::from(tokens_out));
     }
 
     /// The server answered, with a failure of its own or not; true if a roll-out is off by it.
@@ -165,7 +167,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.answered(&self.ticket, failed, now);
+            fleet.record_outcome(&self.ticket, failed, now);
         }
         drop(state);
         self.note_evidence(failed)
@@ -196,9 +198,10 @@
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(&self.job.service.name) else { return false };
         let kind = self.kind();
-        let slowness = self.elapsed().as_secs_f64() * 1_000.0 / self.ticket.due_ms();
+        let slowness =
+            self.elapsed().as_secs_f64() * 1_000.0 / self.ticket.expected_with_queue_ms();
         let evidence = Evidence { kind: &kind, server: &self.ticket.server, failed, slowness };
-        roll_out.note(&self.version, &evidence, now)
+        roll_out.record_answer(&self.version, &evidence, now)
     }
 
     /// The connection broke, or no answer came; this is evidence about the server alone.
@@ -206,7 +209,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.answered(&self.ticket, true, now);
+            fleet.record_outcome(&self.ticket, true, now);
         }
     }
 
@@ -215,17 +218,17 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
-        fleet.is_none_or(|fleet| fleet.may_leave(&self.ticket, now))
+        fleet.is_none_or(|fleet| fleet.may_send(&self.ticket, now))
     }
 
     /// The server could not be reached; other entries are told if it may be cold by that.
-    pub fn unreached(&self, why: Unreached) {
+    pub fn unreached(&self, why: UnreachableReason) {
         self.settle();
         let now = self.core.clock.now();
         let service = &self.job.service.name;
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(service);
-        let is_news = fleet.is_some_and(|fleet| fleet.unreached(&self.ticket, why, now));
+        let is_news = fleet.is_some_and(|fleet| fleet.on_unreachable(&self.ticket, why, now));
         drop(state);
         if is_news {
             self.core.metrics.count(Counter::ServersDoubted);
@@ -240,7 +243,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.refused(&self.ticket, now);
+            fleet.on_refused(&self.ticket, now);
         }
     }
 
@@ -249,16 +252,16 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
-        fleet.is_some_and(|fleet| fleet.told_leaving(&self.ticket, now))
+        fleet.is_some_and(|fleet| fleet.on_draining_reported(&self.ticket, now))
     }
 
     /// An answer of the server spoke of its rate limit. Returns whether that has changed.
-    pub fn told_limit(&self, word: LimitWord) -> bool {
+    pub fn told_limit(&self, word: ReportedRateLimit) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(&self.job.service.name) else { return false };
-        let changes = fleet.told_limit(&self.ticket, word, now);
-        let news = fleet.take_limit_news(&self.ticket, now);
+        let changes = fleet.on_rate_limit_reported(&self.ticket, word, now);
+        let news = fleet.take_due_rate_limit(&self.ticket, now);
         drop(state);
         if let Some((life, limit)) = news {
             let (fleet, server) = (self.job.service.name.to_string(), self.ticket.server.clone());
@@ -273,7 +276,8 @@
         let mut state = self.core.state.borrow_mut();
         let State { fleets, rng, .. } = &mut *state;
         let fleet = fleets.get_mut(&self.job.service.name)?;
-        let until = fleet.asked_backoff(&self.ticket, asked, rng.random_range(0.0..1.0), now)?;
+        let until =
+            fleet.on_backoff_requested(&self.ticket, asked, rng.random_range(0.0..1.0), now)?;
         Some(until.saturating_sub(now))
     }
 
@@ -282,7 +286,7 @@
         self.settle();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.is_replaced(&self.ticket);
+            fleet.mark_replaced(&self.ticket);
         }
     }
 }
@@ -292,10 +296,10 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(session) = self.job.session {
-            state.sessions.note(session, &self.version, now);
+            state.sessions.record(session, &self.version, now);
         }
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.ended(&self.ticket);
+            fleet.on_finished(&self.ticket);
         }
         drop(state);
         if !self.is_settled.get() {
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use pondwalk_decide::direct::{
-    Ask, Certainty, Fleet, ModelNumber, Opening, SessionKey, VersionRule, WantedPermit,
+    Fleet, NextAvailability, PermitRequest, Placeability, PlacementRequest, RouteModelIndex,
+    SessionKey, VersionRule,
 };
 use pondwalk_types::ServerId;
 use rand::{Rng, rngs::SmallRng};
@@ -24,14 +25,14 @@
     /// All that could take it leave.
     Leaving,
     /// Those that do are cold or name a rate limit and have taken what they may for now, or asked for a pause.
-    Shut(Opening),
+    Shut(NextAvailability),
 }
 
 /// What the next send of a request asks for.
 #[derive(Debug, Clone, Copy)]
 pub struct NextSend<'a> {
     /// Its model, among those of the route.
-    pub model: ModelNumber,
+    pub model: RouteModelIndex,
     /// Servers that are not asked again.
     pub avoid: &'a [ServerId],
     /// The version whose server failed the request before.
@@ -42,24 +43,26 @@
     /// How surely a request could be sent now, and if it could not, why.
     ///
     /// NB: it is asked before an answer that was made is dropped for another one.
-    pub fn outlook(core: &Core, job: &Job, next: NextSend<'_>) -> Result<Certainty, NoPlace> {
+    pub fn outlook(core: &Core, job: &Job, next: NextSend<'_>) -> Result<Placeability, NoPlace> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let certainty =
-            |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| fleet.certainty(ask, now);
+        let certainty = |fleet: &mut Fleet, ask: &PlacementRequest<'_>, _: &mut SmallRng| {
+            fleet.placeability(ask, now)
+        };
         find_by_rule(&mut state, job, next, job.session, now, certainty)
     }
 
     /// The permit that a request needs first where it would go to a server that names a rate limit.
-    pub fn wanted_permit(core: &Core, job: &Job, next: NextSend<'_>) -> Option<WantedPermit> {
+    pub fn wanted_permit(core: &Core, job: &Job, next: NextSend<'_>) -> Option<PermitRequest> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        if !state.fleets.get(&job.service.name)?.may_limit() {
+        if !state.fleets.get(&job.service.name)?.may_have_rate_limits() {
             return None;
         }
         let session = job.session.unwrap_or_else(|| state.rng.random());
-        let wanted =
-            |fleet: &mut Fleet, ask: &Ask<'_>, rng: &mut SmallRng| fleet.want_permit(ask, now, rng);
+        let wanted = |fleet: &mut Fleet, ask: &PlacementRequest<'_>, rng: &mut SmallRng| {
+            fleet.request_permit(ask, now, rng)
+        };
         find_by_rule(&mut state, job, next, Some(session), now, wanted).ok()
     }
 
@@ -67,7 +70,7 @@
     pub fn permits_before(core: &Core, job: &Job, next: NextSend<'_>, until: Duration) -> usize {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let permits = |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| {
+        let permits = |fleet: &mut Fleet, ask: &PlacementRequest<'_>, _: &mut SmallRng| {
             Some(fleet.permits_before(ask, until, now))
         };
         find_by_rule(&mut state, job, next, job.session, now, permits).unwrap_or_default()
@@ -81,14 +84,14 @@
     next: NextSend<'_>,
     session: Option<SessionKey>,
     now: Duration,
-    mut find: impl FnMut(&mut Fleet, &Ask<'_>, &mut SmallRng) -> Option<T>,
+    mut find: impl FnMut(&mut Fleet, &PlacementRequest<'_>, &mut SmallRng) -> Option<T>,
 ) -> Result<T, NoPlace> {
     let State { fleets, roll_outs, sessions, engines, rng, .. } = state;
     let fleet = fleets.get_mut(&job.service.name).ok_or(NoPlace::Closed)?;
     let pinned = job.session.and_then(|session| sessions.version(session, now));
     let roll_out = roll_outs.get(&job.service.name);
     let rule = match (roll_out, session) {
-        (Some(roll_out), Some(session)) => roll_out.rule(session, pinned, next.failed, now),
+        (Some(roll_out), Some(session)) => roll_out.version_rule(session, pinned, next.failed, now),
         _ => VersionRule::Any,
     };
     let ask = ask_for(engine_of(engines, job), job, next.model, next.avoid, rule);
@@ -102,10 +105,10 @@
 /// would be on two of them.
 fn by_rule<T>(
     fleet: &mut Fleet,
-    ask: &Ask<'_>,
+    ask: &PlacementRequest<'_>,
     target: Option<&str>,
     now: Duration,
-    mut find: impl FnMut(&mut Fleet, &Ask<'_>) -> Option<T>,
+    mut find: impl FnMut(&mut Fleet, &PlacementRequest<'_>) -> Option<T>,
 ) -> Result<T, NoPlace> {
     if let Some(found) = find(fleet, ask) {
         return Ok(found);
@@ -117,7 +120,7 @@
     if matches!(no_place, NoPlace::Shut(_)) {
         return Err(no_place);
     }
-    let other = Ask { versions: VersionRule::Except(target), ..*ask };
+    let other = PlacementRequest { versions: VersionRule::Except(target), ..*ask };
     find(fleet, &other).ok_or_else(|| match why_none(fleet, &other, now) {
         NoPlace::Closed => no_place,
         other => other,
@@ -125,10 +128,10 @@
 }
 
 /// Why no server may take a request now.
-fn why_none(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> NoPlace {
-    match fleet.opens_at(ask, now) {
+fn why_none(fleet: &Fleet, ask: &PlacementRequest<'_>, now: Duration) -> NoPlace {
+    match fleet.next_availability(ask, now) {
         Some(opening) => NoPlace::Shut(opening),
-        None if fleet.has_leaving(ask, now) => NoPlace::Leaving,
+        None if fleet.has_draining(ask, now) => NoPlace::Leaving,
         None => NoPlace::Closed,
     }
 }
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -12,7 +12,9 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Content, Grant, Probe, Quarantine, ServerEnd, Standing};
+use pondwalk_decide::direct::{
+    ContentHash, ProbeDecision, ProbeRequest, Quarantine, QuarantineStatus, ServerCrash,
+};
 
 pub use good::{HeldThoughGood, speak_for_good_contents};
 pub use lease::{GivenBack, ProbeLease, give_back_probes};
@@ -38,22 +40,22 @@
 const LEASE_SLACK: Duration = Duration::from_secs(1);
 
 /// One end with the time since it was seen.
-pub type AgedEnd = (ServerEnd, Duration);
+pub type AgedEnd = (ServerCrash, Duration);
 
 impl Core {
     /// Whether a request may run.
-    pub fn standing(&self, job: &Job) -> Standing {
+    pub fn standing(&self, job: &Job) -> QuarantineStatus {
         let state = self.state.borrow();
-        if state.quarantine.is_empty() || state.good_contents.holds(job.content()) {
-            return Standing::Free;
+        if state.quarantine.is_empty() || state.good_contents.is_exempt(job.content()) {
+            return QuarantineStatus::Unrestricted;
         }
-        state.quarantine.standing(job.content(), self.clock.now())
+        state.quarantine.status(job.content(), self.clock.now())
     }
 
     /// Ends of servers that count against a request.
     pub fn ends_under(&self, job: &Job) -> usize {
         let state = self.state.borrow();
-        if state.quarantine.is_empty() { 0 } else { state.quarantine.ends(job.content()) }
+        if state.quarantine.is_empty() { 0 } else { state.quarantine.crash_count(job.content()) }
     }
 
     /// Hears of ends that another entry saw.
@@ -62,9 +64,9 @@
         for (end, more) in ends {
             let at = now.saturating_sub(age + *more);
             let mut state = self.state.borrow_mut();
-            let is_new = state.quarantine.note_end(*end, at, now);
+            let is_new = state.quarantine.record_crash(*end, at, now);
             if is_new {
-                state.good_contents.note_end(end.content);
+                state.good_contents.record_crash(end.content);
             }
             drop(state);
             if is_new {
@@ -75,15 +77,16 @@
     }
 
     /// Hears of a good end at another entry.
-    pub fn hear_cleared(&self, content: Content, from: &str, age: Duration) {
+    pub fn hear_cleared(&self, content: ContentHash, from: &str, age: Duration) {
         let at = self.clock.now().saturating_sub(age);
-        let ends = self.state.borrow_mut().quarantine.note_whole(content, at);
+        let ends = self.state.borrow_mut().quarantine.record_success(content, at);
         self.note_cleared(content, ends, from);
     }
 
     /// What an entry that has heard nothing from this one is to know.
     pub fn summary_of_ends(&self) -> Option<News> {
-        let ends = self.state.borrow().quarantine.weightiest(MOST_IN_SUMMARY, self.clock.now());
+        let ends =
+            self.state.borrow().quarantine.most_relevant_crashes(MOST_IN_SUMMARY, self.clock.now());
         (!ends.is_empty()).then_some(News::Ended { ends })
     }
 
@@ -93,38 +96,41 @@
         if state.quarantine.is_empty() {
             Vec::new()
         } else {
-            state.quarantine.held(self.clock.now())
+            state.quarantine.quarantined_crashes(self.clock.now())
         }
     }
 
     /// Grants a probe that this entry or another asks for.
-    pub fn grant_probe(&self, content: Content, lease: Duration) -> Grant {
+    pub fn grant_probe(&self, content: ContentHash, lease: Duration) -> ProbeDecision {
         let now = self.clock.now();
         let order = self.roster.granting_order(content);
         let place = order.iter().position(|(name, _)| *name == self.settings.name);
         let settled_at = SETTLING.saturating_sub(self.clock.uptime());
         if order.len() > 1 && !settled_at.is_zero() {
-            return Grant::Refused { until: now + settled_at };
+            return ProbeDecision::Refused { until: now + settled_at };
         }
-        let probe = Probe { content, lease: lease + LEASE_SLACK, is_first: place == Some(0) };
-        self.state.borrow_mut().quarantine.grant(probe, now)
+        let probe =
+            ProbeRequest { content, lease: lease + LEASE_SLACK, is_primary: place == Some(0) };
+        self.state.borrow_mut().quarantine.request_probe(probe, now)
     }
 
     /// Forgets contents that nothing has been seen of for long.
     pub fn forget_old_ends(&self) {
         let now = self.clock.now();
-        self.state.borrow_mut().quarantine.forget_old(now);
+        self.state.borrow_mut().quarantine.remove_expired(now);
     }
 
     /// Logs that a content is held from now on.
-    fn note_if_held(&self, content: Content) {
+    fn note_if_held(&self, content: ContentHash) {
         let now = self.clock.now();
         let state = self.state.borrow();
-        if state.good_contents.holds(content) {
+        if state.good_contents.is_exempt(content) {
             return;
         }
-        let Standing::Held { until } = state.quarantine.standing(content, now) else { return };
-        let ends = state.quarantine.ends(content);
+        let QuarantineStatus::Quarantined { until } = state.quarantine.status(content, now) else {
+            return;
+        };
+        let ends = state.quarantine.crash_count(content);
         drop(state);
         self.metrics.count(Counter::ContentsHeld);
         let event = QuarantineEvent::ContentHeld {
@@ -136,8 +142,8 @@
     }
 
     /// Logs that a content is cleared of so many ends, if it was held by them.
-    fn note_cleared(&self, content: Content, ends: usize, from: &str) {
-        if !Quarantine::holds_from(ends) {
+    fn note_cleared(&self, content: ContentHash, ends: usize, from: &str) {
+        if !Quarantine::quarantines_after(ends) {
             return;
         }
         let event = QuarantineEvent::ContentCleared { content: &content_text(content), from };
--- a/crates/direct/src/quarantine/ask.rs
+++ b/crates/direct/src/quarantine/ask.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use bytes::Bytes;
-use pondwalk_decide::direct::{Content, Grant};
+use pondwalk_decide::direct::{ContentHash, ProbeDecision};
 use serde::{Deserialize, Serialize};
 
 use super::{AgedEnd, ProbeLease, QuarantineEvent};
@@ -28,14 +28,14 @@
     /// For leave to run a content once.
     Ask {
         /// The content.
-        content: Content,
+        content: ContentHash,
         /// Longest time that the run may take.
         lease: Duration,
         /// The ends that the asker knows of, which may not have come to the other yet.
         ends: Vec<AgedEnd>,
     },
     /// To take it back, since it was of no use.
-    GiveBack(Content),
+    GiveBack(ContentHash),
 }
 
 /// Tells whether it may.
@@ -57,7 +57,7 @@
 impl Core {
     /// Asks for leave to run a request once; whoever is asked keeps all others from it meanwhile. Given
     /// leave comes as a lease.
-    pub async fn ask_for_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, Grant> {
+    pub async fn ask_for_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, ProbeDecision> {
         let lease = job.give_up.saturating_sub(self.clock.now());
         let content = job.content();
         let mut error = None;
@@ -68,11 +68,11 @@
             };
             match self.ask_at(address, content, lease).await {
                 Ok(ProbeAnswer::Given) => {
-                    return self.take_grant(job, Grant::Given, Some(address), &name);
+                    return self.take_grant(job, ProbeDecision::Granted, Some(address), &name);
                 }
-                Ok(ProbeAnswer::Probed) => return Err(Grant::Probed),
+                Ok(ProbeAnswer::Probed) => return Err(ProbeDecision::InProgress),
                 Ok(ProbeAnswer::Refused { opens_in }) => {
-                    return Err(Grant::Refused { until: self.clock.now() + opens_in });
+                    return Err(ProbeDecision::Refused { until: self.clock.now() + opens_in });
                 }
                 Ok(ProbeAnswer::TakenBack) => error = Some(MessageError::Contradictory.into()),
                 Err(failed) => error = Some(failed),
@@ -85,16 +85,16 @@
             error,
         };
         self.journal.note(Rank::Failure, &event);
-        Err(Grant::Refused { until: self.clock.now() + UNANSWERED_PAUSE })
+        Err(ProbeDecision::Refused { until: self.clock.now() + UNANSWERED_PAUSE })
     }
 
     async fn ask_at(
         &self,
         address: SocketAddr,
-        content: Content,
+        content: ContentHash,
         lease: Duration,
     ) -> Result<ProbeAnswer, AskError> {
-        let ends = self.state.borrow().quarantine.ends_of(content, self.clock.now());
+        let ends = self.state.borrow().quarantine.crashes_of(content, self.clock.now());
         self.exchange(address, &ProbeQuestion::Ask { content, lease, ends }).await
     }
 
@@ -123,14 +123,14 @@
                 (content, lease)
             }
             ProbeQuestion::GiveBack(content) => {
-                self.state.borrow_mut().quarantine.give_back(content);
+                self.state.borrow_mut().quarantine.release_probe(content);
                 return to_message(store, &ProbeAnswer::TakenBack);
             }
         };
         let answer = match self.grant_probe(content, lease) {
-            Grant::Given => ProbeAnswer::Given,
-            Grant::Probed => ProbeAnswer::Probed,
-            Grant::Refused { until } => {
+            ProbeDecision::Granted => ProbeAnswer::Given,
+            ProbeDecision::InProgress => ProbeAnswer::Probed,
+            ProbeDecision::Refused { until } => {
                 ProbeAnswer::Refused { opens_in: until.saturating_sub(self.clock.now()) }
             }
         };
@@ -140,11 +140,11 @@
     fn take_grant(
         self: &Rc<Self>,
         job: &Job,
-        grant: Grant,
+        grant: ProbeDecision,
         granted_by: Option<SocketAddr>,
         by: &str,
-    ) -> Result<ProbeLease, Grant> {
-        if grant != Grant::Given {
+    ) -> Result<ProbeLease, ProbeDecision> {
+        if grant != ProbeDecision::Granted {
             return Err(grant);
         }
         self.metrics.count(Counter::Probes);
--- a/crates/direct/src/quarantine/good.rs
+++ b/crates/direct/src/quarantine/good.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Content, Standing};
+use pondwalk_decide::direct::{ContentHash, QuarantineStatus};
 use tokio::{sync::Notify, time::sleep};
 
 use crate::{core::Core, membership::News, request::Job};
@@ -18,7 +18,7 @@
 /// Contents that others hold and that came to a good end here.
 #[derive(Debug, Default)]
 pub struct HeldThoughGood {
-    contents: RefCell<Vec<Content>>,
+    contents: RefCell<Vec<ContentHash>>,
     filled: Notify,
 }
 
@@ -42,27 +42,28 @@
         let now = self.clock.now();
         let content = job.content();
         let mut state = self.state.borrow_mut();
-        state.good_contents.note_whole(content, now);
+        state.good_contents.record_success(content, now);
         drop(state);
         self.clear(content);
     }
 
     /// Has a content cleared that others hold and that came to a good end here.
-    pub(super) fn speak_for(&self, content: Content) {
+    pub(super) fn speak_for(&self, content: ContentHash) {
         if self.is_held_though_good(content) {
             self.held_though_good.contents.borrow_mut().push(content);
             self.held_though_good.filled.notify_one();
         }
     }
 
-    fn is_held_though_good(&self, content: Content) -> bool {
+    fn is_held_though_good(&self, content: ContentHash) -> bool {
         let state = self.state.borrow();
-        let is_held = state.quarantine.standing(content, self.clock.now()) != Standing::Free;
-        is_held && state.good_contents.holds(content)
+        let is_held =
+            state.quarantine.status(content, self.clock.now()) != QuarantineStatus::Unrestricted;
+        is_held && state.good_contents.is_exempt(content)
     }
 
-    fn clear(&self, content: Content) {
-        let ends = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
+    fn clear(&self, content: ContentHash) {
+        let ends = self.state.borrow_mut().quarantine.record_success(content, self.clock.now());
         if ends >= TOLD_FROM {
             self.note_cleared(content, ends, &self.settings.name);
             self.tell_news(News::Cleared { content });
--- a/crates/direct/src/quarantine/lease.rs
+++ b/crates/direct/src/quarantine/lease.rs
@@ -6,7 +6,7 @@
     rc::Rc,
 };
 
-use pondwalk_decide::direct::Content;
+use pondwalk_decide::direct::ContentHash;
 use tokio::sync::Notify;
 
 use super::ask::ProbeQuestion;
@@ -15,7 +15,7 @@
 /// Leave that was given and is to be given back.
 #[derive(Debug, Default)]
 pub struct GivenBack {
-    probes: RefCell<Vec<(Content, Option<SocketAddr>)>>,
+    probes: RefCell<Vec<(ContentHash, Option<SocketAddr>)>>,
     filled: Notify,
 }
 
@@ -25,7 +25,7 @@
 /// up all its probes.
 pub struct ProbeLease {
     core: Rc<Core>,
-    content: Content,
+    content: ContentHash,
     /// Entry that granted it, if that was another.
     granted_by: Option<SocketAddr>,
     has_reached: Cell<bool>,
@@ -33,7 +33,7 @@
 
 impl ProbeLease {
     /// Leave to run a content, granted by the entry at this address, or by this one.
-    pub fn new(core: &Rc<Core>, content: Content, granted_by: Option<SocketAddr>) -> Self {
+    pub fn new(core: &Rc<Core>, content: ContentHash, granted_by: Option<SocketAddr>) -> Self {
         ProbeLease { core: Rc::clone(core), content, granted_by, has_reached: Cell::new(false) }
     }
 
@@ -59,7 +59,7 @@
         core.given_back.filled.notified().await;
         for (content, granted_by) in core.given_back.probes.take() {
             match granted_by {
-                None => core.state.borrow_mut().quarantine.give_back(content),
+                None => core.state.borrow_mut().quarantine.release_probe(content),
                 // NB: one that cannot be told takes the probe for used up.
                 Some(address) => {
                     core.tell_given_back(address, ProbeQuestion::GiveBack(content)).await
--- a/crates/direct/src/quarantine/seen.rs
+++ b/crates/direct/src/quarantine/seen.rs
@@ -7,7 +7,9 @@
     time::Duration,
 };
 
-use pondwalk_decide::direct::{Content, EndId, Evidence, Loss, ServerEnd, end_id, server_hash};
+use pondwalk_decide::direct::{
+    ContentHash, CorrelatedCrashes, CrashId, Evidence, ServerCrash, crash_id, server_hash,
+};
 use pondwalk_types::{RequestId, ServerId, VersionId};
 use tokio::{
     task::spawn_local,
@@ -46,8 +48,8 @@
 /// An end, with what is needed to judge it.
 #[derive(Debug)]
 struct SeenEnd {
-    content: Content,
-    id: EndId,
+    content: ContentHash,
+    id: CrashId,
     at: Duration,
     service: ServiceId,
     server: ServerId,
@@ -66,7 +68,7 @@
 /// A request that was left at a server without knowing how its run ended.
 #[derive(Debug)]
 struct Left {
-    content: Content,
+    content: ContentHash,
     server: ServerId,
     request: RequestId,
     at: Duration,
@@ -77,7 +79,7 @@
 #[derive(Debug, Default)]
 pub struct SeenEnds {
     ends: RefCell<Vec<SeenEnd>>,
-    loss: RefCell<Loss>,
+    loss: RefCell<CorrelatedCrashes>,
     left: RefCell<VecDeque<Left>>,
 }
 
@@ -118,7 +120,7 @@
 
     fn note_end_under(
         self: &Rc<Self>,
-        content: Content,
+        content: ContentHash,
         request: &RequestId,
         placement: &Placement,
         on_probe: bool,
@@ -126,19 +128,24 @@
         let now = self.clock.now();
         let server = placement.server();
         let numbers = [self.incarnation, now.as_nanos() as u64];
-        let id = end_id(&[&self.settings.name, server, request], &numbers);
-        let end =
-            ServerEnd { content, id, server: server_hash(server), in_common_loss: false, on_probe };
+        let id = crash_id(&[&self.settings.name, server, request], &numbers);
+        let end = ServerCrash {
+            content,
+            id,
+            server: server_hash(server),
+            in_common_loss: false,
+            on_probe,
+        };
         let mut state = self.state.borrow_mut();
-        let before = state.quarantine.ends(content);
-        if state.quarantine.note_end(end, now, now) {
-            state.good_contents.note_end(content);
+        let before = state.quarantine.crash_count(content);
+        if state.quarantine.record_crash(end, now, now) {
+            state.good_contents.record_crash(content);
         }
-        let is_good = state.good_contents.holds(content);
+        let is_good = state.good_contents.is_exempt(content);
         drop(state);
         self.note_if_held(content);
         self.speak_for(content);
-        self.seen_ends.loss.borrow_mut().note(content, server);
+        self.seen_ends.loss.borrow_mut().record(content, server);
         let seen = SeenEnd {
             content,
             id,
@@ -174,9 +181,9 @@
             let now = self.clock.now();
             let SeenEnd { content, id, at, on_probe, ref server, .. } = end;
             let server = server_hash(server);
-            let end = ServerEnd { content, id, server, in_common_loss, on_probe };
+            let end = ServerCrash { content, id, server, in_common_loss, on_probe };
             if in_common_loss {
-                self.state.borrow_mut().quarantine.note_end(end, at, now);
+                self.state.borrow_mut().quarantine.record_crash(end, at, now);
             }
             told.push((end, now.saturating_sub(at)));
         }
@@ -192,15 +199,15 @@
     ///
     /// NB: not where a request was aboard that has ended others too; it is the cause then, and must not
     /// make a good version look bad. Nor in a common loss, which has a cause of its own.
-    fn note_ends_as_evidence(&self, seen: &[SeenEnd], loss: &Loss) {
+    fn note_ends_as_evidence(&self, seen: &[SeenEnd], loss: &CorrelatedCrashes) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let State { roll_outs, fleets, .. } = &mut *state;
         let mut servers: HashMap<&ServerId, Option<&SeenEnd>> = HashMap::new();
         for end in seen {
             let known = fleets.get(&end.service).map_or(0, |fleet| fleet.count());
-            let has_cause =
-                !end.is_good && end.before >= ENDS_AS_EVIDENCE || loss.excuses(end.content, known);
+            let has_cause = !end.is_good && end.before >= ENDS_AS_EVIDENCE
+                || loss.exonerates(end.content, known);
             let evidence = servers.entry(&end.server).or_insert(Some(end));
             if has_cause {
                 *evidence = None;
@@ -211,7 +218,7 @@
             let Some(roll_out) = roll_outs.get_mut(&end.service) else { continue };
             let (kind, server) = (end.kind.as_str(), end.server.as_str());
             let evidence = Evidence { kind, server, failed: true, slowness: 0.0 };
-            if roll_out.note(&end.version, &evidence, now) {
+            if roll_out.record_answer(&end.version, &evidence, now) {
                 tripped.push(end);
             }
         }
@@ -223,9 +230,9 @@
     }
 
     /// Whether other servers ended at the same moment, so that the request need not be the cause.
-    async fn is_excused(&self, loss: &Loss, end: &SeenEnd) -> bool {
+    async fn is_excused(&self, loss: &CorrelatedCrashes, end: &SeenEnd) -> bool {
         let servers = self.state.borrow().fleets.get(&end.service).map_or(0, |fleet| fleet.count());
-        if loss.excuses(end.content, servers) {
+        if loss.exonerates(end.content, servers) {
             return true;
         }
         // NB: a probe runs alone, so this entry may have had nothing aboard of the others.
@@ -238,7 +245,9 @@
             let mut state = self.state.borrow_mut();
             let State { fleets, rng, .. } = &mut *state;
             let fleet = fleets.get(&end.service);
-            fleet.map_or(Vec::new(), |fleet| fleet.some_others(&end.server, ASKED_OTHERS, rng))
+            fleet.map_or(Vec::new(), |fleet| {
+                fleet.sample_other_addresses(&end.server, ASKED_OTHERS, rng)
+            })
         };
         for address in &others {
             if timeout(REACH_LIMIT, (self.connect)(*address)).await.is_ok_and(|open| open.is_ok()) {
--- a/crates/direct/src/quarantine/stored.rs
+++ b/crates/direct/src/quarantine/stored.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::ServerEnd;
+use pondwalk_decide::direct::ServerCrash;
 use serde::{Deserialize, Serialize};
 
 use super::AgedEnd;
@@ -32,7 +32,7 @@
     }
 
     /// Whether it holds an end.
-    pub fn holds(&self, end: &ServerEnd) -> bool {
+    pub fn holds(&self, end: &ServerCrash) -> bool {
         self.ends.iter().any(|(held, _)| held.id == end.id)
     }
 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -7,7 +7,9 @@
     HeaderMap, Method, StatusCode,
     header::{self, HeaderName},
 };
-use pondwalk_decide::direct::{Content, Homes, ModelNumber, PromptPart, ServiceModel, SessionKey};
+use pondwalk_decide::direct::{
+    ContentHash, DataCentreRule, PromptPart, RouteModelIndex, ServiceModelIndex, SessionKey,
+};
 use pondwalk_types::{DataCentreId, RegionId};
 use thiserror::Error;
 
@@ -268,17 +270,17 @@
     /// Configuration it was checked against.
     pub catalog_version: u64,
     /// What it carries, once that was asked for.
-    pub known_content: OnceCell<Content>,
+    pub known_content: OnceCell<ContentHash>,
 }
 
 impl Job {
     /// The data centres whose servers may run it.
-    pub fn homes(&self) -> Homes<'_> {
-        self.homes.as_deref().map_or(Homes::Anywhere, Homes::Only)
+    pub fn homes(&self) -> DataCentreRule<'_> {
+        self.homes.as_deref().map_or(DataCentreRule::Any, DataCentreRule::Only)
     }
 
     /// What it carries, by which it is known again when its caller tries once more.
-    pub fn content(&self) -> Content {
+    pub fn content(&self) -> ContentHash {
         *self.known_content.get_or_init(|| {
             let caller = self.workspace.as_ref().map_or("", |workspace| &workspace.name);
             let (host, target) = (self.route.host.as_str(), self.target.as_str());
@@ -290,7 +292,7 @@
     ///
     /// NB: routes may list different models of one service, and what is learned of a model or held
     /// for it belongs to the service. One that the service does not list counts by its position.
-    pub fn service_model(&self, number: ModelNumber) -> ServiceModel {
+    pub fn service_model(&self, number: RouteModelIndex) -> ServiceModelIndex {
         let model = self.route.models.get(usize::from(number));
         let listed = self.service.engine.as_ref().map_or(&[][..], |engine| &engine.models);
         let place = model.and_then(|model| listed.iter().position(|one| one.model == *model));
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -8,8 +8,9 @@
 
 use pondwalk_config::DirectSettings;
 use pondwalk_decide::direct::{
-    Cascade, ColdBound, Engine, Fleet, Freshness, GoodContents, Pacing, Quarantine, RollOut,
-    ServerFacts, Sessions, Sharers, Weighed, WindowBudget, WindowLimits,
+    BoundSharing, Cascade, ColdServerBound, ColdServerPacing, EngineEstimates, Fleet, Freshness,
+    Quarantine, RollOut, ScoringTerms, ServerInfo, Sessions, SuccessfulContents, WindowBudget,
+    WindowLimits,
 };
 use pondwalk_types::{DataCentreId, ServerId};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -57,21 +58,21 @@
     /// Budgets of further sends, by service.
     pub budgets: HashMap<ServiceId, WindowBudget>,
     /// What is known of the engines, by service.
-    pub engines: HashMap<ServiceId, Engine>,
+    pub engines: HashMap<ServiceId, EngineEstimates>,
     /// Which models are asked, by service.
     pub cascades: HashMap<ServiceId, Cascade>,
     /// Contents of requests under which servers have ended.
     pub quarantine: Quarantine,
     /// Contents that came to a good end here.
-    pub good_contents: GoodContents,
+    pub good_contents: SuccessfulContents,
     /// Source of random numbers.
     pub rng: SmallRng,
     /// Limits on further sends, of which `extra` is what all entries share.
     limits: WindowLimits,
     home: String,
-    weighed: Weighed,
-    cold_bound: Option<ColdBound>,
-    sharers: Sharers,
+    weighed: ScoringTerms,
+    cold_bound: Option<ColdServerBound>,
+    sharers: BoundSharing,
 }
 
 impl State {
@@ -96,7 +97,7 @@
             engines: HashMap::new(),
             cascades: HashMap::new(),
             quarantine: Quarantine::default(),
-            good_contents: GoodContents::default(),
+            good_contents: SuccessfulContents::default(),
             rng: SmallRng::seed_from_u64(seed),
             limits: WindowLimits {
                 ratio: retries.ratio,
@@ -105,19 +106,19 @@
                 rounding: 0.0,
             },
             home: settings.data_centre.clone(),
-            weighed: Weighed {
+            weighed: ScoringTerms {
                 named_servers: settings.policy.named_servers,
                 delays: settings.policy.delays,
                 told_loads: settings.policy.told_loads,
             },
-            cold_bound: settings.warm_up.map(|warm_up| ColdBound {
+            cold_bound: settings.warm_up.map(|warm_up| ColdServerBound {
                 overshoot: warm_up.overshoot,
                 tolerance: warm_up.tolerance,
-                told_after: warm_up.heartbeat * HEARTBEATS_TO_TELL,
+                report_delay: warm_up.heartbeat * HEARTBEATS_TO_TELL,
             }),
             sharers: match settings.peers {
-                Some(_) => Sharers::new(&settings.name),
-                None => Sharers::alone(&settings.name),
+                Some(_) => BoundSharing::new(&settings.name),
+                None => BoundSharing::sole(&settings.name),
             },
         }
     }
@@ -127,24 +128,24 @@
         let pacing = self.pacing(service);
         let State { fleets, home, weighed, sharers, evacuated, .. } = self;
         fleets.entry(service.clone()).or_insert_with(|| {
-            let mut fleet = Fleet::weighing(home, *weighed);
+            let mut fleet = Fleet::with_scoring(home, *weighed);
             fleet.set_pacing(pacing);
-            fleet.set_sharers(sharers);
+            fleet.set_bound_sharing(sharers);
             evacuated.iter().for_each(|data_centre| fleet.evacuate(data_centre));
             fleet
         })
     }
 
     /// What cold servers of a service may get.
-    fn pacing(&self, service: &ServiceId) -> Option<Pacing> {
+    fn pacing(&self, service: &ServiceId) -> Option<ColdServerPacing> {
         let service = self.catalog.as_ref()?.service(service)?;
-        Pacing::of(service.warm_up, self.cold_bound)
+        ColdServerPacing::of(service.warm_up, self.cold_bound)
     }
 
     /// Puts a configuration in force.
     pub fn install(&mut self, catalog: Catalog) {
         self.catalog = Some(Rc::new(catalog));
-        let pacings: Vec<(ServiceId, Option<Pacing>)> =
+        let pacings: Vec<(ServiceId, Option<ColdServerPacing>)> =
             self.fleets.keys().map(|service| (service.clone(), self.pacing(service))).collect();
         for (service, pacing) in pacings {
             self.fleet(&service).set_pacing(pacing);
@@ -153,11 +154,11 @@
 
     /// The bounds over all entries are shared by those of these names.
     pub fn set_sharers<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
-        self.sharers.are(names);
+        self.sharers.set_entries(names);
         let limits = self.own_limits();
         self.budgets.values_mut().for_each(|budget| budget.set_limits(limits));
         for fleet in self.fleets.values_mut() {
-            fleet.set_sharers(&self.sharers);
+            fleet.set_bound_sharing(&self.sharers);
         }
     }
 
@@ -171,7 +172,7 @@
     pub fn take_back(&mut self, data_centre: &str, now: Duration) -> bool {
         let was_evacuated = self.evacuated.remove(data_centre);
         if was_evacuated {
-            self.fleets.values_mut().for_each(|fleet| fleet.take_back(data_centre, now));
+            self.fleets.values_mut().for_each(|fleet| fleet.reinstate(data_centre, now));
         }
         was_evacuated
     }
@@ -179,7 +180,7 @@
     /// This entry's part of the limits on further sends.
     fn own_limits(&self) -> WindowLimits {
         WindowLimits {
-            extra: self.limits.extra * self.sharers.part(),
+            extra: self.limits.extra * self.sharers.fraction(),
             rounding: self.sharers.rounding(),
             ..self.limits
         }
@@ -199,7 +200,7 @@
         if let Some(before) = before.filter(|before| *before != server.service) {
             self.fleet(&before).remove(&server.id);
         }
-        let facts = ServerFacts {
+        let facts = ServerInfo {
             id: server.id.clone(),
             born_ms: server.born_ms,
             address: server.address,
@@ -213,8 +214,8 @@
             },
         };
         let fleet = self.fleet(&server.service);
-        let is_born_anew = fleet.is_born_anew(&facts);
-        fleet.put(facts);
+        let is_born_anew = fleet.is_restarted(&facts);
+        fleet.apply_server(facts);
         if is_born_anew && let Some(roll_out) = self.roll_outs.get_mut(&server.service) {
             roll_out.forget_server(&server.id);
         }
@@ -223,7 +224,8 @@
 
     /// Whether what is told of a backend server is known already.
     pub fn knows_server(&self, server: &BackendServer) -> bool {
-        let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
+        let known =
+            self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
         known.is_some_and(|facts| {
             facts.born_ms == server.born_ms
                 && facts.address == server.address
@@ -235,7 +237,8 @@
 
     /// Whether a backend server is known to leave in the life that is spoken of.
     pub fn is_leaving(&self, server: &BackendServer) -> bool {
-        let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
+        let known =
+            self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
         known.is_some_and(|facts| !facts.ready && facts.born_ms == server.born_ms)
     }
 
@@ -248,7 +251,7 @@
 
     /// Forgets the backend servers that lapsed and did not come back in time, and tells which.
     pub fn take_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
-        let lapsed = self.fleets.values_mut().flat_map(|fleet| fleet.take_lapsed(now));
+        let lapsed = self.fleets.values_mut().flat_map(|fleet| fleet.remove_lapsed(now));
         let lapsed: Vec<ServerId> = lapsed.collect();
         for id in &lapsed {
             self.service_of.remove(id);
--- a/crates/direct/src/upstream.rs
+++ b/crates/direct/src/upstream.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use pondwalk_decide::direct::Unreached;
+use pondwalk_decide::direct::UnreachableReason;
 use socket2::{SockRef, TcpKeepalive};
 use thiserror::Error;
 use tokio::{
@@ -63,7 +63,7 @@
     #[error("the backend server cannot be reached: {detail}")]
     NotSent {
         /// Why it was not reached.
-        why: Unreached,
+        why: UnreachableReason,
         /// What the system says.
         detail: String,
     },
@@ -138,12 +138,12 @@
 fn unreached(error: io::Error) -> SendError {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => {
-            SendError::NotSent { why: Unreached::Refused, detail: error.to_string() }
+            SendError::NotSent { why: UnreachableReason::Refused, detail: error.to_string() }
         }
         _ => silent(error),
     }
 }
 
 fn silent(error: impl ToString) -> SendError {
-    SendError::NotSent { why: Unreached::Silent, detail: error.to_string() }
+    SendError::NotSent { why: UnreachableReason::TimedOut, detail: error.to_string() }
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -12,8 +12,8 @@
 
 use pondwalk_config::UsageSettings;
 use pondwalk_decide::direct::{
-    CallEnd, DueWindows, Reporter, ReporterOrder, ReporterRecord, ReporterStep, TrueTime,
-    UsageCounts, UsageMeter, UsageTotals, WindowId, WriteEnd,
+    CallOutcome, ClockEstimate, DueWindows, Reporter, ReporterDelays, ReporterRecord, ReporterStep,
+    UsageCounts, UsageMeter, UsageTotals, WindowId, WriteOutcome,
 };
 use pondwalk_store::{Change, Era, Expect, Fetched, StoreError};
 use serde::Serialize;
@@ -83,7 +83,7 @@
     settings: UsageSettings,
     meter: RefCell<UsageMeter>,
     totals: RefCell<UsageTotals>,
-    time: RefCell<TrueTime>,
+    time: RefCell<ClockEstimate>,
     reporter: RefCell<Reporter>,
     /// Since when all counts reach this entry.
     informed_since: Cell<Option<Duration>>,
@@ -124,7 +124,7 @@
         let waited_for = unix_ms.saturating_sub(whole_ms(gathering));
         let latest = self.window_of(unix_ms).saturating_sub(1);
         let (from_ms, to_ms) = (latest * self.interval_ms(), (latest + 1) * self.interval_ms());
-        let is_whole = self.totals.borrow().have_all_told(from_ms, to_ms)
+        let is_whole = self.totals.borrow().have_all_published(from_ms, to_ms)
             && self.is_informed_of(latest, now, unix_ms);
         let newest_complete =
             if is_whole { latest } else { self.window_of(waited_for).saturating_sub(1) };
@@ -176,8 +176,8 @@
     pub fn count_usage(&self, workspace: &str) {
         let Some(usage) = &self.usage else { return };
         // NB: by the clock by which it tells until when it has counted.
-        if let Some(unix_ms) = usage.time.borrow().own_unix_ms(self.clock.now()) {
-            usage.meter.borrow_mut().note(usage.window_of(unix_ms), workspace);
+        if let Some(unix_ms) = usage.time.borrow().local_unix_ms(self.clock.now()) {
+            usage.meter.borrow_mut().record_request(usage.window_of(unix_ms), workspace);
         }
     }
 
@@ -186,7 +186,7 @@
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut time = usage.time.borrow_mut();
-        time.hear(&item.origin, told_ms, now.saturating_sub(item.age));
+        time.apply_peer(&item.origin, told_ms, now.saturating_sub(item.age));
         let Some(unix_ms) = time.unix_ms(now) else { return };
         drop(time);
         if !usage.is_open(window, unix_ms) {
@@ -196,8 +196,8 @@
         }
         let teller = (item.origin.clone(), item.incarnation);
         let mut totals = usage.totals.borrow_mut();
-        totals.hear_until(&item.origin, told_ms);
-        totals.hear(teller, item.number, window, counts.clone());
+        totals.record_published_until(&item.origin, told_ms);
+        totals.apply_counts(teller, item.number, window, counts.clone());
     }
 
     /// Hears of the era that the store is in, before what it holds.
@@ -212,9 +212,9 @@
         let now = self.clock.now();
         let mut reporter = usage.reporter.borrow_mut();
         usage.is_foreign.set(false);
-        let Some(entry) = entry else { return reporter.learn(None, now) };
+        let Some(entry) = entry else { return reporter.apply_record(None, now) };
         match serde_json::from_slice::<ReporterRecord>(&entry.value) {
-            Ok(record) => reporter.learn(Some((record, entry.revision)), now),
+            Ok(record) => reporter.apply_record(Some((record, entry.revision)), now),
             Err(error) => {
                 usage.is_foreign.set(true);
                 let error = error.to_string();
@@ -230,11 +230,11 @@
 
     /// Tells the counts that have changed.
     fn tell_counts(&self, usage: &Usage) {
-        let Some(unix_ms) = usage.time.borrow().own_unix_ms(self.clock.now()) else { return };
+        let Some(unix_ms) = usage.time.borrow().local_unix_ms(self.clock.now()) else { return };
         let mut meter = usage.meter.borrow_mut();
-        meter.forget_before(usage.first_open(unix_ms));
-        meter.open(usage.window_of(unix_ms));
-        let untold = meter.take_untold();
+        meter.remove_before(usage.first_open(unix_ms));
+        meter.open_window(usage.window_of(unix_ms));
+        let untold = meter.drain_unpublished();
         drop(meter);
         for (window, counts) in untold {
             self.tell_news(News::Used { window, counts, unix_ms });
@@ -252,13 +252,13 @@
         let now = core.clock.now();
         if now >= read_at {
             read_at = now + READING_INTERVAL;
-            usage.time.borrow_mut().note_reading(core.clock.unix_ms(), now);
+            usage.time.borrow_mut().record_reading(core.clock.unix_ms(), now);
         }
         // NB: who was told before may be gone, and with it what it had not passed on.
         let heard_by = core.above();
         if source.as_ref() != Some(&heard_by) {
             source = Some(heard_by);
-            usage.meter.borrow_mut().tell_again();
+            usage.meter.borrow_mut().mark_all_unpublished();
         }
         if now >= tell_at {
             tell_at = now + core.usage_telling_interval();
@@ -309,17 +309,17 @@
     let unix_ms = usage.time.borrow().unix_ms(now)?;
     let gathering = usage.part_of_delay(GATHER_PART) + core.usage_telling_interval();
     let windows = usage.due(unix_ms, gathering, now);
-    let mut order = ReporterOrder {
-        by_place: conductor.wait_in_order(),
-        to_holder: usage.part_of_delay(TO_HOLDER_PART),
+    let mut order = ReporterDelays {
+        by_order: conductor.wait_in_order(),
+        holder_grace: usage.part_of_delay(TO_HOLDER_PART),
     };
     let next = usage.first_open(unix_ms);
-    usage.totals.borrow_mut().forget_before(next);
+    usage.totals.borrow_mut().remove_before(next);
     if !usage.is_informed_of(next, now, unix_ms) {
-        order.by_place += usage.part_of_delay(PARTLY_INFORMED_PART);
+        order.by_order += usage.part_of_delay(PARTLY_INFORMED_PART);
     }
     let mut reporter = usage.reporter.borrow_mut();
-    reporter.next(windows, order, now, |window| usage.totals.borrow().total(window))
+    reporter.next_step(windows, order, now, |window| usage.totals.borrow().total(window))
 }
 
 /// Writes a record; tells whether that has brought the task forward.
@@ -344,19 +344,19 @@
     let is_done = written.is_ok();
     let end = match written {
         // NB: the record of an era before is read by nobody any more.
-        Ok(position) if position.era != era => WriteEnd::Unknown,
-        Ok(position) => WriteEnd::Done(position.revision),
+        Ok(position) if position.era != era => WriteOutcome::Unknown,
+        Ok(position) => WriteOutcome::Written(position.revision),
         Err(StoreError::AnswerLost | StoreError::AnswerStopped(_) | StoreError::Malformed) => {
-            WriteEnd::Unknown
+            WriteOutcome::Unknown
         }
         Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseLapsed) => {
-            WriteEnd::NotDone
+            WriteOutcome::NotWritten
         }
     };
     let fencing_token = record.fencing_token;
     let mut reporter = usage.reporter.borrow_mut();
     let before = reporter.record().map(|record| record.fencing_token);
-    reporter.written(record, sent, end, core.clock.now());
+    reporter.on_write_outcome(record, sent, end, core.clock.now());
     if is_done && before != Some(fencing_token) {
         core.journal.note(Rank::State, &UsageEvent::Taken { fencing_token });
     }
@@ -381,11 +381,11 @@
 ) -> bool {
     let (window, fencing_token) = (record.window, record.fencing_token);
     let end = match &called {
-        Ok(()) => CallEnd::Taken,
-        Err(ReportError::Refused) => CallEnd::Refused,
-        Err(_) => CallEnd::Failed,
+        Ok(()) => CallOutcome::Accepted,
+        Err(ReportError::Refused) => CallOutcome::Fenced,
+        Err(_) => CallOutcome::Failed,
     };
-    usage.reporter.borrow_mut().called(record, end, core.clock.now());
+    usage.reporter.borrow_mut().on_call_outcome(record, end, core.clock.now());
     match called {
         Ok(()) => {
             core.metrics.count(Counter::UsageReports);
@@ -401,7 +401,7 @@
             core.journal.note(Rank::State, &event);
         }
     }
-    end == CallEnd::Taken
+    end == CallOutcome::Accepted
 }
 
 fn whole_ms(time: Duration) -> u64 {
--- a/crates/direct/tests/servers_that_limit_widely.rs
+++ b/crates/direct/tests/servers_that_limit_widely.rs
@@ -10,7 +10,7 @@
     net::{Impostor, Net, peer_address},
     play, stream, total,
 };
-use pondwalk_decide::direct::{granting_order, server_hash};
+use pondwalk_decide::direct::{granter_order, server_hash};
 use pondwalk_direct::Entry;
 use pondwalk_standin::backends::Act;
 use tokio::{
@@ -184,7 +184,7 @@
         let net = Net::default();
         let entries = start(&world, &net, (1, "s", made()), 6).await;
         let mut names: Vec<String> = entries.iter().map(|entry| entry.name().to_owned()).collect();
-        granting_order(u128::from(server_hash("s1")), &mut names);
+        granter_order(u128::from(server_hash("s1")), &mut names);
         let granter = entries.iter().position(|entry| entry.name() == names[0]).expect("it is");
         let stands_still: Impostor = Rc::new(|io| {
             spawn_local(async move {
