--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -14,7 +14,7 @@
 use pondwalk_config::{AgentSettings, agent::BackendKind};
 use pondwalk_decide::direct::{KnownLimit, LimitWord, ServerLimit};
 use pondwalk_threads::lock;
-use pondwalk_types::{Refusal, TokenUsage, VersionId, Work, read_retry_after};
+use pondwalk_types::{Refusal, TokenUsage, VersionId, Work, parse_retry_after};
 use pondwalk_wire::{FrameKind, OrderKind, OrderRefusal, StartRequest};
 use reqwest::{RequestBuilder, Response, StatusCode, header::RETRY_AFTER};
 use tracing::Instrument;
@@ -166,7 +166,7 @@
         // NB: by its meaning in HTTP, 429 is an answer to a request that was not acted on.
         StatusCode::TOO_MANY_REQUESTS => {
             let asked = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-            Err(match asked.and_then(read_retry_after) {
+            Err(match asked.and_then(parse_retry_after) {
                 Some(asked) => BackendEnd::AskedBackoff(asked),
                 None => {
                     let retry_after_ms = RETRY_AFTER_MS;
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use pondwalk_ledger::{Bill, BillBook, bills};
+use pondwalk_ledger::{Bill, BillBuffer, bills};
 use pondwalk_store::Store;
 use pondwalk_threads::lock;
 use pondwalk_types::Incarnation;
@@ -34,7 +34,7 @@
 }
 
 async fn sweep(core: &Arc<Core>, store: &Store) {
-    let book = Mutex::new(BillBook::new(core.incarnation));
+    let book = Mutex::new(BillBuffer::new(core.incarnation));
     let mut ticks = interval(SWEEP_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -51,7 +51,7 @@
 }
 
 /// Takes over the bills of an entry that is gone; one written twice is merged when read.
-fn adopt_bills(core: &Core, book: &Mutex<BillBook>, entry: Incarnation) {
+fn adopt_bills(core: &Core, book: &Mutex<BillBuffer>, entry: Incarnation) {
     let mut held = lock(&core.bills);
     let left: Vec<String> =
         held.values().filter(|bill| bill.entry == entry).map(|bill| bill.request.clone()).collect();
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -14,7 +14,7 @@
 use pondwalk_decide::AdmissionQueue;
 use pondwalk_threads::lock;
 use pondwalk_types::{Incarnation, Policy, Refusal, VersionState, WorkspacePolicy};
-use pondwalk_wire::{AgentNews, Configuration, HeldBill, RunKey, StartRequest};
+use pondwalk_wire::{AgentSnapshot, Configuration, HeldBill, RunKey, StartRequest};
 use tokio::{runtime::Handle, time::Instant};
 
 use crate::{backend::Backend, orders::Orders, outbox::Outboxes, runs::Runs, trials::Trials};
@@ -104,8 +104,8 @@
     }
 
     /// What the agent says of itself.
-    pub fn news(&self) -> AgentNews {
-        AgentNews {
+    pub fn snapshot(&self) -> AgentSnapshot {
+        AgentSnapshot {
             incarnation: self.incarnation,
             generation: self.configuration().map_or(0, |current| current.generation),
             load: lock(&self.queue).load(),
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -4,7 +4,7 @@
 
 use pondwalk_decide::{Admission, Admitted, QueuedWork};
 use pondwalk_threads::lock;
-use pondwalk_types::{Incarnation, LONGEST_BACKOFF, Refusal, VersionId};
+use pondwalk_types::{Incarnation, MAX_SERVER_BACKOFF, Refusal, VersionId};
 use pondwalk_wire::{FrameKind, RunKey, StartRequest};
 use tracing::{Instrument, Span};
 
@@ -117,7 +117,7 @@
             let backoff_ms = asked.as_millis() as u64;
             spdlog::warn!("the backend server asked for a pause", kv: { backoff_ms });
             lock(&core.queue).pause(core.now(), asked);
-            let retry_after_ms = asked.min(LONGEST_BACKOFF).as_millis() as u64;
+            let retry_after_ms = asked.min(MAX_SERVER_BACKOFF).as_millis() as u64;
             FrameKind::NotRun(Refusal::Overloaded { retry_after_ms })
         }
         BackendEnd::Broken(refusal) => {
--- a/crates/agent/src/outbox.rs
+++ b/crates/agent/src/outbox.rs
@@ -11,7 +11,7 @@
 
 use pondwalk_threads::lock;
 use pondwalk_types::{AttemptId, Incarnation};
-use pondwalk_wire::{Frame, FrameKind, RunKey, TakeFrames};
+use pondwalk_wire::{FetchFrames, Frame, FrameKind, RunKey};
 use tokio::{
     sync::Notify,
     time::{Instant, timeout},
@@ -112,7 +112,7 @@
     /// Returns frames after the acknowledged one, waiting for the first if need be.
     ///
     /// Returns early, and perhaps without frames, when there is other news to tell.
-    pub async fn take(&self, request: TakeFrames) -> Vec<Frame> {
+    pub async fn take(&self, request: FetchFrames) -> Vec<Frame> {
         let (frames, added, urgent) = self.take_now(request);
         let _waiting = Waiting::new(self, request.entry);
         if frames.is_empty() && timeout(request.wait, added.notified()).await.is_err() {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn take_now(&self, request: TakeFrames) -> (Vec<Frame>, Arc<Notify>, Arc<Notify>) {
+    fn take_now(&self, request: FetchFrames) -> (Vec<Frame>, Arc<Notify>, Arc<Notify>) {
         let mut boxes = lock(&self.boxes);
         let outbox = boxes.entry(request.entry).or_default();
         outbox.fetched = Instant::now();
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -6,8 +6,8 @@
 use pondwalk_threads::lock;
 use pondwalk_types::{Generation, RequestId, VersionId};
 use pondwalk_wire::{
-    Agent, AgentStatus, Configuration, FrameBatch, HeldBill, Order, OrderKind, OrderRefusal,
-    RatingReport, RunKey, StartReply, StartRequest, TakeFrames, channel,
+    Agent, AgentStatus, Configuration, FetchFrames, FrameBatch, HeldBill, Order, OrderKind,
+    OrderRefusal, RatingReport, RunKey, StartReply, StartRequest, channel,
 };
 use tarpc::{context::Context, server::Channel};
 use tokio::net::TcpListener;
@@ -48,13 +48,13 @@
         if refusal.is_some() {
             self.core.count("runs.refused");
         }
-        StartReply { refusal, news: self.core.news() }
+        StartReply { refusal, snapshot: self.core.snapshot() }
     }
 
-    async fn take(self, _: Context, request: TakeFrames) -> FrameBatch {
-        let request = TakeFrames { wait: request.wait.min(LONGEST_TAKE), ..request };
+    async fn take(self, _: Context, request: FetchFrames) -> FrameBatch {
+        let request = FetchFrames { wait: request.wait.min(LONGEST_TAKE), ..request };
         let frames = self.core.outboxes.take(request).await;
-        FrameBatch { news: self.core.news(), frames }
+        FrameBatch { snapshot: self.core.snapshot(), frames }
     }
 
     async fn cancel(self, _: Context, run: RunKey) {
@@ -100,7 +100,7 @@
             data_centre: settings.data_centre.clone(),
             versions: self.core.orders.hosted(),
             slots: settings.slots,
-            news: self.core.news(),
+            snapshot: self.core.snapshot(),
         }
     }
 
--- a/crates/config/src/direct.rs
+++ b/crates/config/src/direct.rs
@@ -306,7 +306,7 @@
         return;
     }
     let bound = file.millis("membership", "evacuation_ms", DEFAULT_EVACUATION_MS);
-    if membership.times.longest() > bound {
+    if membership.times.worst_case_propagation() > bound {
         let expected = "a time that the ways of a change fit into, as for propagation_ms";
         file.fault("membership", "evacuation_ms", Problem::Invalid { found, expected });
     }
--- a/crates/config/src/membership.rs
+++ b/crates/config/src/membership.rs
@@ -56,9 +56,9 @@
     /// Time between two confirmations by the store at an entry that watches it.
     pub confirm_interval: Duration,
     /// Oldest confirmation that another entry's answer may rest on.
-    pub oldest_told: Duration,
+    pub max_peer_confirmation_age: Duration,
     /// Time for which an entry whose own confirmation is older than that holds a question.
-    pub hold_while_old: Duration,
+    pub stale_hold_time: Duration,
     /// Age of the own confirmation from which an entry asks the store itself.
     pub fallback_age: Duration,
     /// Time for an exchange with another entry.
@@ -73,8 +73,8 @@
         let confirm_interval = propagation.mul_f64(CONFIRM_PART).min(by_keys).max(SHORTEST_CONFIRM);
         MembershipTimes {
             confirm_interval,
-            oldest_told: confirm_interval * CONFIRMATIONS + EXCHANGE,
-            hold_while_old: propagation.mul_f64(HOLD_PART),
+            max_peer_confirmation_age: confirm_interval * CONFIRMATIONS + EXCHANGE,
+            stale_hold_time: propagation.mul_f64(HOLD_PART),
             fallback_age: propagation.mul_f64(FALLBACK_PART),
             exchange: EXCHANGE,
         }
@@ -82,20 +82,22 @@
 
     /// Oldest confirmation that any entry's state rests on while nothing is lost: the entry that
     /// asks the store is about to hear from it again, and is that far from the asker.
-    pub fn oldest_in_calm(&self) -> Duration {
+    pub fn normal_confirmation_age(&self) -> Duration {
         self.confirm_interval + self.exchange * 2
     }
 
     /// Longest time that an answer of the store may take so that what must be known everywhere
     /// within `bound` still is. Questions overlap, so an answer time counts once.
-    pub fn longest_answer(&self, bound: Duration) -> Duration {
-        bound.saturating_sub(self.oldest_in_calm())
+    pub fn max_store_response(&self, bound: Duration) -> Duration {
+        bound.saturating_sub(self.normal_confirmation_age())
     }
 
     /// Longest time until a change reaches an entry whose way, and the next ones it tries, are
     /// lost without a word.
-    pub fn longest(&self) -> Duration {
-        self.oldest_told + (self.hold_while_old + self.exchange) * LOST_IN_ROW + self.exchange
+    pub fn worst_case_propagation(&self) -> Duration {
+        self.max_peer_confirmation_age
+            + (self.stale_hold_time + self.exchange) * LOST_IN_ROW
+            + self.exchange
     }
 }
 
@@ -104,7 +106,7 @@
     pub fn read(file: &mut RawFile, key_bound: Duration) -> Self {
         let propagation = read_propagation(file);
         let times = MembershipTimes::split(propagation, key_bound);
-        if times.longest() > propagation {
+        if times.worst_case_propagation() > propagation {
             let found = file.text("membership", "propagation_ms").unwrap_or_default();
             let expected = "a time that the ways of a change fit into, 1000 or more";
             file.fault("membership", "propagation_ms", Problem::Invalid { found, expected });
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pondwalk_types::{
-    Policy, Price, RollOut, SessionOnWithdrawal, TaskPolicy, VersionSpec, VersionState,
+    Policy, Price, RollOut, TaskPolicy, VersionSpec, VersionState, WithdrawalPolicy,
     WorkspacePolicy, policy::ALL_SERVICES,
 };
 
@@ -186,8 +186,8 @@
             .unwrap_or(false);
     workspace.on_withdrawal =
         choice(file, &filled, "on_withdrawal", "restart or refuse", |t| match t {
-            "restart" => Some(SessionOnWithdrawal::Restart),
-            "refuse" => Some(SessionOnWithdrawal::Refuse),
+            "restart" => Some(WithdrawalPolicy::Restart),
+            "refuse" => Some(WithdrawalPolicy::Refuse),
             _ => None,
         })
         .unwrap_or_default();
--- a/crates/config/src/replay.rs
+++ b/crates/config/src/replay.rs
@@ -103,7 +103,7 @@
 
 impl Outcome {
     /// Whether a figure satisfies the outcome.
-    pub fn holds(&self, seen: f64) -> bool {
+    pub fn is_met(&self, seen: f64) -> bool {
         match self.comparison {
             Comparison::AtMost => seen <= self.bound,
             Comparison::AtLeast => seen >= self.bound,
--- a/crates/config/tests/accepts_sample_files.rs
+++ b/crates/config/tests/accepts_sample_files.rs
@@ -172,10 +172,13 @@
     for propagation_ms in [1_000, 2_000, 3_000, 4_000, 18_000] {
         let propagation = Duration::from_millis(propagation_ms);
         let times = MembershipTimes::split(propagation, key_bound);
-        assert!(times.longest() <= propagation, "{propagation_ms}: {times:?}");
+        assert!(times.worst_case_propagation() <= propagation, "{propagation_ms}: {times:?}");
         // Most of the key bound must be left once the store is lost.
-        assert!(times.oldest_in_calm() <= key_bound / 5, "{propagation_ms}: {times:?}");
-        assert!(times.oldest_told > times.oldest_in_calm(), "{propagation_ms}: {times:?}");
+        assert!(times.normal_confirmation_age() <= key_bound / 5, "{propagation_ms}: {times:?}");
+        assert!(
+            times.max_peer_confirmation_age > times.normal_confirmation_age(),
+            "{propagation_ms}: {times:?}"
+        );
     }
 }
 
@@ -185,7 +188,7 @@
     let longest = |propagation_ms| {
         let propagation = Duration::from_millis(propagation_ms);
         let times = MembershipTimes::split(propagation, key_bound);
-        [propagation, key_bound].map(|bound| times.longest_answer(bound).as_millis())
+        [propagation, key_bound].map(|bound| times.max_store_response(bound).as_millis())
     };
     // Answers that may take, for changes and for keys; the table of docs/decisions/0018.
     assert_eq!(longest(1_000), [600, 4_100]);
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use pondwalk_types::{LONGEST_BACKOFF, Refusal, WorkspaceId};
+use pondwalk_types::{MAX_SERVER_BACKOFF, Refusal, WorkspaceId};
 
 use crate::direct::{Granter, PermitBuckets, ServerLimit};
 
@@ -134,7 +134,7 @@
 
     /// The server asked to be sent nothing for a while. A later, shorter word does not shorten an earlier one.
     pub fn pause(&mut self, now: Duration, asked: Duration) {
-        self.paused_until = self.paused_until.max(now + asked.min(LONGEST_BACKOFF));
+        self.paused_until = self.paused_until.max(now + asked.min(MAX_SERVER_BACKOFF));
     }
 
     /// The server names a rate limit, or none any more. The agent is the only one that sends it anything, so no
--- a/crates/decide/src/direct/fleet/limit.rs
+++ b/crates/decide/src/direct/fleet/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_types::read_decimal;
+use pondwalk_types::parse_decimal;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -44,7 +44,7 @@
     type Error = LimitError;
 
     fn try_from(text: &str) -> Result<Self, LimitError> {
-        let per_s = read_decimal(text).ok_or(LimitError::NotANumber)?;
+        let per_s = parse_decimal(text).ok_or(LimitError::NotANumber)?;
         // NB: a number too large for the type becomes the largest.
         Ok(ServerLimit { milli_per_s: (per_s * MILLI) as u64 })
     }
--- a/crates/decide/src/direct/fleet/notice.rs
+++ b/crates/decide/src/direct/fleet/notice.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use pondwalk_types::{LONGEST_BACKOFF, VersionId};
+use pondwalk_types::{MAX_SERVER_BACKOFF, VersionId};
 use serde::{Deserialize, Serialize};
 
 use super::{
@@ -121,7 +121,7 @@
             let (pauses, since) = self.turned_away.unwrap_or((0, now));
             self.turned_away = Some((pauses.saturating_add(1), since));
         }
-        let asked = asked.min(LONGEST_BACKOFF);
+        let asked = asked.min(MAX_SERVER_BACKOFF);
         let until = now + asked + spread_of(asked, spread);
         self.backs_off_until = self.backs_off_until.max(until);
         self.limit = Some(FIRST_LIMIT);
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pondwalk_types::{
-    Generation, Policy, SessionOnWithdrawal, TaskPolicy, VersionId, VersionState, WorkspacePolicy,
+    Generation, Policy, TaskPolicy, VersionId, VersionState, WithdrawalPolicy, WorkspacePolicy,
 };
 
 use crate::{
@@ -284,6 +284,6 @@
 
     fn restart_allowed(&self, workspace: WorkspaceIx) -> bool {
         self.workspace(workspace)
-            .is_some_and(|w| w.policy.on_withdrawal == SessionOnWithdrawal::Restart)
+            .is_some_and(|w| w.policy.on_withdrawal == WithdrawalPolicy::Restart)
     }
 }
--- a/crates/decide/src/router/steps.rs
+++ b/crates/decide/src/router/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_types::{Ran, Refusal};
+use pondwalk_types::{Executed, Refusal};
 use rand::Rng;
 
 use super::Router;
@@ -50,7 +50,7 @@
         flight.avoid.push(run.server);
         flight.refusals += 1;
         let give_up = flight.refusals >= REFUSALS_PER_REQUEST || now >= flight.deadline;
-        if give_up || !refusal.worth_another_server() {
+        if give_up || !refusal.is_retryable_elsewhere() {
             return self.give_up(flight, refusal);
         }
         match self.plan_run(now, rng, flight) {
@@ -65,7 +65,7 @@
         now: Duration,
         rng: &mut R,
         flight: &mut Flight,
-        ran: Ran,
+        ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) -> Next {
@@ -78,7 +78,7 @@
         if flight.answer.is_some() {
             return Next::Deliver;
         }
-        let repeat = flight.repeatable || ran == Ran::No;
+        let repeat = flight.repeatable || ran == Executed::No;
         let room = flight.runs() < RUNS_PER_REQUEST && now < flight.deadline;
         if !repeat || !room || !self.retries.take() {
             return self.give_up(flight, refusal);
--- a/crates/decide/tests/keeps_promises.rs
+++ b/crates/decide/tests/keeps_promises.rs
@@ -4,7 +4,8 @@
 
 use pondwalk_decide::{Finished, Flight, Next, Request, Router, ServerReport, Step};
 use pondwalk_types::{
-    Policy, Price, Ran, Refusal, RollOut, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy,
+    Executed, Policy, Price, Refusal, RollOut, TaskPolicy, VersionSpec, VersionState,
+    WorkspacePolicy,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::SeedableRng;
@@ -262,11 +263,11 @@
             0 => self.router.refused(now, rng, flight, Refusal::Draining),
             1 => {
                 open.may_have_run = true;
-                self.router.failed(now, rng, flight, Ran::Unknown, 0.0, Refusal::ContactLost)
+                self.router.failed(now, rng, flight, Executed::Unknown, 0.0, Refusal::ContactLost)
             }
             2 => {
                 open.may_have_run = true;
-                self.router.failed(now, rng, flight, Ran::Yes, 0.0, Refusal::BackendFailed)
+                self.router.failed(now, rng, flight, Executed::Yes, 0.0, Refusal::BackendFailed)
             }
             _ => {
                 open.may_have_run = true;
--- a/crates/demo/examples/capacity.rs
+++ b/crates/demo/examples/capacity.rs
@@ -17,10 +17,10 @@
     faults::fault_plan,
     load::{Asks, Load, TaskPlan, WorkspacePlan},
 };
-use pondwalk_ledger::{Bill, BillBook, BillItem};
+use pondwalk_ledger::{Bill, BillBuffer, BillItem};
 use pondwalk_standin::VersionProfile;
 use pondwalk_types::{Policy, Price, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy};
-use pondwalk_wire::{AgentNews, Configuration, FrameBatch, TakeFrames};
+use pondwalk_wire::{AgentSnapshot, Configuration, FetchFrames, FrameBatch};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -173,7 +173,7 @@
         }],
     };
     let book = bytes_of(|| {
-        let mut book = BillBook::new(1);
+        let mut book = BillBuffer::new(1);
         (0..BILLS).for_each(|n| book.add(bill(n)));
         book
     });
@@ -181,7 +181,7 @@
     println!("  each bill waiting at an entry          {:>12.0}", book / BILLS as f64);
     let text = serde_json::to_vec(&bill(1)).unwrap_or_default().len();
     println!("  each bill in the store                 {text:>12}");
-    let news = AgentNews {
+    let snapshot = AgentSnapshot {
         incarnation: 1,
         generation: 1,
         load: 1,
@@ -189,8 +189,8 @@
         draining: false,
         tripped: Vec::new(),
     };
-    let batch = FrameBatch { news, frames: Vec::new() };
-    let take = TakeFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
+    let batch = FrameBatch { snapshot, frames: Vec::new() };
+    let take = FetchFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
     let size = |bytes: Result<u64, _>| bytes.unwrap_or_default();
     let both = size(bincode::serialized_size(&batch)) + size(bincode::serialized_size(&take));
     println!("  a call for frames and its empty reply  {both:>12}  (without tarpc's own some 90)");
--- a/crates/demo/src/day.rs
+++ b/crates/demo/src/day.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use pondwalk_generations::{OnRace, add_roll_out, change, withdraw};
+use pondwalk_generations::{OnConflict, add_roll_out, commit_edit, withdraw};
 use pondwalk_ledger::{Ledger, read_ledger};
 use pondwalk_store::StoreError;
 use pondwalk_types::RollOut;
@@ -161,7 +161,8 @@
         progress(&format!("rolling out {} for {}", day.new, day.old));
         let roll_out = RollOut { version: day.new.to_owned(), replaces: day.old.to_owned() };
         let edit = |policy: &_| add_roll_out(policy, &roll_out);
-        let record = change(&deployment.store(), rand::random(), OnRace::Repeat, edit).await?;
+        let record =
+            commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
         self.await_in_force(deployment, record.generation).await;
         Ok(())
     }
@@ -175,7 +176,8 @@
         progress(&format!("withdrawing {} in mid-traffic", day.old));
         let old = day.old.to_owned();
         let edit = |policy: &_| withdraw(policy, &old);
-        let record = change(&deployment.store(), rand::random(), OnRace::Repeat, edit).await?;
+        let record =
+            commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
         self.await_in_force(deployment, record.generation).await;
         self.old_runs_at_withdrawal = runs_of(deployment, day.old);
         Ok(())
--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -8,7 +8,7 @@
     AgentSettings, ConfigError, EntrySettings, PolicyRecord, RawFile, policy_from_ini,
 };
 use pondwalk_entry::RunningEntry;
-use pondwalk_generations::{ChangeError, OnRace, change, replace};
+use pondwalk_generations::{ChangeError, OnConflict, commit_edit, replace_policy};
 use pondwalk_standin::{
     ANY_PORT, Engine, InstanceList, KvFaults, KvStore, ListedInstance, PlainService, RatingService,
     VersionProfile, kv::KvServer,
@@ -177,8 +177,8 @@
     /// Makes a policy the next generation.
     pub async fn apply(&self, policy_ini: &str) -> Result<PolicyRecord, DeploymentError> {
         let policy = policy_from_ini(RawFile::parse(Path::new("policy.ini"), policy_ini)?)?;
-        let edit = |current: &_| Ok(replace(current, &policy, &[]));
-        Ok(change(&self.store(), rand::random(), OnRace::Report, edit).await?)
+        let edit = |current: &_| Ok(replace_policy(current, &policy, &[]));
+        Ok(commit_edit(&self.store(), rand::random(), OnConflict::Abort, edit).await?)
     }
 
     /// A handle on the platform's store.
--- a/crates/demo/src/faults/configuration.rs
+++ b/crates/demo/src/faults/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_generations::{OnRace, change, withdraw};
+use pondwalk_generations::{OnConflict, commit_edit, withdraw};
 
 use super::{Finding, ask, eventually, plan, request};
 use crate::{day::DemoError, deployment::Deployment};
@@ -20,7 +20,7 @@
     let reply = ask(deployment, cut_off, &request("reached")).await;
     finding.expect(reply.whole, || format!("it does not serve: {reply:?}"));
     let edit = |policy: &_| withdraw(policy, &plan::OLD.to_owned());
-    change(&deployment.store(), rand::random(), OnRace::Repeat, edit).await?;
+    commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
     let refused = eventually(IN_FORCE_LIMIT, async || {
         let reply = ask(deployment, cut_off, &request("withdrawn")).await;
         reply.status == 503 && reply.ran == Some(serde_json::json!(false))
--- a/crates/demo/src/faults/orders.rs
+++ b/crates/demo/src/faults/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_generations::{OnRace, add_roll_out, change};
+use pondwalk_generations::{OnConflict, add_roll_out, commit_edit};
 use pondwalk_types::RollOut;
 use pondwalk_wire::{Order, OrderKind, OrderRefusal, connect};
 use tarpc::context;
@@ -46,7 +46,7 @@
         Finding::new("the conductor of a roll-out killed halfway: another one finishes it");
     let roll_out = RollOut { version: plan::NEW.to_owned(), replaces: plan::OLD.to_owned() };
     let edit = |policy: &_| add_roll_out(policy, &roll_out);
-    change(&deployment.store(), rand::random(), OnRace::Repeat, edit).await?;
+    commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
     let begun = eventually(ROLL_OUT_LIMIT, async || loaded(deployment) >= 1).await;
     finding.expect(begun, || "the roll-out never began".to_owned());
     let halfway = loaded(deployment) < deployment.servers.len();
--- a/crates/direct/src/conductor.rs
+++ b/crates/direct/src/conductor.rs
@@ -150,7 +150,7 @@
     /// Longest time until an entry hears what was just written to the store.
     fn time_to_hear(&self) -> Duration {
         let times = &self.core.settings.membership.times;
-        times.oldest_in_calm() + self.core.state.borrow().store_takes
+        times.normal_confirmation_age() + self.core.state.borrow().store_takes
     }
 
     fn awaits_word_of(&self, service: &ServiceId) -> bool {
@@ -207,7 +207,7 @@
             self.tell_bad(service);
         }
         let mut told = None;
-        if written == Err(StoreError::AnswerLost) {
+        if written == Err(StoreError::ResponseLost) {
             let until = self.core.clock.now() + self.time_to_hear();
             self.unanswered.borrow_mut().insert(service.clone(), until);
         }
--- a/crates/direct/src/conductor/learn.rs
+++ b/crates/direct/src/conductor/learn.rs
@@ -1,7 +1,7 @@
 //! What entries learn of roll-outs from the store: orders, stages, doubts and kept sessions.
 
 use pondwalk_decide::direct::{RollOut, Stage};
-use pondwalk_store::Fetched;
+use pondwalk_store::StoreEntry;
 use serde::de::DeserializeOwned;
 
 use super::{
@@ -18,7 +18,7 @@
 
 impl Conductor {
     /// Learns the last change of a key, or that the key is gone.
-    pub fn learn_revision(&self, key: &str, entry: Option<&Fetched>) {
+    pub fn learn_revision(&self, key: &str, entry: Option<&StoreEntry>) {
         if is_usage_key(key) && key == self.usage_key() {
             self.core.learn_usage_record(entry);
         }
@@ -83,7 +83,7 @@
     }
 
     /// Forgets the revisions of keys that a whole reading does not show.
-    pub fn forget_all_but(&self, entries: &[Fetched]) {
+    pub fn forget_all_but(&self, entries: &[StoreEntry]) {
         let usage_key = self.usage_key();
         if entries.iter().all(|entry| entry.key != usage_key) {
             self.core.learn_usage_record(None);
--- a/crates/direct/src/facts.rs
+++ b/crates/direct/src/facts.rs
@@ -3,7 +3,7 @@
 use std::{future::Future, pin::Pin, rc::Rc, time::Duration};
 
 use pondwalk_decide::direct::{FencingToken, UsageCounts, WindowId};
-use pondwalk_store::{Fetched, StorePort};
+use pondwalk_store::{StoreEntry, StorePort};
 use pondwalk_types::{DataCentreId, ServerId, VersionId};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -136,7 +136,7 @@
 
 impl Port {
     /// Reads an entry that exists.
-    pub fn read_entry(&self, entry: &Fetched) -> Result<Fact, UnreadableFact> {
+    pub fn read_entry(&self, entry: &StoreEntry) -> Result<Fact, UnreadableFact> {
         (self.read)(&entry.key, Some(&entry.value))
     }
 }
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -17,7 +17,7 @@
     time::Duration,
 };
 
-use pondwalk_store::{Fetched, Listing, Position, StoreError, StoreEvent, WatchReply};
+use pondwalk_store::{Listing, Position, StoreEntry, StoreError, StoreEvent, WatchReply};
 use pondwalk_types::{DataCentreId, ServerId};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -186,7 +186,7 @@
         self.core.state.borrow_mut().replica.extend(events, position);
     }
 
-    fn take_whole(&mut self, entries: &[Fetched], position: Position) {
+    fn take_whole(&mut self, entries: &[StoreEntry], position: Position) {
         self.takes_copy = self.is_restored(position);
         if self.takes_copy {
             self.note_restored(entries, position);
@@ -224,7 +224,7 @@
             Ok(answered) => self.take_listing(answered).await,
             Err(_) => {
                 if !self.listing.is_moving() {
-                    self.note_failure(&StoreError::AnswerLost);
+                    self.note_failure(&StoreError::ResponseLost);
                 }
                 None
             }
@@ -312,7 +312,7 @@
     }
 
     /// The store was restored from a copy, and lacks what was written to it after that.
-    fn note_restored(&mut self, entries: &[Fetched], position: Position) {
+    fn note_restored(&mut self, entries: &[StoreEntry], position: Position) {
         let mut state = self.core.state.borrow_mut();
         let before = state.replica.position();
         // NB: a store that is restored was away, even if nobody noticed.
--- a/crates/direct/src/follow/asking.rs
+++ b/crates/direct/src/follow/asking.rs
@@ -6,7 +6,7 @@
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
-use pondwalk_store::{PortCall, Position, Progress, StoreError};
+use pondwalk_store::{PortCall, Position, ReadProgress, StoreError};
 use tokio::{
     sync::Notify,
     task::{AbortHandle, Id, JoinError, JoinSet},
@@ -48,7 +48,7 @@
     id: Id,
     asked: Asked,
     started: Instant,
-    progress: Progress,
+    progress: ReadProgress,
     task: AbortHandle,
 }
 
@@ -147,7 +147,9 @@
 
 impl Call {
     fn is_moving(&self) -> bool {
-        let (Some(first), Some(last)) = (self.progress.first(), self.progress.last()) else {
+        let (Some(first), Some(last)) =
+            (self.progress.first_byte_at(), self.progress.last_byte_at())
+        else {
             return false;
         };
         let limit = MOVING_LIMIT + (first - self.started);
@@ -168,14 +170,14 @@
         tokio::select! {
             biased;
             answer = &mut call => return answer,
-            () = progress.moved() => {
+            () = progress.changed() => {
                 end = Instant::now() + limit;
                 moved.notify_one();
             }
             () = sleep_until(end) => {
                 return Err(match progress.bytes() {
-                    0 => StoreError::AnswerLost,
-                    bytes => StoreError::AnswerStopped(bytes),
+                    0 => StoreError::ResponseLost,
+                    bytes => StoreError::ResponseStalled(bytes),
                 });
             }
         }
--- a/crates/direct/src/follow/learn.rs
+++ b/crates/direct/src/follow/learn.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use pondwalk_store::{Fetched, StoreEvent};
+use pondwalk_store::{StoreEntry, StoreEvent};
 use pondwalk_types::DataCentreId;
 
 use super::{Follower, Heard, report::Learned};
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn learn_written(&self, entry: &Fetched) {
+    pub(super) fn learn_written(&self, entry: &StoreEntry) {
         self.conductor.learn_revision(&entry.key, Some(entry));
         self.learn_peer(&entry.key, Some(&entry.value));
         match self.port.read_entry(entry) {
@@ -198,7 +198,7 @@
     }
 
     /// Forgets the servers and evacuations that a whole reading does not show.
-    pub(super) fn forget_all_but(&self, entries: &[Fetched]) {
+    pub(super) fn forget_all_but(&self, entries: &[StoreEntry]) {
         let mut shown = HashSet::new();
         let mut evacuated = HashSet::new();
         for entry in entries {
--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/others.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 use tokio::time::Instant;
 
 use super::{Follower, Heard, report::Learned, watching::NO_WAIT};
@@ -122,11 +122,12 @@
     fn give_up_at(&self) -> Instant {
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
-        let too_old = state.freshness.confirmed().unwrap_or_default() + times.oldest_told;
+        let too_old =
+            state.freshness.confirmed().unwrap_or_default() + times.max_peer_confirmation_age;
         // NB: where the store answers late every state is as old, and told anew at each interval.
         let hold = match state.store_takes > times.exchange {
-            true => times.hold_while_old.max(times.confirm_interval + times.exchange),
-            false => times.hold_while_old,
+            true => times.stale_hold_time.max(times.confirm_interval + times.exchange),
+            false => times.stale_hold_time,
         };
         let until = too_old.max(self.core.clock.now() + hold) + times.exchange;
         self.core.clock.instant(until)
@@ -155,7 +156,7 @@
         self.learns_from = Heard::FromOthers;
         let news = std::mem::take(&mut told.news);
         if told.whole {
-            let entries: Vec<Fetched> =
+            let entries: Vec<StoreEntry> =
                 told.into_events().into_iter().filter_map(written).collect();
             self.take_whole(&entries, position);
         } else {
@@ -169,7 +170,7 @@
     }
 }
 
-fn written(event: StoreEvent) -> Option<Fetched> {
+fn written(event: StoreEvent) -> Option<StoreEntry> {
     match event {
         StoreEvent::Written(entry) => Some(entry),
         StoreEvent::Removed { .. } => None,
--- a/crates/direct/src/follow/watching.rs
+++ b/crates/direct/src/follow/watching.rs
@@ -172,7 +172,7 @@
         let from = oldest.max(confirmed);
         let is_silent = self.core.clock.now().saturating_sub(from) > limit;
         if is_silent && !self.watching.is_moving() && !self.lost {
-            self.note_failure(&StoreError::AnswerLost);
+            self.note_failure(&StoreError::ResponseLost);
         }
     }
 }
--- a/crates/direct/src/membership/message.rs
+++ b/crates/direct/src/membership/message.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
@@ -61,7 +61,7 @@
     pub fn into_event(self) -> StoreEvent {
         match self.value {
             Some(value) => {
-                StoreEvent::Written(Fetched { key: self.key, value, revision: self.revision })
+                StoreEvent::Written(StoreEntry { key: self.key, value, revision: self.revision })
             }
             None => StoreEvent::Removed { key: self.key, revision: self.revision },
         }
--- a/crates/direct/src/membership/replica.rs
+++ b/crates/direct/src/membership/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 
 use super::{KeyChange, MessageError, message};
 
@@ -33,7 +33,7 @@
 
 impl Replica {
     /// Starts anew with everything that was read at `position`.
-    pub fn restart(&mut self, entries: &[Fetched], position: Position) {
+    pub fn restart(&mut self, entries: &[StoreEntry], position: Position) {
         *self = Replica { start: position.revision, position, ..Replica::default() };
         entries.iter().for_each(|entry| self.hold(entry));
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    fn hold(&mut self, entry: &Fetched) {
+    fn hold(&mut self, entry: &StoreEntry) {
         let value = Bytes::copy_from_slice(&entry.value);
         self.held.insert(entry.key.clone(), Held { value, revision: entry.revision });
     }
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -177,7 +177,7 @@
         }
         let too_old_at = too_old_at(core);
         // NB: an entry that has lost its way may be about to find another.
-        let give_up = too_old_at.unwrap_or_default().max(held_from + times.hold_while_old);
+        let give_up = too_old_at.unwrap_or_default().max(held_from + times.stale_hold_time);
         if timeout_at(core.clock.instant(give_up), something_new).await.is_err() {
             return None;
         }
@@ -190,8 +190,9 @@
 /// that it holds would reach nobody.
 fn too_old_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let oldest_told = core.settings.membership.times.oldest_told + state.store_takes;
-    state.freshness.confirmed().map(|at| at + oldest_told)
+    let max_peer_confirmation_age =
+        core.settings.membership.times.max_peer_confirmation_age + state.store_takes;
+    state.freshness.confirmed().map(|at| at + max_peer_confirmation_age)
 }
 
 /// Whether the asker gains anything by an answer now.
--- a/crates/direct/src/notice.rs
+++ b/crates/direct/src/notice.rs
@@ -7,7 +7,7 @@
     header::{HeaderName, RETRY_AFTER},
 };
 use pondwalk_decide::direct::{LimitWord, ServerLimit};
-use pondwalk_types::read_retry_after;
+use pondwalk_types::parse_retry_after;
 
 use crate::dialect::Dialect;
 
@@ -40,7 +40,8 @@
         // NB: a 429 that ran is an answer to the caller, about the caller's own rate.
         let asks_entry = status == StatusCode::SERVICE_UNAVAILABLE
             || (not_run && status == StatusCode::TOO_MANY_REQUESTS);
-        let backoff = text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(read_retry_after);
+        let backoff =
+            text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(parse_retry_after);
         let leaves = text(headers, &dialect.leaving).is_some_and(|text| text == "1");
         let limit = limit_word(dialect, headers, status.is_success() && is_authentic);
         Notice { leaves, backoff, limit }
--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -83,7 +83,7 @@
     let entry = Entry::new(settings, dialect, port, upstream::over_tcp(), journal, rand::random());
     let core = entry.core();
     let membership = &core.settings.membership;
-    let longest_answer_ms = |bound| membership.times.longest_answer(bound).as_millis() as u64;
+    let longest_answer_ms = |bound| membership.times.max_store_response(bound).as_millis() as u64;
     let event = LifeEvent::Started {
         data_centre: &core.settings.data_centre,
         callers: core.settings.callers,
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -15,7 +15,7 @@
     CallEnd, DueWindows, Reporter, ReporterOrder, ReporterRecord, ReporterStep, TrueTime,
     UsageCounts, UsageMeter, UsageTotals, WindowId, WriteEnd,
 };
-use pondwalk_store::{Change, Era, Expect, Fetched, StoreError};
+use pondwalk_store::{Change, Era, Expect, StoreEntry, StoreError};
 use serde::Serialize;
 use tokio::time::sleep;
 
@@ -207,7 +207,7 @@
     }
 
     /// Hears what the store holds of the task, or that its record is gone.
-    pub fn learn_usage_record(&self, entry: Option<&Fetched>) {
+    pub fn learn_usage_record(&self, entry: Option<&StoreEntry>) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut reporter = usage.reporter.borrow_mut();
@@ -346,7 +346,7 @@
         // NB: the record of an era before is read by nobody any more.
         Ok(position) if position.era != era => WriteEnd::Unknown,
         Ok(position) => WriteEnd::Done(position.revision),
-        Err(StoreError::AnswerLost | StoreError::AnswerStopped(_) | StoreError::Malformed) => {
+        Err(StoreError::ResponseLost | StoreError::ResponseStalled(_) | StoreError::Malformed) => {
             WriteEnd::Unknown
         }
         Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseLapsed) => {
--- a/crates/direct/tests/acts_as_one.rs
+++ b/crates/direct/tests/acts_as_one.rs
@@ -67,7 +67,7 @@
         prepare(&world, 60);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         let mut rng = SmallRng::seed_from_u64(4);
         // NB: single changes at any point of a wait, and bursts such as servers leaving together.
         for _ in 0..120 {
@@ -141,7 +141,7 @@
         prepare(&world, 3);
         let entries = net.start_many(&world, 40, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         for late_ms in (10..450).step_by(10) {
             world.list_server(1, "s", "v1", "ready");
             let seen = oldest_within(&entries, Duration::from_millis(late_ms)).await;
@@ -288,7 +288,7 @@
         }
         sleep(Duration::from_secs(1)).await;
         let seen = oldest_within(&entries, Duration::from_secs(5)).await;
-        assert!(seen <= world.entry_times().oldest_in_calm(), "{seen:?}");
+        assert!(seen <= world.entry_times().normal_confirmation_age(), "{seen:?}");
     });
 }
 
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -16,7 +16,7 @@
     membership::{FORMAT, Replica, State, StateHead},
     upstream::{BoxedDuplex, Connect, Opening},
 };
-use pondwalk_store::{Fetched, Position};
+use pondwalk_store::{Position, StoreEntry};
 use tokio::{
     io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf, duplex},
     task::spawn_local,
@@ -32,7 +32,7 @@
 
 /// A whole state with these keys, all last changed at its revision, as another entry of these tests tells it.
 pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> State {
-    let entry = |(key, value): &(&str, &str)| Fetched {
+    let entry = |(key, value): &(&str, &str)| StoreEntry {
         key: (*key).to_owned(),
         value: value.as_bytes().to_vec(),
         revision,
--- a/crates/direct/tests/membership_messages.rs
+++ b/crates/direct/tests/membership_messages.rs
@@ -6,7 +6,7 @@
 use pondwalk_direct::membership::{
     ClockOffset, FORMAT, KeyChange, MessageError, Replica, State, StateHead,
 };
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 use quickcheck::{Gen, QuickCheck};
 
 const STORE: SocketAddr =
@@ -21,8 +21,8 @@
     StoreEvent::Written(fetched(key, revision))
 }
 
-fn fetched(key: &str, revision: u64) -> Fetched {
-    Fetched { key: key.to_owned(), value: b"v".to_vec(), revision }
+fn fetched(key: &str, revision: u64) -> StoreEntry {
+    StoreEntry { key: key.to_owned(), value: b"v".to_vec(), revision }
 }
 
 fn removed(key: &str, revision: u64) -> StoreEvent {
@@ -48,7 +48,7 @@
 
 fn whole_state() -> State {
     let mut replica = Replica::default();
-    let entries: Vec<Fetched> = (0..300).map(|n| fetched(&format!("servers/{n}"), n)).collect();
+    let entries: Vec<StoreEntry> = (0..300).map(|n| fetched(&format!("servers/{n}"), n)).collect();
     replica.restart(&entries, at(300));
     State { head: head(300), body: replica.whole().expect("it packs"), news: Vec::new() }
 }
@@ -212,7 +212,7 @@
 #[test]
 fn a_state_that_unpacks_to_more_than_is_borne_is_refused() {
     let mut replica = Replica::default();
-    let large = Fetched { key: "a".to_owned(), value: vec![0; 20 * 1024 * 1024], revision: 1 };
+    let large = StoreEntry { key: "a".to_owned(), value: vec![0; 20 * 1024 * 1024], revision: 1 };
     replica.restart(&[large], at(1));
     let state = State { head: head(1), body: replica.whole().expect("it packs"), news: Vec::new() };
     assert!(state.body.len() < 100_000);
--- a/crates/direct/tests/survives_late_answers.rs
+++ b/crates/direct/tests/survives_late_answers.rs
@@ -112,7 +112,7 @@
         world.configure_large(catalog_with_keys(2, &["k1"]), LARGE);
         let time = until_in_force(&entries, 2).await;
         let read = Duration::from_secs_f64(LARGE as f64 / (20.0 * NARROW as f64));
-        assert!(time <= world.entry_times().oldest_in_calm() + read, "{time:?}");
+        assert!(time <= world.entry_times().normal_confirmation_age() + read, "{time:?}");
     });
 }
 
@@ -125,7 +125,7 @@
             world.store.set_weather(Weather::Late(answer));
             sleep(Duration::from_secs(10)).await;
             let times = world.entry_times();
-            let bound = answer + times.oldest_in_calm() + STEP;
+            let bound = answer + times.normal_confirmation_age() + STEP;
             for version in 2..8 {
                 sleep(Duration::from_millis(700 + 170 * version)).await;
                 world.configure(catalog_with_keys(version, &["k1"]));
@@ -269,7 +269,7 @@
             world.store.set_weather(Weather::Late(answer));
             sleep(Duration::from_secs(7)).await;
             world.list_server(1, "s", "v1", "draining");
-            sleep(answer + world.entry_times().oldest_in_calm() + STEP).await;
+            sleep(answer + world.entry_times().normal_confirmation_age() + STEP).await;
             let knows = |entry: &&Entry| entry.gathered_lines().contains("Draining");
             assert_eq!(entries.iter().filter(knows).count(), entries.len(), "at {answer_ms} ms");
         });
--- a/crates/direct/tests/suspended.rs
+++ b/crates/direct/tests/suspended.rs
@@ -75,7 +75,7 @@
             assert!(age >= LONG, "{age:?}");
         }
         sleep(Duration::from_secs(3)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         for entry in &entries {
             let age = entry.state_age().expect("a state");
             assert!(age <= bound, "{age:?} is older than {bound:?}");
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers: pieces on their way to the caller, and whole ones put together.
 
 use bytes::Bytes;
-use pondwalk_types::{Ran, Refusal, TokenUsage, VersionId};
+use pondwalk_types::{Executed, Refusal, TokenUsage, VersionId};
 use serde_json::{Map, Value, json};
 
 /// One piece of an answer on its way to the caller.
@@ -36,13 +36,13 @@
     /// The reason.
     pub refusal: Refusal,
     /// Whether any of it ran.
-    pub ran: Ran,
+    pub ran: Executed,
 }
 
 impl Failure {
     /// A refusal of something that has truly not run.
     pub fn not_run(refusal: Refusal) -> Self {
-        Failure { refusal, ran: Ran::No }
+        Failure { refusal, ran: Executed::No }
     }
 }
 
--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::HashMap, sync::Mutex};
 
-use pondwalk_ledger::{Bill, BillBook, bills};
+use pondwalk_ledger::{Bill, BillBuffer, bills};
 use pondwalk_store::{Store, StoreError};
 use pondwalk_threads::lock;
 use pondwalk_types::{Incarnation, RequestId, ServerId};
@@ -25,14 +25,14 @@
 /// Bills of this process.
 #[derive(Debug)]
 pub struct Bills {
-    book: Mutex<BillBook>,
+    book: Mutex<BillBuffer>,
     holders: Mutex<HashMap<RequestId, ServerId>>,
 }
 
 impl Bills {
     /// No bills yet.
     pub fn new(writer: Incarnation) -> Self {
-        Bills { book: Mutex::new(BillBook::new(writer)), holders: Mutex::default() }
+        Bills { book: Mutex::new(BillBuffer::new(writer)), holders: Mutex::default() }
     }
 
     /// Bills not known to be durable.
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
 use pondwalk_config::PolicyRecord;
-use pondwalk_generations::{OnRace, change, withdraw};
+use pondwalk_generations::{OnConflict, commit_edit, withdraw};
 use pondwalk_threads::lock;
 use pondwalk_types::VersionState;
 use pondwalk_wire::Configuration;
@@ -119,7 +119,7 @@
                 continue;
             }
             let edit = |policy: &_| withdraw(policy, &version);
-            match change(&core.store, rand::random(), OnRace::Repeat, edit).await {
+            match commit_edit(&core.store, rand::random(), OnConflict::Retry, edit).await {
                 Ok(record) => {
                     let cause = format!("{cause:?}");
                     spdlog::warn!("version stopped", kv: { version = version.as_str(), cause = cause.as_str() });
--- a/crates/entry/src/http/chat.rs
+++ b/crates/entry/src/http/chat.rs
@@ -43,7 +43,7 @@
 
 /// What a caller gets when serving its request ended without a word.
 pub fn cut() -> Failure {
-    Failure { refusal: pondwalk_types::Refusal::Cut, ran: pondwalk_types::Ran::Unknown }
+    Failure { refusal: pondwalk_types::Refusal::Cut, ran: pondwalk_types::Executed::Unknown }
 }
 
 /// Headers that come with every answer.
--- a/crates/entry/src/http/errors.rs
+++ b/crates/entry/src/http/errors.rs
@@ -4,7 +4,7 @@
     Response,
     http::{StatusCode, header},
 };
-use pondwalk_types::{Ran, Refusal, refusal::BadRequest};
+use pondwalk_types::{Executed, Refusal, refusal::BadRequest};
 use serde_json::{Value, json};
 
 use crate::answer::Failure;
@@ -15,9 +15,9 @@
 /// The failure's JSON form.
 pub fn body(failure: &Failure) -> Value {
     let ran = match failure.ran {
-        Ran::No => json!(false),
-        Ran::Yes => json!(true),
-        Ran::Unknown => json!("unknown"),
+        Executed::No => json!(false),
+        Executed::Yes => json!(true),
+        Executed::Unknown => json!("unknown"),
     };
     json!({
         "error": {
@@ -47,7 +47,7 @@
     }
 }
 
-fn status(refusal: &Refusal, ran: Ran) -> StatusCode {
+fn status(refusal: &Refusal, ran: Executed) -> StatusCode {
     match refusal {
         Refusal::UnknownCaller => StatusCode::UNAUTHORIZED,
         Refusal::VersionNotAllowed(_) | Refusal::TaskNotAllowed | Refusal::BadSessionPin => {
@@ -60,7 +60,7 @@
         Refusal::DuplicateKey | Refusal::VersionWithdrawn(_) | Refusal::VersionRetiring(_) => {
             StatusCode::CONFLICT
         }
-        _ if ran == Ran::No => StatusCode::SERVICE_UNAVAILABLE,
+        _ if ran == Executed::No => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -15,8 +15,8 @@
 use pondwalk_threads::lock;
 use pondwalk_types::{AttemptId, Generation, Incarnation, Refusal, ServerId, VersionId};
 use pondwalk_wire::{
-    AgentClient, AgentNews, AgentStatus, Configuration, Frame, FrameBatch, FrameKind, RunKey,
-    StartReply, StartRequest, TakeFrames, connect,
+    AgentClient, AgentSnapshot, AgentStatus, Configuration, FetchFrames, Frame, FrameBatch,
+    FrameKind, RunKey, StartReply, StartRequest, connect,
 };
 use tarpc::client::RpcError;
 use tokio::{sync::mpsc, task::AbortHandle, time::Instant};
@@ -135,7 +135,7 @@
         let client = lock(&self.state).client.clone()?;
         let reply = client.start(call_context(), request).await;
         if let Ok(reply) = &reply {
-            self.absorb(&reply.news);
+            self.absorb(&reply.snapshot);
         }
         Some(reply)
     }
@@ -185,10 +185,10 @@
         let client = connect(self.address).await.ok()?;
         let status = client.status(call_context()).await.ok()?;
         let mut state = lock(&self.state);
-        let replaced = state.agent != 0 && state.agent != status.news.incarnation;
+        let replaced = state.agent != 0 && state.agent != status.snapshot.incarnation;
         state.client = Some(client);
         state.lost_since = None;
-        state.agent = status.news.incarnation;
+        state.agent = status.snapshot.incarnation;
         if replaced {
             state.acknowledged = 0;
             state.attempts.clear();
@@ -203,25 +203,25 @@
         {
             let mut state = lock(&self.state);
             state.versions = status.versions.clone();
-            state.hosting_changes = status.news.hosting_changes;
+            state.hosting_changes = status.snapshot.hosting_changes;
         }
         let report = ServerReport {
             server: self.server.clone(),
             data_centre: status.data_centre.clone(),
             versions: status.versions.clone(),
             slots: status.slots,
-            load: Some(status.news.load),
+            load: Some(status.snapshot.load),
         };
         let now = core.now();
         lock(&core.router).server_seen(now, &report);
-        self.absorb(&status.news);
+        self.absorb(&status.snapshot);
     }
 
     async fn fetch_frames(&self) {
         while let Some((client, request)) = self.next_take() {
             match client.take(context(TAKE_WAIT + TAKE_MARGIN), request).await {
                 Ok(batch) => {
-                    let changed = self.hosting_changed(&batch.news);
+                    let changed = self.hosting_changed(&batch.snapshot);
                     self.dispatch(batch);
                     if changed && !self.ask_hosting(&client).await {
                         return;
@@ -232,8 +232,8 @@
         }
     }
 
-    fn hosting_changed(&self, news: &AgentNews) -> bool {
-        lock(&self.state).hosting_changes != news.hosting_changes
+    fn hosting_changed(&self, snapshot: &AgentSnapshot) -> bool {
+        lock(&self.state).hosting_changes != snapshot.hosting_changes
     }
 
     /// Asks again what the server hosts; tells whether the agent answered.
@@ -245,11 +245,11 @@
         true
     }
 
-    fn next_take(&self) -> Option<(AgentClient, TakeFrames)> {
+    fn next_take(&self) -> Option<(AgentClient, FetchFrames)> {
         let entry = self.core.upgrade()?.incarnation;
         let state = lock(&self.state);
         let acknowledged = state.acknowledged;
-        Some((state.client.clone()?, TakeFrames { entry, acknowledged, wait: TAKE_WAIT }))
+        Some((state.client.clone()?, FetchFrames { entry, acknowledged, wait: TAKE_WAIT }))
     }
 
     fn dispatch(&self, batch: FrameBatch) {
@@ -267,22 +267,22 @@
         if let Some(core) = self.core.upgrade() {
             (0..late).for_each(|_| core.count("frames.late"));
         }
-        self.absorb(&batch.news);
+        self.absorb(&batch.snapshot);
     }
 
     /// Takes in what the agent says of itself.
-    fn absorb(&self, news: &AgentNews) {
-        lock(&self.state).generation = news.generation;
+    fn absorb(&self, snapshot: &AgentSnapshot) {
+        lock(&self.state).generation = snapshot.generation;
         let Some(core) = self.core.upgrade() else {
             return;
         };
         let now = core.now();
         let mut router = lock(&core.router);
-        router.server_load(now, &self.server, news.load);
-        if news.draining {
+        router.server_load(now, &self.server, snapshot.load);
+        if snapshot.draining {
             router.server_leaving(&self.server);
         }
-        for version in &news.tripped {
+        for version in &snapshot.tripped {
             router.trip(now, version, Trip::Agent);
         }
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -5,7 +5,7 @@
 use pondwalk_decide::{Flight, Next, Receipt, Request, Step};
 use pondwalk_ledger::{Bill, BillItem, ClaimTicket};
 use pondwalk_threads::lock;
-use pondwalk_types::{Ran, Refusal};
+use pondwalk_types::{Executed, Refusal};
 use pondwalk_wire::RatingReport;
 use tokio::sync::mpsc;
 
@@ -37,7 +37,8 @@
     );
     let arrived = core.now();
     let traffic = core.traffic.clone();
-    let serving = Serving { core, incoming, out, arrived, answers: Vec::new(), began: Ran::No };
+    let serving =
+        Serving { core, incoming, out, arrived, answers: Vec::new(), began: Executed::No };
     traffic.spawn(tracing::Instrument::instrument(serving.run(), span));
     pieces
 }
@@ -50,7 +51,7 @@
     /// Answers by the number of the run that gave them.
     answers: Vec<Option<Answer>>,
     /// What is known of whether anything has run.
-    began: Ran,
+    began: Executed,
 }
 
 /// How a request ended.
@@ -81,7 +82,7 @@
 
     fn settle_claim(&self, outcome: &Outcome, ticket: Option<ClaimTicket>) {
         let delivered = matches!(outcome, Outcome::Delivered);
-        if !delivered && self.began == Ran::No {
+        if !delivered && self.began == Executed::No {
             claim::release(&self.core, ticket);
         }
     }
@@ -185,14 +186,14 @@
         match end {
             StepEnd::Whole(answer, done) => {
                 let next = router.finished(now, flight, done);
-                self.began = Ran::Yes;
+                self.began = Executed::Yes;
                 self.answers.resize(flight.runs().saturating_sub(1), None);
                 self.answers.push(Some(answer));
                 Ok(next)
             }
             StepEnd::NotRun(refusal) => Ok(router.refused(now, &mut rng, flight, refusal)),
             StepEnd::Broken { refusal, ran, shown } => {
-                self.began = if self.began == Ran::Yes { Ran::Yes } else { ran };
+                self.began = if self.began == Executed::Yes { Executed::Yes } else { ran };
                 let next = router.failed(now, &mut rng, flight, ran, 0.0, refusal.clone());
                 if shown {
                     // NB: the caller has part of the answer, so another run cannot continue it.
@@ -206,7 +207,7 @@
                 Ok(Next::Deliver)
             }
             StepEnd::CallerGone => {
-                self.began = Ran::Unknown;
+                self.began = Executed::Unknown;
                 router.abandon(flight, 0.0);
                 Err(Outcome::CallerGone)
             }
--- a/crates/entry/src/spend.rs
+++ b/crates/entry/src/spend.rs
@@ -7,7 +7,7 @@
 };
 
 use pondwalk_decide::Router;
-use pondwalk_ledger::spend::{SLICES, give_back, take_slice};
+use pondwalk_ledger::spend::{SLICES, allocate_slice, release_unspent};
 use pondwalk_store::{Store, StoreError};
 use pondwalk_threads::lock;
 use pondwalk_types::WorkspaceId;
@@ -59,7 +59,7 @@
         if taken.used_up || enough() {
             return Ok(());
         }
-        let slice = take_slice(store, workspace, day, cap, rand::random()).await?;
+        let slice = allocate_slice(store, workspace, day, cap, rand::random()).await?;
         taken.used_up = slice == 0.0;
         taken.limit += slice;
         lock(router).set_spend_slice(workspace, Some(taken.limit));
@@ -73,7 +73,8 @@
             let unspent = taken.limit - lock(router).spent(&workspace).max(taken.spent_before);
             if unspent > 0.0 && taken.day == today() {
                 // NB: a slice that cannot be given back is lost to its day.
-                let _ = give_back(store, &workspace, taken.day, unspent, rand::random()).await;
+                let _ =
+                    release_unspent(store, &workspace, taken.day, unspent, rand::random()).await;
             }
         }
     }
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use pondwalk_decide::{Finished, Step};
-use pondwalk_types::{Ran, Refusal, Work};
+use pondwalk_types::{Executed, Refusal, Work};
 use pondwalk_wire::{FrameKind, RunKey, StartRequest};
 use tokio::sync::mpsc;
 
@@ -27,7 +27,7 @@
         /// The reason.
         refusal: Refusal,
         /// Whether it ran.
-        ran: Ran,
+        ran: Executed,
         /// Whether part of the answer has gone to the caller.
         shown: bool,
     },
@@ -111,7 +111,7 @@
             // NB: the agent may have the request although its reply did not come.
             Some(Err(_)) => Err(StepEnd::Broken {
                 refusal: Refusal::ContactLost,
-                ran: Ran::Unknown,
+                ran: Executed::Unknown,
                 shown: false,
             }),
             None => Err(StepEnd::NotRun(Refusal::ContactLost)),
@@ -167,12 +167,12 @@
                 }
                 FrameKind::Failed(refusal) => {
                     let lost = refusal == Refusal::ContactLost;
-                    let ran = if began && !lost { Ran::Yes } else { Ran::Unknown };
+                    let ran = if began && !lost { Executed::Yes } else { Executed::Unknown };
                     return StepEnd::Broken { refusal, ran, shown };
                 }
             }
         }
-        StepEnd::Broken { refusal: Refusal::ContactLost, ran: Ran::Unknown, shown }
+        StepEnd::Broken { refusal: Refusal::ContactLost, ran: Executed::Unknown, shown }
     }
 
     async fn show(&self, shown: &mut bool, answer: &Answer, data: Bytes) {
--- a/crates/entry/src/watcher.rs
+++ b/crates/entry/src/watcher.rs
@@ -9,7 +9,7 @@
 
 use pondwalk_config::{HEAD_KEY, PolicyRecord};
 use pondwalk_generations::{ChangeError, read_head};
-use pondwalk_store::{StoreError, Watched};
+use pondwalk_store::{StoreError, WatchOutcome};
 use pondwalk_wire::Configuration;
 use rand::Rng;
 use tokio::time::sleep;
@@ -80,8 +80,8 @@
             () = keep(&mut lease) => return,
         };
         match watched {
-            Ok(Watched::Quiet) => core.confirm(),
-            Ok(Watched::Changed(_)) => match take_over_head(core).await {
+            Ok(WatchOutcome::Unchanged) => core.confirm(),
+            Ok(WatchOutcome::Changed(_)) => match take_over_head(core).await {
                 Ok(seen) => revision = seen,
                 Err(_) => return,
             },
--- a/crates/generations/src/edits.rs
+++ b/crates/generations/src/edits.rs
@@ -18,7 +18,7 @@
 ///
 /// Withdrawals and roll-outs that were ordered meanwhile stay in force, since a file that knows
 /// nothing of them must not undo them; `reinstate` names the versions that it may bring back.
-pub fn replace(current: &Policy, file: &Policy, reinstate: &[VersionId]) -> Policy {
+pub fn replace_policy(current: &Policy, file: &Policy, reinstate: &[VersionId]) -> Policy {
     let mut next = file.clone();
     for (version, spec) in &current.versions {
         if let Some(named) = next.versions.get_mut(version)
--- a/crates/generations/src/lib.rs
+++ b/crates/generations/src/lib.rs
@@ -11,15 +11,15 @@
 use pondwalk_types::{Generation, Policy};
 use thiserror::Error;
 
-pub use edits::{EditError, add_roll_out, replace, withdraw};
+pub use edits::{EditError, add_roll_out, replace_policy, withdraw};
 
 /// What to do when another operator's change comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OnRace {
+pub enum OnConflict {
     /// Make the same edit on top of the other change.
-    Repeat,
+    Retry,
     /// Give up and say so.
-    Report,
+    Abort,
 }
 
 /// Why a change was not accepted.
@@ -33,7 +33,7 @@
     Unreadable,
     /// Another change was accepted meanwhile; nothing of this one was.
     #[error("another operator's change was accepted first, as generation {generation}")]
-    Raced {
+    Conflict {
         /// The other change's generation.
         generation: Generation,
     },
@@ -64,14 +64,14 @@
 ///
 /// `change_id` must be drawn anew for each change. An error other than a lost answer means that
 /// nothing was accepted.
-pub async fn change(
+pub async fn commit_edit(
     store: &Store,
     change_id: u64,
-    on_race: OnRace,
+    on_race: OnConflict,
     edit: impl Fn(&Policy) -> Result<Policy, EditError>,
 ) -> Result<PolicyRecord, ChangeError> {
     const TRIES: u32 = 8;
-    let mut last = ChangeError::Store(StoreError::AnswerLost);
+    let mut last = ChangeError::Store(StoreError::ResponseLost);
     let mut decided_on: Option<Generation> = None;
     for _ in 0..TRIES {
         let head = read_head(store).await?;
@@ -80,8 +80,8 @@
         }
         let generation = head.record.generation;
         let raced = decided_on.is_some_and(|before| before != generation);
-        if raced && on_race == OnRace::Report {
-            return Err(ChangeError::Raced { generation });
+        if raced && on_race == OnConflict::Abort {
+            return Err(ChangeError::Conflict { generation });
         }
         decided_on = Some(generation);
         let policy = edit(&head.record.policy)?;
--- a/crates/generations/tests/survives_store_faults.rs
+++ b/crates/generations/tests/survives_store_faults.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use pondwalk_generations::{
-    ChangeError, EditError, OnRace, add_roll_out, change, read_head, replace, withdraw,
+    ChangeError, EditError, OnConflict, add_roll_out, commit_edit, read_head, replace_policy,
+    withdraw,
 };
 use pondwalk_standin::{KvFaults, KvStore};
 use pondwalk_store::{Store, StoreError};
@@ -22,8 +23,8 @@
 }
 
 async fn apply(store: &Store, id: u64, policy: &Policy) -> Result<u64, ChangeError> {
-    let edit = |current: &Policy| Ok(replace(current, policy, &[]));
-    change(store, id, OnRace::Report, edit).await.map(|record| record.generation)
+    let edit = |current: &Policy| Ok(replace_policy(current, policy, &[]));
+    commit_edit(store, id, OnConflict::Abort, edit).await.map(|record| record.generation)
 }
 
 #[tokio::test(start_paused = true)]
@@ -63,7 +64,7 @@
     let store = store(&kv);
     let (one, other) = (policy(&["m/1"]), policy(&["m/2"]));
     let (a, b) = tokio::join!(apply(&store, 1, &one), apply(&store, 2, &other));
-    let raced = Err(ChangeError::Raced { generation: 1 });
+    let raced = Err(ChangeError::Conflict { generation: 1 });
     assert!((a == Ok(1) && b == raced) || (b == Ok(1) && a == raced), "{a:?} {b:?}");
 }
 
@@ -77,7 +78,7 @@
         let store = store.clone();
         async move {
             let edit = |policy: &Policy| withdraw(policy, &version.to_owned());
-            change(&store, id, OnRace::Repeat, edit).await.map(|record| record.generation)
+            commit_edit(&store, id, OnConflict::Retry, edit).await.map(|record| record.generation)
         }
     };
     let (a, b) = tokio::join!(take(2, "m/1"), take(3, "m/2"));
@@ -92,9 +93,9 @@
 fn a_file_does_not_undo_a_withdrawal_unless_told() {
     let file = policy(&["m/1", "m/2"]);
     let withdrawn = withdraw(&file, &"m/1".to_owned()).expect("known");
-    let kept = replace(&withdrawn, &file, &[]);
+    let kept = replace_policy(&withdrawn, &file, &[]);
     assert_eq!(kept.versions["m/1"].state, VersionState::Withdrawn);
-    let back = replace(&withdrawn, &file, &["m/1".to_owned()]);
+    let back = replace_policy(&withdrawn, &file, &["m/1".to_owned()]);
     assert_eq!(back.versions["m/1"].state, VersionState::Live);
 }
 
--- a/crates/ledger/src/bills.rs
+++ b/crates/ledger/src/bills.rs
@@ -54,17 +54,17 @@
 
 /// Bills that one process still has to write.
 #[derive(Debug)]
-pub struct BillBook {
+pub struct BillBuffer {
     writer: Incarnation,
     next_batch: u64,
     pending: VecDeque<Bill>,
     in_doubt: Option<Batch>,
 }
 
-impl BillBook {
+impl BillBuffer {
     /// An empty book of the process with this incarnation.
     pub fn new(writer: Incarnation) -> Self {
-        BillBook { writer, next_batch: 0, pending: VecDeque::new(), in_doubt: None }
+        BillBuffer { writer, next_batch: 0, pending: VecDeque::new(), in_doubt: None }
     }
 
     /// Adds a bill.
@@ -109,7 +109,7 @@
 ///
 /// The book is locked only before and after the write, so bills can be added meanwhile.
 pub async fn flush(
-    book: &std::sync::Mutex<BillBook>,
+    book: &std::sync::Mutex<BillBuffer>,
     store: &Store,
 ) -> Result<Vec<RequestId>, StoreError> {
     let lock = || book.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -170,7 +170,7 @@
     }
 
     /// Claims a key anew that its former holder released.
-    async fn take_over(&self, waiting: Waiting, found: pondwalk_store::Fetched, lease: u64) {
+    async fn take_over(&self, waiting: Waiting, found: pondwalk_store::StoreEntry, lease: u64) {
         let record: Option<ClaimRecord> = serde_json::from_slice(&found.value).ok();
         if !record.is_some_and(|record| record.state == ClaimState::Released) {
             let _ = waiting.done.send(Err(Refusal::DuplicateKey));
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -1,6 +1,6 @@
 //! Creating a key exactly once although answers may be lost.
 
-use pondwalk_store::{Change, Expect, Fetched, Store, StoreError};
+use pondwalk_store::{Change, Expect, Store, StoreEntry, StoreError};
 
 /// What became of an attempt to create a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// The key now holds our value, from this attempt or an earlier one; with its revision.
     Ours(u64),
     /// The key holds another value.
-    Others(Fetched),
+    Others(StoreEntry),
 }
 
 /// Creates a key with a value that nobody else would write, or finds out who did.
@@ -22,7 +22,7 @@
     lease: Option<u64>,
 ) -> Result<CreateOutcome, StoreError> {
     const TRIES: u32 = 3;
-    let mut last = StoreError::AnswerLost;
+    let mut last = StoreError::ResponseLost;
     for _ in 0..TRIES {
         let change =
             Change { key: key.to_owned(), value: value.to_vec(), expect: Expect::Absent, lease };
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,6 +6,6 @@
 mod commit;
 pub mod spend;
 
-pub use bills::{Bill, BillBook, BillItem, Ledger, read_ledger};
+pub use bills::{Bill, BillBuffer, BillItem, Ledger, read_ledger};
 pub use claims::{ClaimTicket, Claims};
 pub use commit::{CreateOutcome, create_once};
--- a/crates/ledger/src/spend.rs
+++ b/crates/ledger/src/spend.rs
@@ -24,7 +24,7 @@
 /// Takes a slice of a workspace's cap for a day; zero if nothing is left.
 ///
 /// `change_id` must be drawn anew for each slice.
-pub async fn take_slice(
+pub async fn allocate_slice(
     store: &Store,
     workspace: &WorkspaceId,
     day: u64,
@@ -37,7 +37,7 @@
 }
 
 /// Gives back what was not spent of the slices taken.
-pub async fn give_back(
+pub async fn release_unspent(
     store: &Store,
     workspace: &WorkspaceId,
     day: u64,
@@ -59,7 +59,7 @@
     let hex: String = workspace.bytes().map(|byte| format!("{byte:02x}")).collect();
     let key = format!("{SPEND_PREFIX}{hex}/{day}");
     let mut moved = 0.0;
-    let mut last = StoreError::AnswerLost;
+    let mut last = StoreError::ResponseLost;
     for _ in 0..TRIES {
         let fetched = store.get(&key).await?;
         let expect = fetched.as_ref().map_or(Expect::Absent, |f| Expect::Revision(f.revision));
--- a/crates/ledger/tests/counts_once.rs
+++ b/crates/ledger/tests/counts_once.rs
@@ -3,7 +3,7 @@
 use std::{sync::Mutex, time::Duration};
 
 use futures::future::join_all;
-use pondwalk_ledger::{Bill, BillBook, BillItem, Claims, bills::flush, read_ledger};
+use pondwalk_ledger::{Bill, BillBuffer, BillItem, Claims, bills::flush, read_ledger};
 use pondwalk_standin::{KvFaults, KvStore};
 use pondwalk_store::{Store, StoreError};
 use pondwalk_types::Refusal;
@@ -22,7 +22,7 @@
 async fn a_lost_answer_does_not_bill_twice() {
     let kv = KvStore::default();
     let store = store(&kv);
-    let book = Mutex::new(BillBook::new(1));
+    let book = Mutex::new(BillBuffer::new(1));
     for request in 0..10 {
         book.lock().expect("sound").add(bill(request));
         kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
@@ -36,7 +36,7 @@
 async fn an_hour_without_the_store_loses_no_bill() {
     let kv = KvStore::default();
     let store = store(&kv);
-    let book = Mutex::new(BillBook::new(1));
+    let book = Mutex::new(BillBuffer::new(1));
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
     for minute in 0..60 {
         (0..100).for_each(|n| book.lock().expect("sound").add(bill(minute * 100 + n)));
@@ -57,7 +57,7 @@
     let kv = KvStore::default();
     let store = store(&kv);
     for writer in [1, 2] {
-        let book = Mutex::new(BillBook::new(writer));
+        let book = Mutex::new(BillBuffer::new(writer));
         book.lock().expect("sound").add(bill(1));
         flush(&book, &store).await.expect("written");
     }
--- a/crates/ledger/tests/keeps_spend_caps.rs
+++ b/crates/ledger/tests/keeps_spend_caps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use pondwalk_ledger::spend::{give_back, take_slice};
+use pondwalk_ledger::spend::{allocate_slice, release_unspent};
 use pondwalk_standin::{KvFaults, KvStore};
 use pondwalk_store::{Store, StoreError};
 
@@ -21,7 +21,7 @@
     for round in 0..30_u64 {
         let takers = (0..4).map(|n| {
             let (store, workspace) = (store(&kv), workspace.clone());
-            async move { take_slice(&store, &workspace, 1, CAP, round * 10 + n + 1).await }
+            async move { allocate_slice(&store, &workspace, 1, CAP, round * 10 + n + 1).await }
         });
         total += join_all(takers).await.into_iter().flatten().sum::<f64>();
     }
@@ -33,11 +33,11 @@
     let kv = KvStore::default();
     let (store, workspace) = (store(&kv), "w".to_owned());
     kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
-    let slice = take_slice(&store, &workspace, 1, CAP, 7).await.expect("settled");
+    let slice = allocate_slice(&store, &workspace, 1, CAP, 7).await.expect("settled");
     assert!((slice - CAP / 40.0).abs() < 1e-9);
     let mut rest = 0.0;
     for id in 100..200 {
-        rest += take_slice(&store, &workspace, 1, CAP, id).await.expect("up");
+        rest += allocate_slice(&store, &workspace, 1, CAP, id).await.expect("up");
     }
     assert!((slice + rest - CAP).abs() < 1e-6);
 }
@@ -47,19 +47,19 @@
     let kv = KvStore::default();
     let (store, workspace) = (store(&kv), "w".to_owned());
     for id in 1..=40 {
-        take_slice(&store, &workspace, 1, CAP, id).await.expect("up");
+        allocate_slice(&store, &workspace, 1, CAP, id).await.expect("up");
     }
-    assert_eq!(take_slice(&store, &workspace, 1, CAP, 50).await, Ok(0.0));
-    give_back(&store, &workspace, 1, 1.5, 51).await.expect("up");
-    let slice = take_slice(&store, &workspace, 1, CAP, 52).await.expect("up");
+    assert_eq!(allocate_slice(&store, &workspace, 1, CAP, 50).await, Ok(0.0));
+    release_unspent(&store, &workspace, 1, 1.5, 51).await.expect("up");
+    let slice = allocate_slice(&store, &workspace, 1, CAP, 52).await.expect("up");
     assert!((slice - 1.5).abs() < 1e-9);
-    assert!(take_slice(&store, &workspace, 2, CAP, 53).await.expect("up") > 0.0, "a new day");
+    assert!(allocate_slice(&store, &workspace, 2, CAP, 53).await.expect("up") > 0.0, "a new day");
 }
 
 #[tokio::test(start_paused = true)]
 async fn without_the_store_there_is_no_slice() {
     let kv = KvStore::default();
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
-    let slice = take_slice(&store(&kv), &"w".to_owned(), 1, CAP, 1).await;
+    let slice = allocate_slice(&store(&kv), &"w".to_owned(), 1, CAP, 1).await;
     assert_eq!(slice, Err(StoreError::Unreachable));
 }
--- a/crates/pondwalk/src/commands/full/change.rs
+++ b/crates/pondwalk/src/commands/full/change.rs
@@ -2,7 +2,7 @@
 
 use pondwalk_config::{PolicyRecord, RawFile, policy_from_ini};
 use pondwalk_generations::{
-    EditError, OnRace, add_roll_out, change, replace, withdraw as withdraw_edit,
+    EditError, OnConflict, add_roll_out, commit_edit, replace_policy, withdraw as withdraw_edit,
 };
 use pondwalk_types::{Policy, RollOut};
 use serde_json::json;
@@ -21,28 +21,28 @@
 /// Makes a policy file the next generation.
 pub fn apply(options: &ApplyOptions) -> anyhow::Result<Exit> {
     let file = policy_from_ini(RawFile::load(&options.policy)?)?;
-    let edit = |current: &Policy| Ok(replace(current, &file, &options.reinstate));
-    make(&options.change, OnRace::Report, edit)
+    let edit = |current: &Policy| Ok(replace_policy(current, &file, &options.reinstate));
+    make(&options.change, OnConflict::Abort, edit)
 }
 
 /// Starts a roll-out.
 pub fn roll_out(options: &RollOutOptions) -> anyhow::Result<Exit> {
     let roll_out = RollOut { version: options.version.clone(), replaces: options.replaces.clone() };
-    make(&options.change, OnRace::Repeat, |current| add_roll_out(current, &roll_out))
+    make(&options.change, OnConflict::Retry, |current| add_roll_out(current, &roll_out))
 }
 
 /// Withdraws a version.
 pub fn withdraw(options: &WithdrawOptions) -> anyhow::Result<Exit> {
-    make(&options.change, OnRace::Repeat, |current| withdraw_edit(current, &options.version))
+    make(&options.change, OnConflict::Retry, |current| withdraw_edit(current, &options.version))
 }
 
 fn make(
     options: &ChangeOptions,
-    on_race: OnRace,
+    on_race: OnConflict,
     edit: impl Fn(&Policy) -> Result<Policy, EditError>,
 ) -> anyhow::Result<Exit> {
     block_on(async {
-        let record = change(&store(options.store), rand::random(), on_race, edit).await?;
+        let record = commit_edit(&store(options.store), rand::random(), on_race, edit).await?;
         let behind = wait_in_force(options, &record).await;
         print(options, &record, &behind);
         Ok(if behind.is_empty() { Exit::Success } else { Exit::Unmet })
--- a/crates/pondwalk/src/commands/full/status.rs
+++ b/crates/pondwalk/src/commands/full/status.rs
@@ -116,7 +116,7 @@
 async fn ask_agent(address: SocketAddr) -> Option<(Generation, Option<u32>)> {
     let agent = connect(address).await.ok()?;
     let status = agent.status(tarpc::context::current()).await.ok()?;
-    Some((status.news.generation, Some(status.news.load)))
+    Some((status.snapshot.generation, Some(status.snapshot.load)))
 }
 
 fn to_json(head: &Head, processes: &[ProcessStatus]) -> Value {
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pondwalk_decide::{Finished, Flight, Next, Receipt, Request, Router, ServerReport, Step};
-use pondwalk_types::{Generation, Policy, Ran, Refusal, VersionId};
+use pondwalk_types::{Executed, Generation, Policy, Refusal, VersionId};
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
@@ -167,7 +167,7 @@
         &mut self,
         now: Duration,
         flight: &mut DriverFlight,
-        ran: Ran,
+        ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) -> Next {
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -201,7 +201,7 @@
         let mut unmet = Vec::new();
         for outcome in &outcomes.0 {
             let seen = figure(&report, &outcome.path);
-            if !seen.is_some_and(|seen| outcome.holds(seen)) {
+            if !seen.is_some_and(|seen| outcome.is_met(seen)) {
                 unmet.push(Unmet { outcome: outcome.clone(), seen });
             }
         }
--- a/crates/replay/src/simulation/changes.rs
+++ b/crates/replay/src/simulation/changes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_types::{Ran, Refusal, RollOut, VersionId, VersionState};
+use pondwalk_types::{Executed, Refusal, RollOut, VersionId, VersionState};
 
 use super::{Simulation, book::Run};
 use crate::events::RunIx;
@@ -55,7 +55,7 @@
         let cut: Vec<RunIx> = (0..self.runs.len()).filter(|run| there(&self.runs[*run])).collect();
         for run in cut {
             let spent = self.close_run(now, run);
-            self.failed(now, run, Ran::Unknown, spent, Refusal::ContactLost);
+            self.failed(now, run, Executed::Unknown, spent, Refusal::ContactLost);
         }
     }
 }
--- a/crates/replay/src/simulation/runs.rs
+++ b/crates/replay/src/simulation/runs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pondwalk_decide::{Admission, Admitted, Finished, Step};
-use pondwalk_types::{Ran, Refusal, TokenUsage, VersionState};
+use pondwalk_types::{Executed, Refusal, TokenUsage, VersionState};
 use rand::Rng;
 
 use super::{
@@ -96,7 +96,7 @@
         let spent = self.close_run(now, run);
         self.free_slot(now, self.runs[run].server);
         if self.runs[run].outcome.failed {
-            self.failed(now, run, Ran::Yes, spent, Refusal::BackendFailed);
+            self.failed(now, run, Executed::Yes, spent, Refusal::BackendFailed);
             return;
         }
         let request = self.runs[run].request;
@@ -120,7 +120,7 @@
         &mut self,
         now: Duration,
         run: RunIx,
-        ran: Ran,
+        ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) {
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -90,7 +90,7 @@
             let store = store.clone();
             Box::pin(async move {
                 let call = store.call(path, body);
-                tokio::time::timeout(wait, call).await.unwrap_or(Err(StoreError::AnswerLost))
+                tokio::time::timeout(wait, call).await.unwrap_or(Err(StoreError::ResponseLost))
             })
         })
     }
@@ -145,7 +145,7 @@
             return Ok(reply);
         }
         faults.lost_answers -= 1;
-        Err(StoreError::AnswerLost)
+        Err(StoreError::ResponseLost)
     }
 
     async fn watch(&self, body: &str) -> Result<String, StoreError> {
--- a/crates/standin/src/memory_store.rs
+++ b/crates/standin/src/memory_store.rs
@@ -12,8 +12,8 @@
 };
 
 use pondwalk_store::{
-    Change, Era, Expect, Fetched, Listing, PortCall, Position, Progress, StoreError, StoreEvent,
-    StorePort, WatchReply,
+    Change, Era, Expect, Listing, PortCall, Position, ReadProgress, StoreEntry, StoreError,
+    StoreEvent, StorePort, WatchReply,
 };
 use tokio::{
     sync::Notify,
@@ -199,7 +199,7 @@
         self.state.borrow().calls
     }
 
-    async fn list(&self, prefix: &str, progress: &Progress) -> Result<Listing, StoreError> {
+    async fn list(&self, prefix: &str, progress: &ReadProgress) -> Result<Listing, StoreError> {
         self.meet_weather().await?;
         let listing = self.state.borrow().listing(prefix);
         self.carry(listing.entries.iter().map(|entry| entry.value.len()).sum(), progress).await;
@@ -211,7 +211,7 @@
         prefix: &str,
         since: u64,
         wait: Duration,
-        progress: &Progress,
+        progress: &ReadProgress,
     ) -> Result<WatchReply, StoreError> {
         self.meet_weather().await?;
         let until = Instant::now() + wait;
@@ -228,7 +228,7 @@
                 return Ok(WatchReply::Changes(Vec::new(), position));
             }
             if !self.weather().lets_watches_wait() {
-                return self.meet_weather().await.and(Err(StoreError::AnswerLost));
+                return self.meet_weather().await.and(Err(StoreError::ResponseLost));
             }
         }
     }
@@ -240,11 +240,11 @@
             self.changed.notify_waiters();
         }
         match self.weather() {
-            Weather::AnswersLost if done.is_ok() => return Err(StoreError::AnswerLost),
+            Weather::AnswersLost if done.is_ok() => return Err(StoreError::ResponseLost),
             Weather::Late(time) => {
                 sleep(time.min(WRITE_LIMIT)).await;
                 if time > WRITE_LIMIT {
-                    return Err(StoreError::AnswerLost);
+                    return Err(StoreError::ResponseLost);
                 }
             }
             _ => {}
@@ -263,7 +263,7 @@
             Weather::Refused => Err(StoreError::Unreachable),
             Weather::Silent(time) => {
                 sleep(time).await;
-                Err(StoreError::AnswerLost)
+                Err(StoreError::ResponseLost)
             }
             Weather::Slow(time) => {
                 sleep(time).await;
@@ -274,7 +274,7 @@
     }
 
     /// Lets an answer of so many bytes come over the link.
-    async fn carry(&self, bytes: usize, progress: &Progress) {
+    async fn carry(&self, bytes: usize, progress: &ReadProgress) {
         match self.weather() {
             Weather::Late(time) => sleep(time).await,
             Weather::Narrow(bytes_per_s) => self.carry_narrowly(bytes, bytes_per_s, progress).await,
@@ -283,7 +283,7 @@
     }
 
     /// Lets it come in pieces, between which those of other answers come.
-    async fn carry_narrowly(&self, bytes: usize, bytes_per_s: u64, progress: &Progress) {
+    async fn carry_narrowly(&self, bytes: usize, bytes_per_s: u64, progress: &ReadProgress) {
         let mut left = bytes;
         while left > 0 {
             let piece = left.min(PIECE_BYTES);
@@ -292,7 +292,7 @@
             let done = self.link_free.get().map_or(now, |free| free.max(now)) + time;
             self.link_free.set(Some(done));
             sleep_until(done).await;
-            progress.note(piece);
+            progress.record(piece);
             left -= piece;
         }
     }
@@ -323,7 +323,7 @@
 
     fn listing(&self, prefix: &str) -> Listing {
         let found = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
-        let entries = found.map(|(key, (value, revision))| Fetched {
+        let entries = found.map(|(key, (value, revision))| StoreEntry {
             key: key.clone(),
             value: value.clone(),
             revision: *revision,
@@ -372,7 +372,7 @@
         let events: Vec<StoreEvent> = newer
             .filter(|(_, key, _)| key.starts_with(prefix))
             .map(|(revision, key, value)| match value {
-                Some(value) => StoreEvent::Written(Fetched {
+                Some(value) => StoreEvent::Written(StoreEntry {
                     key: key.clone(),
                     value: value.clone(),
                     revision: *revision,
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -19,7 +19,7 @@
     server::conn::http1, service::service_fn,
 };
 use hyper_util::rt::TokioIo;
-use pondwalk_store::{Change, Expect, Fetched, StoreError, StoreEvent, WatchReply};
+use pondwalk_store::{Change, Expect, StoreEntry, StoreError, StoreEvent, WatchReply};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, task::spawn_local, time::sleep};
@@ -290,7 +290,7 @@
     let prefix = query.get("path_prefix").cloned().unwrap_or_default();
     let after = query.get("since_revision").cloned().unwrap_or_default();
     let listing = (store.port().list)(prefix).await?;
-    let left: Vec<&Fetched> = listing.entries.iter().filter(|entry| entry.key > after).collect();
+    let left: Vec<&StoreEntry> = listing.entries.iter().filter(|entry| entry.key > after).collect();
     let page: Vec<Value> = left.iter().take(PAGE).map(|entry| item(entry)).collect();
     let truncated = left.len() > PAGE;
     let body = json!({
@@ -345,7 +345,7 @@
     }
 }
 
-fn item(entry: &Fetched) -> Value {
+fn item(entry: &StoreEntry) -> Value {
     json!({
         "private_key": entry.key, "data": STANDARD.encode(&entry.value),
         "revision": entry.revision, "created": entry.revision, "lease_id": 0
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -23,10 +23,10 @@
     Unreachable,
     /// The answer was lost; a write may have taken effect.
     #[error("the store's answer was lost")]
-    AnswerLost,
+    ResponseLost,
     /// The answer stopped coming after so many bytes.
     #[error("the store's answer stopped after {0} bytes")]
-    AnswerStopped(usize),
+    ResponseStalled(usize),
     /// The store answered with something that cannot be read.
     #[error("the store's answer cannot be read")]
     Malformed,
@@ -43,7 +43,7 @@
 
 /// A value read, with the revision to compare with on the next write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fetched {
+pub struct StoreEntry {
     /// Full key.
     pub key: String,
     /// Value.
@@ -76,11 +76,11 @@
 
 /// What a watch brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchOutcome {
     /// The keys that changed.
-    Changed(Vec<Fetched>),
+    Changed(Vec<StoreEntry>),
     /// Nothing changed within the wait.
-    Quiet,
+    Unchanged,
 }
 
 /// Handle on the platform's key-value service.
@@ -103,12 +103,12 @@
     }
 
     /// Reads one key.
-    pub async fn get(&self, key: &str) -> Result<Option<Fetched>, StoreError> {
+    pub async fn get(&self, key: &str) -> Result<Option<StoreEntry>, StoreError> {
         Ok(self.range(key, String::new()).await?.pop())
     }
 
     /// Reads all keys that start with `prefix`, in key order.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<Fetched>, StoreError> {
+    pub async fn list(&self, prefix: &str) -> Result<Vec<StoreEntry>, StoreError> {
         self.range(prefix, prefix_end(prefix)).await
     }
 
@@ -148,7 +148,7 @@
         prefix: &str,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchOutcome, StoreError> {
         let create_request = WatchCreate {
             key: STANDARD.encode(prefix),
             range_end: STANDARD.encode(prefix_end(prefix)),
@@ -158,14 +158,14 @@
         match self.call::<_, WatchReply>(WATCH_PATH, &body, wait).await {
             Ok(reply) => {
                 let kvs = reply.result.events.iter().map(|event| fetched(&event.kv));
-                Ok(Watched::Changed(kvs.collect::<Result<_, _>>()?))
+                Ok(WatchOutcome::Changed(kvs.collect::<Result<_, _>>()?))
             }
-            Err(StoreError::AnswerLost) => Ok(Watched::Quiet),
+            Err(StoreError::ResponseLost) => Ok(WatchOutcome::Unchanged),
             Err(error) => Err(error),
         }
     }
 
-    async fn range(&self, key: &str, end: String) -> Result<Vec<Fetched>, StoreError> {
+    async fn range(&self, key: &str, end: String) -> Result<Vec<StoreEntry>, StoreError> {
         let request = RangeRequest { key: STANDARD.encode(key), range_end: STANDARD.encode(end) };
         let reply: RangeReply = self.call(RANGE_PATH, &request, self.timeout).await?;
         reply.kvs.iter().map(fetched).collect()
@@ -216,9 +216,9 @@
     }
 }
 
-fn fetched(kv: &KeyValue) -> Result<Fetched, StoreError> {
+fn fetched(kv: &KeyValue) -> Result<StoreEntry, StoreError> {
     let key = STANDARD.decode(&kv.key).map_err(|_| StoreError::Malformed)?;
-    Ok(Fetched {
+    Ok(StoreEntry {
         key: String::from_utf8(key).map_err(|_| StoreError::Malformed)?,
         value: STANDARD.decode(&kv.value).map_err(|_| StoreError::Malformed)?,
         revision: number(&kv.mod_revision)?,
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -33,9 +33,9 @@
         if path == WATCH_PATH {
             return first_events(reply).await;
         }
-        reply.text().await.map_err(|_| StoreError::AnswerLost)
+        reply.text().await.map_err(|_| StoreError::ResponseLost)
     };
-    tokio::time::timeout(wait, exchange).await.unwrap_or(Err(StoreError::AnswerLost))
+    tokio::time::timeout(wait, exchange).await.unwrap_or(Err(StoreError::ResponseLost))
 }
 
 /// Reads a watch's stream up to the first line that carries a change.
@@ -43,7 +43,7 @@
     let mut stream = reply.bytes_stream();
     let mut pending = Vec::new();
     while let Some(chunk) = stream.next().await {
-        pending.extend_from_slice(&chunk.map_err(|_| StoreError::AnswerLost)?);
+        pending.extend_from_slice(&chunk.map_err(|_| StoreError::ResponseLost)?);
         while let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = pending.drain(..=end).collect();
             let line = String::from_utf8(line).map_err(|_| StoreError::Malformed)?;
@@ -52,7 +52,7 @@
             }
         }
     }
-    Err(StoreError::AnswerLost)
+    Err(StoreError::ResponseLost)
 }
 
 fn classify(error: reqwest::Error) -> StoreError {
@@ -61,5 +61,5 @@
     if error.is_connect() || unavailable {
         return StoreError::Unreachable;
     }
-    StoreError::AnswerLost
+    StoreError::ResponseLost
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,10 +13,10 @@
 mod http;
 mod port;
 
-pub use client::{Change, Expect, Fetched, Store, StoreError, Transport, Watched};
+pub use client::{Change, Expect, Store, StoreEntry, StoreError, Transport, WatchOutcome};
 #[cfg(feature = "gateway")]
 pub use http::http_transport;
 pub use port::{
-    CommitCall, Era, ListCall, Listing, PortCall, PortFuture, Position, Progress, StoreEvent,
+    CommitCall, Era, ListCall, Listing, PortCall, PortFuture, Position, ReadProgress, StoreEvent,
     StorePort, WatchCall, WatchReply,
 };
--- a/crates/store/src/port.rs
+++ b/crates/store/src/port.rs
@@ -13,14 +13,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::{sync::Notify, time::Instant};
 
-use crate::client::{Change, Fetched, StoreError};
+use crate::client::{Change, StoreEntry, StoreError};
 
 /// Future of one call, on the thread that made it.
 pub type PortFuture<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>>>>;
 
 /// How far the answer to a call has come. Clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Progress {
+pub struct ReadProgress {
     inner: Rc<Come>,
 }
 
@@ -32,9 +32,9 @@
     moved: Notify,
 }
 
-impl Progress {
+impl ReadProgress {
     /// So many more bytes of the answer have come.
-    pub fn note(&self, bytes: usize) {
+    pub fn record(&self, bytes: usize) {
         self.inner.bytes.set(self.inner.bytes.get() + bytes);
         let now = Instant::now();
         self.inner.first.set(self.inner.first.get().or(Some(now)));
@@ -48,17 +48,17 @@
     }
 
     /// When the first of them came, if any has.
-    pub fn first(&self) -> Option<Instant> {
+    pub fn first_byte_at(&self) -> Option<Instant> {
         self.inner.first.get()
     }
 
     /// When the last of them came, if any has.
-    pub fn last(&self) -> Option<Instant> {
+    pub fn last_byte_at(&self) -> Option<Instant> {
         self.inner.last.get()
     }
 
     /// Waits for more of the answer, or returns at once if some came since the last wait.
-    pub async fn moved(&self) {
+    pub async fn changed(&self) {
         self.inner.moved.notified().await;
     }
 }
@@ -67,21 +67,21 @@
 /// a narrow link, so whoever waits judges by its progress.
 pub struct PortCall<T> {
     answer: PortFuture<T>,
-    progress: Progress,
+    progress: ReadProgress,
 }
 
 impl<T> PortCall<T> {
     /// Makes a call, which notes the progress of its answer.
-    pub fn new<F>(make: impl FnOnce(Progress) -> F) -> Self
+    pub fn new<F>(make: impl FnOnce(ReadProgress) -> F) -> Self
     where
         F: Future<Output = Result<T, StoreError>> + 'static,
     {
-        let progress = Progress::default();
+        let progress = ReadProgress::default();
         PortCall { answer: Box::pin(make(progress.clone())), progress }
     }
 
     /// How far its answer has come.
-    pub fn progress(&self) -> Progress {
+    pub fn progress(&self) -> ReadProgress {
         self.progress.clone()
     }
 }
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Keys with their values.
-    pub entries: Vec<Fetched>,
+    pub entries: Vec<StoreEntry>,
     /// Place from which a watch misses nothing: that of the first read.
     pub position: Position,
 }
@@ -131,7 +131,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreEvent {
     /// The key was written.
-    Written(Fetched),
+    Written(StoreEntry),
     /// The key is gone.
     Removed {
         /// The key.
--- a/crates/types/src/backoff.rs
+++ b/crates/types/src/backoff.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use crate::read_decimal;
+use crate::parse_decimal;
 
 /// Longest time for which one word keeps requests from a server. One that asks for hours or years would be lost
 /// for good; asked again after five minutes, it can repeat its word, and gets one request for each of them.
-pub const LONGEST_BACKOFF: Duration = Duration::from_secs(300);
+pub const MAX_SERVER_BACKOFF: Duration = Duration::from_secs(300);
 
 /// Reads the seconds of a `retry-after`, with fractions. A date, a number with a sign or an exponent and what is
 /// no number ask for nothing that can be kept to, and leave the pause to the reader.
-pub fn read_retry_after(text: &str) -> Option<Duration> {
-    let seconds = read_decimal(text)?;
+pub fn parse_retry_after(text: &str) -> Option<Duration> {
+    let seconds = parse_decimal(text)?;
     if seconds <= 0.0 {
         return None;
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,18 +1,18 @@
 //! Identifiers, units and the checked policy that all of pondwalk shares.
 
-pub mod answer;
 pub mod backoff;
 mod decimal;
 pub mod ids;
 pub mod policy;
 pub mod refusal;
+pub mod work;
 
-pub use answer::{TokenUsage, Work};
-pub use backoff::{LONGEST_BACKOFF, read_retry_after};
-pub use decimal::read_decimal;
+pub use backoff::{MAX_SERVER_BACKOFF, parse_retry_after};
+pub use decimal::parse_decimal;
 pub use ids::*;
 pub use policy::{
-    Policy, Price, RollOut, SessionOnWithdrawal, TaskPolicy, VersionSpec, VersionState,
+    Policy, Price, RollOut, TaskPolicy, VersionSpec, VersionState, WithdrawalPolicy,
     WorkspacePolicy,
 };
-pub use refusal::{Ran, Refusal};
+pub use refusal::{Executed, Refusal};
+pub use work::{TokenUsage, Work};
--- a/crates/types/src/policy.rs
+++ b/crates/types/src/policy.rs
@@ -67,7 +67,7 @@
 /// What becomes of a session whose version is withdrawn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SessionOnWithdrawal {
+pub enum WithdrawalPolicy {
     /// The session ends and a new one starts on another version; the caller is told.
     #[default]
     Restart,
@@ -93,7 +93,7 @@
     /// Weight of its fair share when servers are short.
     pub share_weight: f64,
     /// What becomes of its sessions on a withdrawn version.
-    pub on_withdrawal: SessionOnWithdrawal,
+    pub on_withdrawal: WithdrawalPolicy,
     /// SHA-256 digests, in lower-case hex, of the keys its callers present.
     pub keys_sha256: BTreeSet<String>,
 }
@@ -108,7 +108,7 @@
             spend_cap: None,
             priority: 5,
             share_weight: 1.0,
-            on_withdrawal: SessionOnWithdrawal::default(),
+            on_withdrawal: WithdrawalPolicy::default(),
             keys_sha256: BTreeSet::new(),
         }
     }
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -7,7 +7,7 @@
 
 /// Whether a backend server may have acted on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ran {
+pub enum Executed {
     /// No byte of the request reached a backend server.
     No,
     /// A backend server ran it.
@@ -140,7 +140,7 @@
     }
 
     /// Whether another backend server may succeed where this one refused.
-    pub fn worth_another_server(&self) -> bool {
+    pub fn is_retryable_elsewhere(&self) -> bool {
         matches!(
             self,
             Refusal::Overloaded { .. }
--- a/crates/types/tests/retry_after.rs
+++ b/crates/types/tests/retry_after.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use pondwalk_types::read_retry_after;
+use pondwalk_types::parse_retry_after;
 
 #[test]
 fn seconds_are_read_with_fractions() {
-    assert_eq!(read_retry_after("2"), Some(Duration::from_secs(2)));
-    assert_eq!(read_retry_after(" 0.25 "), Some(Duration::from_millis(250)));
-    assert_eq!(read_retry_after("86400"), Some(Duration::from_secs(86_400)));
+    assert_eq!(parse_retry_after("2"), Some(Duration::from_secs(2)));
+    assert_eq!(parse_retry_after(" 0.25 "), Some(Duration::from_millis(250)));
+    assert_eq!(parse_retry_after("86400"), Some(Duration::from_secs(86_400)));
     let digits = "9".repeat(400);
-    assert_eq!(read_retry_after(&digits), Some(Duration::MAX));
+    assert_eq!(parse_retry_after(&digits), Some(Duration::MAX));
 }
 
 #[test]
@@ -20,6 +20,6 @@
     let numbers =
         ["0", "0.0", "-1", "+2", "1e9", "2E3", "1.2.3", ".", "0x10", "1_000", "2s", "1,5"];
     for text in dates.into_iter().chain(words).chain(numbers) {
-        assert_eq!(read_retry_after(text), None, "{text}");
+        assert_eq!(parse_retry_after(text), None, "{text}");
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -61,12 +61,12 @@
     /// `None` if the run was admitted; otherwise why not, and it has truly not run.
     pub refusal: Option<Refusal>,
     /// What the agent says of itself.
-    pub news: AgentNews,
+    pub snapshot: AgentSnapshot,
 }
 
 /// What an agent says of itself with every reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AgentNews {
+pub struct AgentSnapshot {
     /// The agent process.
     pub incarnation: Incarnation,
     /// Generation in force there.
@@ -83,7 +83,7 @@
 
 /// Asks for the frames after `acknowledged`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakeFrames {
+pub struct FetchFrames {
     /// The entry that asks.
     pub entry: Incarnation,
     /// Highest sequence number received; frames up to it are forgotten.
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FrameBatch {
     /// What the agent says of itself.
-    pub news: AgentNews,
+    pub snapshot: AgentSnapshot,
     /// Frames with consecutive sequence numbers.
     pub frames: Vec<Frame>,
 }
@@ -151,7 +151,7 @@
     /// Requests run at a time.
     pub slots: u32,
     /// Load and generation.
-    pub news: AgentNews,
+    pub snapshot: AgentSnapshot,
 }
 
 /// One accepted configuration on its way between processes.
@@ -231,7 +231,7 @@
     /// Admits a run or refuses it.
     async fn start(request: StartRequest) -> StartReply;
     /// Returns frames, or none once the wait is over.
-    async fn take(request: TakeFrames) -> FrameBatch;
+    async fn take(request: FetchFrames) -> FrameBatch;
     /// Stops a run whose answer nobody wants any more.
     async fn cancel(run: RunKey);
     /// Holds a bill; the answer may be closed once this returns.
