--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -62,7 +62,7 @@
     /// Time within which an answer, or a stream's first event, is worth most.
     pub objective: Duration,
     /// Longest pause between events that keeps a stream in time.
-    pub event_pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Rank, 0 first.
     pub priority: u8,
     /// Models to choose from, smallest first; empty if the caller names one or none is needed.
@@ -206,7 +206,7 @@
     }
 
     /// Whether callers need keys at all.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.workspaces.is_empty()
     }
 
--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -79,7 +79,7 @@
     }
 
     /// Lets the time of day be as if it had been this at the start; for tests.
-    pub fn pretend_unix_ms(&self, at_start: u64) {
+    pub fn simulate_unix_ms(&self, at_start: u64) {
         self.made_up_unix_ms.set(Some(at_start));
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Lets so much time pass as if the machine had been suspended; for tests.
-    pub fn pretend_suspended(&self, time: Duration) {
+    pub fn simulate_suspension(&self, time: Duration) {
         self.made_up.set(self.made_up.get() + time);
     }
 }
--- a/crates/direct/src/conductor.rs
+++ b/crates/direct/src/coordinator.rs
@@ -32,10 +32,10 @@
 use crate::{
     catalog::ServiceId,
     core::Core,
-    facts::{Port, Progress},
-    journal::Rank,
+    event_log::LogPriority,
     membership::{MOST_SESSIONS, News},
     metrics::{Counter, StoreCause, Timer},
+    port::{Port, Progress},
 };
 
 /// Where the entries keep how far a roll-out has come, by service.
@@ -54,7 +54,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Follows all roll-outs.
-pub struct Conductor {
+pub struct Coordinator {
     core: Rc<Core>,
     port: Port,
     wake: Notify,
@@ -76,10 +76,10 @@
     turning_away_next: Cell<Duration>,
 }
 
-impl Conductor {
+impl Coordinator {
     /// Knows of no roll-outs yet.
     pub fn new(core: Rc<Core>, port: Port) -> Self {
-        Conductor {
+        Coordinator {
             core,
             port,
             wake: Notify::new(),
@@ -138,19 +138,19 @@
         if is_known_to_all && membership.ordered_steps {
             self.wait_in_order()
         } else {
-            SPREAD * self.core.roster.spread(SPREAD_STEPS) as u32 / SPREAD_STEPS as u32
+            SPREAD * self.core.members.spread(SPREAD_STEPS) as u32 / SPREAD_STEPS as u32
         }
     }
 
     /// How long this entry leaves to those before it what is due at all.
     pub(crate) fn wait_in_order(&self) -> Duration {
-        wait_in_order(self.core.roster.rank(), self.time_to_hear())
+        wait_in_order(self.core.members.rank(), self.time_to_hear())
     }
 
     /// Longest time until an entry hears what was just written to the store.
     fn time_to_hear(&self) -> Duration {
         let times = &self.core.settings.membership.times;
-        times.oldest_in_calm() + self.core.state.borrow().store_takes
+        times.oldest_in_calm() + self.core.state.borrow().store_latency
     }
 
     fn awaits_word_of(&self, service: &ServiceId) -> bool {
@@ -192,7 +192,7 @@
         };
         let outcome = outcome_at(stage);
         let progress = Progress { service: service.clone(), target: target.clone(), outcome };
-        let (progress_key, progress_value) = (self.port.write_progress)(&progress);
+        let (progress_key, progress_value) = (self.port.encode_progress)(&progress);
         let record = StageRecord { target, stage: stage.into() };
         // NB: two texts always serialize.
         let stage_value = serde_json::to_vec(&record).unwrap_or_default();
@@ -249,7 +249,7 @@
     /// Time between two tellings of what this entry has seen. All entries together tell no more
     /// often than a root can hear.
     fn telling_interval(&self) -> Duration {
-        (TELLING_OF_ONE * self.core.roster.count() as u32).max(LEAST_TELLING_INTERVAL)
+        (TELLING_OF_ONE * self.core.members.count() as u32).max(LEAST_TELLING_INTERVAL)
     }
 
     /// Weighs what has been seen of the versions on trial, and leaves those that are bad.
@@ -262,7 +262,7 @@
         drop(state);
         for service in bad {
             let event = RollOutEvent::FoundBadTogether { service: &service };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
             self.tell_bad(&service);
         }
     }
@@ -292,7 +292,7 @@
             }
             Err(error) => RollOutEvent::StepFailed { service, step, error: error.to_string() },
         };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// Writes to the store, counted and timed.
--- a/crates/direct/src/conductor/learn.rs
+++ b/crates/direct/src/coordinator/learn.rs
@@ -5,18 +5,18 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    Conductor, STAGE_PREFIX,
+    Coordinator, STAGE_PREFIX,
     records::{RollOutEvent, StageRecord},
 };
 use crate::{
     catalog::ServiceId,
-    facts::{Outcome, Progress, RollOutOrder},
-    journal::Rank,
+    event_log::LogPriority,
+    port::{Outcome, Progress, RollOutOrder},
     quarantine::QUARANTINE_KEY,
     usage::{is_usage_key, usage_key},
 };
 
-impl Conductor {
+impl Coordinator {
     /// Learns the last change of a key, or that the key is gone.
     pub fn learn_revision(&self, key: &str, entry: Option<&Fetched>) {
         if is_usage_key(key) && key == self.usage_key() {
@@ -49,7 +49,7 @@
         let now = self.core.clock.now();
         // NB: it is to be done in a time that runs from when it was given, not from when a late
         // answer told of it.
-        let given = now.saturating_sub(state.store_takes);
+        let given = now.saturating_sub(state.store_latency);
         let times = &self.core.settings.membership.times;
         let news = times.confirm_interval + times.exchange;
         let roll_out = RollOut::new(order.target.clone(), order.within, given, share, news);
@@ -64,7 +64,7 @@
         drop(state);
         let within_ms = order.within.as_millis() as u64;
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
         self.core.apply_news_of(service);
         self.apply_known(service);
     }
@@ -110,7 +110,7 @@
         if let Err(error) = &record {
             let (step, error) = (step.to_owned(), error.to_string());
             let event = RollOutEvent::StepFailed { service, step, error };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
         record.ok()
     }
@@ -151,6 +151,6 @@
         drop(state);
         let stage = after.map_or(String::new(), |stage| format!("{stage:?}").to_lowercase());
         let event = RollOutEvent::Stage { service, target: &target, stage: &stage };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 }
--- a/crates/direct/src/conductor/listing.rs
+++ b/crates/direct/src/coordinator/listing.rs
@@ -4,9 +4,9 @@
 
 use pondwalk_store::Change;
 
-use super::{Conductor, records::RollOutEvent};
+use super::{Coordinator, records::RollOutEvent};
 use crate::{
-    journal::Rank,
+    event_log::LogPriority,
     membership::{ENTRY_PREFIX, Listing, News, Source},
     metrics::StoreCause,
 };
@@ -18,7 +18,7 @@
 /// are listed together.
 const GATHER_TIME: Duration = Duration::from_millis(300);
 
-impl Conductor {
+impl Coordinator {
     /// Lists the entries that have told of their start, if it is this one's turn; `wait` is how long
     /// it leaves that to the others.
     pub(super) async fn list_joined(&self, wait: Duration) {
@@ -37,7 +37,7 @@
             if let Err(error) = self.commit(changes.collect(), StoreCause::Listing).await {
                 let key = format!("{ENTRY_PREFIX}{}", some[0].0);
                 let event = RollOutEvent::NotListed { key, error: error.to_string() };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
                 // NB: whoever is not listed in the end lists itself.
                 return;
             }
@@ -52,7 +52,7 @@
         // NB: an entry that is not listed is asked by nobody, and tries again.
         if let Err(error) = self.commit(vec![change], StoreCause::Listing).await {
             let event = RollOutEvent::NotListed { key, error: error.to_string() };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
@@ -63,11 +63,11 @@
     /// Entries that started this long ago and are not listed where they are.
     fn unlisted(&self, at_least: Duration) -> Vec<(String, Listing)> {
         let now = self.core.clock.now();
-        let news = self.core.news.borrow();
+        let news = self.core.gossip.borrow();
         let mut unlisted = Vec::new();
         for (age, item) in news.all(now) {
             let News::Joined { listing } = item.news else { continue };
-            if age >= at_least && !self.core.roster.is_stored(&item.origin, listing) {
+            if age >= at_least && !self.core.members.is_stored(&item.origin, listing) {
                 unlisted.retain(|(name, _)| *name != item.origin);
                 unlisted.push((item.origin.clone(), listing));
             }
--- a/crates/direct/src/conductor/quarantine.rs
+++ b/crates/direct/src/coordinator/quarantine.rs
@@ -5,9 +5,9 @@
     time::Duration,
 };
 
-use super::Conductor;
+use super::Coordinator;
 use crate::{
-    journal::Rank,
+    event_log::LogPriority,
     membership::Source,
     metrics::StoreCause,
     quarantine::{MOST_STORED, QUARANTINE_KEY, QuarantineEvent, StoredQuarantine},
@@ -26,7 +26,7 @@
     write_from: Cell<Duration>,
 }
 
-impl Conductor {
+impl Coordinator {
     /// Forgets what the store held.
     pub(super) fn forget_stored_quarantine(&self) {
         self.kept.stored.take();
@@ -39,7 +39,7 @@
             // NB: another writer's, or another version's; whatever is held here is written over it.
             Err(error) => return self.note_not_stored(error.to_string()),
         };
-        self.core.hear_ends(&stored.ends, stored.age(self.core.clock.unix_ms()));
+        self.core.receive_crashes(&stored.ends, stored.age(self.core.clock.unix_ms()));
         *self.kept.stored.borrow_mut() = stored;
     }
 
@@ -69,9 +69,10 @@
             Ok(position) => {
                 let revision = position.revision;
                 let ends = record.ends.len();
-                self.core
-                    .journal
-                    .note(Rank::State, &QuarantineEvent::QuarantineStored { ends, revision });
+                self.core.event_log.record(
+                    LogPriority::State,
+                    &QuarantineEvent::QuarantineStored { ends, revision },
+                );
             }
             // NB: the watch brings what another entry wrote; what is missing then is still due.
             Err(error) => self.note_not_stored(error.to_string()),
@@ -94,6 +95,8 @@
     }
 
     fn note_not_stored(&self, error: String) {
-        self.core.journal.note(Rank::State, &QuarantineEvent::QuarantineNotStored { error });
+        self.core
+            .event_log
+            .record(LogPriority::State, &QuarantineEvent::QuarantineNotStored { error });
     }
 }
--- a/crates/direct/src/conductor/restored.rs
+++ b/crates/direct/src/coordinator/restored.rs
@@ -5,10 +5,10 @@
 
 use pondwalk_decide::direct::{Move, RollOut, Stage};
 
-use super::Conductor;
-use crate::{catalog::ServiceId, facts::Outcome};
+use super::Coordinator;
+use crate::{catalog::ServiceId, port::Outcome};
 
-impl Conductor {
+impl Coordinator {
     /// Forgets what the store held before it was restored; what it holds now is learned next.
     pub fn forget_stored(&self) {
         self.stages.borrow_mut().clear();
--- a/crates/direct/src/conductor/turning_away.rs
+++ b/crates/direct/src/coordinator/turning_away.rs
@@ -8,8 +8,8 @@
 
 use pondwalk_types::VersionId;
 
-use super::{Conductor, records::RollOutEvent};
-use crate::{catalog::ServiceId, journal::Rank};
+use super::{Coordinator, records::RollOutEvent};
+use crate::{catalog::ServiceId, event_log::LogPriority};
 
 /// Time after which such a version is told as one, and left if it is on trial. Servers ask for pauses of a few
 /// seconds while they are full; one that has just started is full for as long at most.
@@ -22,7 +22,7 @@
 /// Versions that turn everything away, by service.
 pub type TurningAway = BTreeSet<(ServiceId, VersionId)>;
 
-impl Conductor {
+impl Coordinator {
     /// Tells of versions that begin or cease to turn everything away, and leaves one that is on trial.
     pub(super) fn look_for_turning_away(&self) {
         let now = self.core.clock.now();
@@ -34,12 +34,12 @@
         let known = self.turning_away.replace(found.clone());
         for (service, version) in found.difference(&known) {
             let event = RollOutEvent::TurnsAway { service, version };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
             self.leave_on_trial(service, version);
         }
         for (service, version) in known.difference(&found) {
             let event = RollOutEvent::TakesAgain { service, version };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -15,11 +15,11 @@
 use crate::{
     clock::Clock,
     dialect::Dialect,
-    journal::Journal,
+    event_log::EventLog,
     membership::{LEAST_INFORMED, NewsLog, Outbox, Roster, Source, roots},
     metrics::Metrics,
     permits::PermitState,
-    quarantine::{GivenBack, HeldThoughGood, SeenEnds},
+    quarantine::{PendingClearances, ReleasedProbes, SeenCrashes},
     state::State,
     upstream::Connect,
     usage::Usage,
@@ -27,11 +27,11 @@
 
 /// Whether the process is to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stopping {
+pub enum ShutdownPhase {
     /// It is not.
-    No,
+    Running,
     /// Callers are asked to go elsewhere; work is still taken.
-    Leaving,
+    Draining,
     /// Only work is taken whose own time limit ends before this one does.
     Closing {
         /// When the process ends, on its own clock.
@@ -50,37 +50,37 @@
     /// Opens connections to backend servers.
     pub connect: Connect,
     /// Logs.
-    pub journal: Journal,
+    pub event_log: EventLog,
     /// Counters.
     pub metrics: Metrics,
     /// Whether the process is to end.
-    pub stopping: Cell<Stopping>,
+    pub shutdown: Cell<ShutdownPhase>,
     /// The entries that are listed.
-    pub roster: Roster,
+    pub members: Roster,
     /// Random number of this life of the process, by which other entries tell it from the next.
     pub incarnation: u64,
     /// Entry that told the first state, as long as no other is known.
-    pub told_by: Cell<Option<SocketAddr>>,
+    pub initial_source: Cell<Option<SocketAddr>>,
     /// News that all entries are to hear.
-    pub news: RefCell<NewsLog>,
+    pub gossip: RefCell<NewsLog>,
     /// News that only goes up the tree.
-    pub news_for_above: RefCell<NewsLog>,
+    pub gossip_for_parents: RefCell<NewsLog>,
     /// Items of news that this entry has told.
-    pub news_told: Cell<u64>,
+    pub gossip_sent: Cell<u64>,
     /// News to be passed on.
     pub outbox: Outbox,
     /// Wakes those that wait for a confirmation or for news.
-    pub something_new: Notify,
+    pub state_changed: Notify,
     /// Requests under way.
-    pub under_way: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// Ends of servers seen a moment ago.
-    pub seen_ends: SeenEnds,
+    pub seen_crashes: SeenCrashes,
     /// Contents that others hold and that came to a good end here.
-    pub held_though_good: HeldThoughGood,
+    pub pending_clearances: PendingClearances,
     /// Permits granted for servers that name a rate limit.
     pub permits: PermitState,
     /// Leave to run that is to be given back.
-    pub given_back: GivenBack,
+    pub released_probes: ReleasedProbes,
     /// Usage that is counted and reported, where the deployment asks for that.
     pub usage: Option<Usage>,
     /// What changes.
@@ -94,11 +94,11 @@
         dialect: Dialect,
         clock: Clock,
         connect: Connect,
-        journal: Journal,
+        event_log: EventLog,
         seed: u64,
     ) -> Self {
         let state = State::new(&settings, seed);
-        let roster = Roster::new(&settings);
+        let members = Roster::new(&settings);
         let incarnation = SmallRng::seed_from_u64(seed).random();
         let usage = settings.usage.map(|usage| Usage::new(&settings.name, incarnation, usage));
         Core {
@@ -106,22 +106,22 @@
             dialect,
             clock,
             connect,
-            journal,
+            event_log,
             metrics: Metrics::default(),
-            stopping: Cell::new(Stopping::No),
-            roster,
+            shutdown: Cell::new(ShutdownPhase::Running),
+            members,
             incarnation,
-            told_by: Cell::new(None),
-            news: RefCell::new(NewsLog::for_all()),
-            news_for_above: RefCell::new(NewsLog::for_above()),
-            news_told: Cell::new(0),
+            initial_source: Cell::new(None),
+            gossip: RefCell::new(NewsLog::for_all()),
+            gossip_for_parents: RefCell::new(NewsLog::for_above()),
+            gossip_sent: Cell::new(0),
             outbox: Outbox::default(),
-            something_new: Notify::new(),
-            under_way: Cell::new(0),
-            seen_ends: SeenEnds::default(),
-            held_though_good: HeldThoughGood::default(),
+            state_changed: Notify::new(),
+            in_flight: Cell::new(0),
+            seen_crashes: SeenCrashes::default(),
+            pending_clearances: PendingClearances::default(),
             permits: PermitState::default(),
-            given_back: GivenBack::default(),
+            released_probes: ReleasedProbes::default(),
             usage,
             state: RefCell::new(state),
         }
@@ -138,7 +138,7 @@
     /// Where this entry learns of changes. While nobody is listed yet, the entry that told the first
     /// state tells the rest, and a seed must expect to be that one.
     pub fn source(&self) -> Source {
-        match (self.roster.source(self.clock.now()), self.told_by.get()) {
+        match (self.members.source(self.clock.now()), self.initial_source.get()) {
             (Source::StoreAlone, Some(address)) => {
                 Source::Entry { name: address.to_string(), address }
             }
@@ -155,19 +155,19 @@
 
     /// Entries to which news is passed on: the one that this entry asks, or the other roots. While
     /// nobody is listed yet, the seeds take the place of the roots.
-    pub fn above(&self) -> Vec<SocketAddr> {
+    pub fn parents(&self) -> Vec<SocketAddr> {
         match self.source() {
             Source::Entry { address, .. } => vec![address],
-            Source::Store if self.roster.count() == 0 => self.other_seeds().collect(),
-            Source::Store => self.roster.other_roots(self.clock.now()),
+            Source::Store if self.members.count() == 0 => self.other_seeds().collect(),
+            Source::Store => self.members.other_roots(self.clock.now()),
             Source::StoreAlone => Vec::new(),
         }
     }
 
     /// Whether all news that goes up reaches this entry: it asks the store, or stands next in order to.
-    pub fn hears_all_news(&self) -> bool {
+    pub fn receives_all_gossip(&self) -> bool {
         let asks_store = !matches!(self.source(), Source::Entry { .. });
-        asks_store || self.roster.rank() < roots(self.roster.count()).max(LEAST_INFORMED)
+        asks_store || self.members.rank() < roots(self.members.count()).max(LEAST_INFORMED)
     }
 
     /// Age of the last confirmation by the store that the state rests on, if any.
@@ -176,16 +176,16 @@
     }
 
     /// Whether nobody has confirmed this entry's state for so long, and `further`, that the store may be away.
-    pub fn is_out_of_date(&self, further: Duration) -> bool {
+    pub fn is_state_outdated(&self, further: Duration) -> bool {
         let state = self.state.borrow();
         // NB: where the store answers late to all, one more that asks it learns nothing sooner.
-        let limit = self.settings.membership.times.fallback_age + state.store_takes + further;
+        let limit = self.settings.membership.times.fallback_age + state.store_latency + further;
         state.freshness.age(self.clock.now()).is_none_or(|age| age > limit)
     }
 
     /// Lets the bounds over all entries be shared by the entries that are listed now.
-    pub fn share_bounds(&self) {
-        let names = self.roster.names();
+    pub fn update_bound_shares(&self) {
+        let names = self.members.names();
         self.state.borrow_mut().set_sharers(names.iter().map(String::as_str));
     }
 
@@ -208,10 +208,10 @@
             ("contents_remembered", state.quarantine.len() as u64),
             ("contents_held", state.quarantine.count_held(self.clock.now()) as u64),
             ("contents_given_way", state.quarantine.given_way()),
-            ("entries_listed", self.roster.count() as u64),
+            ("entries_listed", self.members.count() as u64),
             ("asks_store", u64::from(asks_store)),
             ("store_era", state.replica.position().era),
-            ("news_remembered", self.news.borrow().all(self.clock.now()).count() as u64),
+            ("news_remembered", self.gossip.borrow().all(self.clock.now()).count() as u64),
         ];
         drop(state);
         if let Some(age) = self.state_age() {
@@ -229,7 +229,7 @@
         let state = self.state.borrow();
         let Some(catalog) = &state.catalog else { return false };
         // NB: without keys there is nothing that an old configuration must not be trusted with.
-        let serves = !catalog.asks_for_keys() || state.freshness.honours_keys(self.clock.now());
-        self.stopping.get() == Stopping::No && serves
+        let serves = !catalog.requires_keys() || state.freshness.honours_keys(self.clock.now());
+        self.shutdown.get() == ShutdownPhase::Running && serves
     }
 }
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -52,7 +52,7 @@
 
 impl Dialect {
     /// The product's own names.
-    pub fn own() -> Self {
+    pub fn pondwalk() -> Self {
         let name = HeaderName::from_static;
         Dialect {
             request_id: name("x-request-id"),
--- a/crates/direct/src/leavers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use tokio::time::{sleep, timeout};
 
-use crate::{catalog::ServiceId, core::Core, journal::Rank};
+use crate::{catalog::ServiceId, core::Core, event_log::LogPriority};
 
 /// Time between two looks; a server that starts anew in place is mostly away for some seconds.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
@@ -36,7 +36,7 @@
 }
 
 /// Looks after servers that leave for as long as the process runs.
-pub async fn look_after_leavers(core: Rc<Core>) {
+pub async fn watch_draining_servers(core: Rc<Core>) {
     let mut first = 0;
     loop {
         sleep(LOOK_INTERVAL).await;
@@ -55,7 +55,7 @@
 
 /// Servers whose next life nobody could tell of.
 fn leavers(core: &Core) -> Vec<Leaver> {
-    if !core.is_out_of_date(Duration::ZERO) {
+    if !core.is_state_outdated(Duration::ZERO) {
         return Vec::new();
     }
     let now = core.clock.now();
@@ -83,6 +83,6 @@
     drop(state);
     if is_anew {
         let event = LeaverEvent::LeaverStartedAnew { server: &leaver.server };
-        core.journal.note(Rank::State, &event);
+        core.event_log.record(LogPriority::State, &event);
     }
 }
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -12,15 +12,16 @@
 
 use crate::{
     clock::Clock,
-    conductor::Conductor,
-    core::{Core, Stopping},
+    coordinator::Coordinator,
+    core::{Core, ShutdownPhase},
     dialect::Dialect,
-    facts::Port,
+    draining_servers::watch_draining_servers,
+    event_log::{EventLog, LogPriority},
     follow::follow,
     http::{self, Gate},
-    journal::{Journal, Rank},
-    leavers::look_after_leavers,
-    membership, quarantine,
+    membership,
+    port::Port,
+    quarantine,
     upstream::Connect,
     usage,
 };
@@ -61,7 +62,7 @@
         suspended_ms: new.as_millis() as u64,
         freshness_ms: core.state_age().map(|age| age.as_millis() as u64),
     };
-    core.journal.note(Rank::State, &event);
+    core.event_log.record(LogPriority::State, &event);
 }
 
 /// A step of a planned stop.
@@ -77,7 +78,7 @@
 #[derive(Clone)]
 pub struct Entry {
     core: Rc<Core>,
-    conductor: Rc<Conductor>,
+    coordinator: Rc<Coordinator>,
     gate: Rc<Gate>,
     port: Port,
 }
@@ -89,37 +90,37 @@
         dialect: Dialect,
         port: Port,
         connect: Connect,
-        journal: Journal,
+        event_log: EventLog,
         seed: u64,
     ) -> Self {
         let clock = Clock::start();
-        let core = Rc::new(Core::new(settings, dialect, clock, connect, journal, seed));
-        let conductor = Rc::new(Conductor::new(Rc::clone(&core), port.clone()));
-        Entry { core, conductor, gate: Rc::default(), port }
+        let core = Rc::new(Core::new(settings, dialect, clock, connect, event_log, seed));
+        let coordinator = Rc::new(Coordinator::new(Rc::clone(&core), port.clone()));
+        Entry { core, coordinator, gate: Rc::default(), port }
     }
 
     /// Starts to follow the store, on the current thread's local tasks.
     pub fn start(&self) {
-        let conductor = Rc::clone(&self.conductor);
-        spawn_local(async move { conductor.run().await });
-        let conductor = Rc::clone(&self.conductor);
+        let coordinator = Rc::clone(&self.coordinator);
+        spawn_local(async move { coordinator.run().await });
+        let coordinator = Rc::clone(&self.coordinator);
         spawn_local(membership::pass_on(Rc::clone(&self.core)));
         spawn_local(quarantine::speak_for_good_contents(Rc::clone(&self.core)));
         spawn_local(quarantine::give_back_probes(Rc::clone(&self.core)));
         if self.core.usage.is_some() {
             spawn_local(usage::tell_usage(Rc::clone(&self.core)));
-            let conductor = Rc::clone(&self.conductor);
-            spawn_local(usage::report_usage(Rc::clone(&self.core), self.port.clone(), conductor));
+            let coordinator = Rc::clone(&self.coordinator);
+            spawn_local(usage::report_usage(Rc::clone(&self.core), self.port.clone(), coordinator));
         }
-        spawn_local(look_after_leavers(Rc::clone(&self.core)));
-        spawn_local(follow(Rc::clone(&self.core), self.port.clone(), conductor));
+        spawn_local(watch_draining_servers(Rc::clone(&self.core)));
+        spawn_local(follow(Rc::clone(&self.core), self.port.clone(), coordinator));
         let core = Rc::clone(&self.core);
         spawn_local(async move {
             let mut suspended = Duration::ZERO;
             loop {
                 sleep(FLUSH_INTERVAL).await;
                 note_suspension(&core, &mut suspended);
-                core.journal.flush();
+                core.event_log.flush();
             }
         });
         let core = Rc::clone(&self.core);
@@ -173,18 +174,18 @@
     }
 
     /// Lets time pass as if the machine had been suspended; for tests.
-    pub fn pretend_suspended(&self, time: Duration) {
-        self.core.clock.pretend_suspended(time);
+    pub fn simulate_suspension(&self, time: Duration) {
+        self.core.clock.simulate_suspension(time);
     }
 
     /// Lets the time of day be as if it had been this at the start, in milliseconds since 1970; for tests.
-    pub fn pretend_unix_ms(&self, at_start: u64) {
-        self.core.clock.pretend_unix_ms(at_start);
+    pub fn simulate_unix_ms(&self, at_start: u64) {
+        self.core.clock.simulate_unix_ms(at_start);
     }
 
     /// Log lines gathered and not yet handed to the writer.
-    pub fn gathered_lines(&self) -> String {
-        self.core.journal.gathered()
+    pub fn buffered_log_lines(&self) -> String {
+        self.core.event_log.buffered()
     }
 
     /// Sends callers elsewhere, finishes what is under way, and returns within the grace time.
@@ -192,19 +193,19 @@
         let core = &self.core;
         let told = core.clock.now();
         let end = told + core.settings.grace.mul_f64(GRACE_PART);
-        core.stopping.set(Stopping::Leaving);
-        let under_way = core.under_way.get();
-        core.journal.note(Rank::State, &StopEvent::Leaving { under_way });
+        core.shutdown.set(ShutdownPhase::Draining);
+        let under_way = core.in_flight.get();
+        core.event_log.record(LogPriority::State, &StopEvent::Leaving { under_way });
         sleep_until(core.clock.instant((told + LEAVING_TIME).min(end))).await;
-        core.stopping.set(Stopping::Closing { end });
+        core.shutdown.set(ShutdownPhase::Closing { end });
         self.gate.close();
-        let under_way = core.under_way.get();
-        core.journal.note(Rank::State, &StopEvent::Closed { under_way });
-        while core.under_way.get() > 0 && core.clock.now() < end {
+        let under_way = core.in_flight.get();
+        core.event_log.record(LogPriority::State, &StopEvent::Closed { under_way });
+        while core.in_flight.get() > 0 && core.clock.now() < end {
             sleep(DRAIN_LOOK).await;
         }
-        let under_way = core.under_way.get();
-        core.journal.note(Rank::State, &StopEvent::Stopped { under_way });
-        core.journal.flush();
+        let under_way = core.in_flight.get();
+        core.event_log.record(LogPriority::State, &StopEvent::Stopped { under_way });
+        core.event_log.flush();
     }
 }
--- a/crates/direct/src/journal.rs
+++ b/crates/direct/src/event_log.rs
@@ -32,7 +32,7 @@
 
 /// How a line ranks when there are too many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rank {
+pub enum LogPriority {
     /// A change of what the process believes; always written.
     State,
     /// A failure of a request.
@@ -60,7 +60,7 @@
 }
 
 /// Where lines go.
-pub struct Journal {
+pub struct EventLog {
     process: String,
     clock: Clock,
     lines_per_s: u32,
@@ -78,25 +78,25 @@
 /// What can keep the logs from being written.
 pub type LogError = spdlog::Error;
 
-impl Journal {
+impl EventLog {
     /// Writes to standard output, at most `lines_per_s`.
     pub fn to_stdout(process: &str, lines_per_s: u32) -> Result<Self, LogError> {
         let out = StdStreamSink::builder()
             .std_stream(StdStream::Stdout)
             .formatter(PatternFormatter::new(pattern!("{payload}{eol}")))
             .build_arc()?;
-        Self::to(out, process, lines_per_s)
+        Self::to_sink(out, process, lines_per_s)
     }
 
     /// Writes to an output that may be slow or blocked, at most `lines_per_s`.
-    pub fn to(out: Arc<dyn Sink>, process: &str, lines_per_s: u32) -> Result<Self, LogError> {
+    pub fn to_sink(out: Arc<dyn Sink>, process: &str, lines_per_s: u32) -> Result<Self, LogError> {
         let writer = Some(Writer::new(out)?);
-        Ok(Journal { writer, ..Self::silent(process, lines_per_s) })
+        Ok(EventLog { writer, ..Self::in_memory(process, lines_per_s) })
     }
 
     /// Gathers and bounds lines, but writes none; for tests.
-    pub fn silent(process: &str, lines_per_s: u32) -> Self {
-        Journal {
+    pub fn in_memory(process: &str, lines_per_s: u32) -> Self {
+        EventLog {
             process: process.to_owned(),
             clock: Clock::start(),
             lines_per_s,
@@ -106,7 +106,7 @@
     }
 
     /// Takes a line in.
-    pub fn note<E: Serialize>(&self, rank: Rank, event: &E) {
+    pub fn record<E: Serialize>(&self, rank: LogPriority, event: &E) {
         let at = self.clock.uptime();
         let mut gathered = self.gathered.borrow_mut();
         if !gathered.admits(rank, at, self.lines_per_s) {
@@ -150,7 +150,7 @@
     }
 
     /// Lines gathered and not handed over; for tests.
-    pub fn gathered(&self) -> String {
+    pub fn buffered(&self) -> String {
         self.gathered.borrow().text.clone()
     }
 
@@ -187,15 +187,15 @@
 }
 
 impl Gathered {
-    fn admits(&mut self, rank: Rank, at: Duration, lines_per_s: u32) -> bool {
+    fn admits(&mut self, rank: LogPriority, at: Duration, lines_per_s: u32) -> bool {
         if at.as_secs() != self.second {
             self.second = at.as_secs();
             self.written = 0;
         }
         let allowed = match rank {
-            Rank::State => return true,
-            Rank::Failure => f64::from(lines_per_s),
-            Rank::Success => f64::from(lines_per_s) * SUCCESS_SHARE,
+            LogPriority::State => return true,
+            LogPriority::Failure => f64::from(lines_per_s),
+            LogPriority::Success => f64::from(lines_per_s) * SUCCESS_SHARE,
         };
         let admitted = f64::from(self.written) < allowed;
         self.written += u32::from(admitted);
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -26,12 +26,12 @@
 use report::Learned;
 
 use crate::{
-    conductor::Conductor,
+    coordinator::Coordinator,
     core::Core,
-    facts::Port,
-    journal::Rank,
+    event_log::LogPriority,
     membership::{self, ENTRY_PREFIX, News, PeerClient, Source},
     metrics::{Counter, StoreCause, Timer},
+    port::Port,
 };
 
 /// First pause after a failed call; doubles with each in a row.
@@ -43,11 +43,11 @@
 const LISTING_TIME: Duration = Duration::from_secs(4);
 
 /// Follows the store for as long as the process runs.
-pub async fn follow(core: Rc<Core>, port: Port, conductor: Rc<Conductor>) {
+pub async fn follow(core: Rc<Core>, port: Port, coordinator: Rc<Coordinator>) {
     let mut follower = Follower {
         core,
         port,
-        conductor,
+        coordinator,
         lost: false,
         learns_from: Heard::FromStore,
         pause: FIRST_PAUSE,
@@ -89,7 +89,7 @@
 struct Follower {
     core: Rc<Core>,
     port: Port,
-    conductor: Rc<Conductor>,
+    coordinator: Rc<Coordinator>,
     lost: bool,
     /// Whose answer is being taken in.
     learns_from: Heard,
@@ -157,7 +157,7 @@
     fn note_source(&mut self, entry: Option<&str>) {
         if self.source.as_deref() != entry {
             self.source = entry.map(str::to_owned);
-            self.core.journal.note(Rank::State, &Learned::SourceChanged { entry });
+            self.core.event_log.record(LogPriority::State, &Learned::SourceChanged { entry });
         }
     }
 
@@ -168,12 +168,12 @@
         let Some(address) = self.core.settings.peers else { return };
         let own = membership::Listing { address, link_mbps: self.core.settings.link_mbps };
         let now = self.core.clock.now();
-        if self.core.roster.own_listed() == Some(own) || now < self.list_from {
+        if self.core.members.own_listed() == Some(own) || now < self.list_from {
             return;
         }
-        self.list_from = now + LISTING_TIME + self.core.state.borrow().store_takes;
+        self.list_from = now + LISTING_TIME + self.core.state.borrow().store_latency;
         if std::mem::replace(&mut self.joined, true) {
-            self.conductor.list_itself(own).await;
+            self.coordinator.list_itself(own).await;
         } else {
             self.core.tell_news(News::Joined { listing: own });
         }
@@ -190,7 +190,7 @@
         self.takes_copy = self.is_restored(position);
         if self.takes_copy {
             self.note_restored(entries, position);
-            self.conductor.forget_stored();
+            self.coordinator.forget_stored();
         }
         self.core.state.borrow_mut().replica.restart(entries, position);
         self.core.learn_usage_era(position.era);
@@ -199,7 +199,7 @@
             self.learn_written(entry);
         }
         if std::mem::take(&mut self.takes_copy) {
-            self.conductor.find_lost_steps();
+            self.coordinator.find_lost_steps();
         }
     }
 
@@ -243,7 +243,7 @@
         let sent = answered.asked.sent;
         let took = self.core.clock.now().saturating_sub(sent);
         self.core.metrics.time(Timer::StoreCall, took);
-        self.core.state.borrow_mut().store_takes = took;
+        self.core.state.borrow_mut().store_latency = took;
         match answered.answer {
             Ok(listing) => {
                 self.listing.clear();
@@ -266,9 +266,9 @@
         self.listing.clear();
         let position = first.told.position;
         let event = Learned::FirstState { from: first.from.to_string(), position };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
         self.client = first.client;
-        self.core.told_by.set(Some(first.from));
+        self.core.initial_source.set(Some(first.from));
         self.take_told(first.told, position);
         self.started = true;
         position
@@ -282,11 +282,11 @@
         if state.freshness.confirmed() == before {
             return;
         }
-        state.turn += 1;
+        state.confirmation_count += 1;
         state.source_lost = false;
         drop(state);
-        self.core.something_new.notify_waiters();
-        self.conductor.wake();
+        self.core.state_changed.notify_waiters();
+        self.coordinator.wake();
         // NB: to an entry that asks the store, the store stays lost while only others can tell of
         // it; it goes on to probe it at long intervals.
         let asks_others = matches!(self.core.source(), Source::Entry { .. });
@@ -302,7 +302,7 @@
             if heard_from == Heard::FromStore {
                 self.core.state.borrow_mut().store_returned = Some(self.core.clock.now());
             }
-            self.core.journal.note(Rank::State, &Learned::StoreRegained { position });
+            self.core.event_log.record(LogPriority::State, &Learned::StoreRegained { position });
         }
     }
 
@@ -318,9 +318,11 @@
         // NB: a store that is restored was away, even if nobody noticed.
         state.store_returned = Some(self.core.clock.now());
         drop(state);
-        self.core.journal.note(Rank::State, &Learned::StoreRestored { before, position });
+        self.core
+            .event_log
+            .record(LogPriority::State, &Learned::StoreRestored { before, position });
         let listed = entries.iter().filter_map(|entry| entry.key.strip_prefix(ENTRY_PREFIX));
-        self.core.roster.are_stored(&listed.collect());
+        self.core.members.are_stored(&listed.collect());
         // NB: whoever is not listed any more tells the others, as at its start.
         self.joined = false;
         self.list_from = Duration::ZERO;
@@ -334,7 +336,7 @@
             let age = self.core.state.borrow().freshness.age(self.core.clock.now());
             let freshness_ms = age.map(|age| age.as_millis() as u64);
             let event = Learned::StoreLost { error: error.to_string(), freshness_ms };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
--- a/crates/direct/src/follow/first.rs
+++ b/crates/direct/src/follow/first.rs
@@ -14,7 +14,7 @@
 use super::report::Learned;
 use crate::{
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     membership::{AskError, Need, PeerClient, Question, Told},
 };
 
@@ -50,7 +50,7 @@
         return None;
     }
     // NB: each entry starts with another one, so that no seed is asked by all.
-    let first = core.roster.spread(seeds.len());
+    let first = core.members.spread(seeds.len());
     seeds.rotate_left(first);
     // NB: a seed does not wait for the others, which would wait for it.
     let (need, limit) = match is_seed {
@@ -112,5 +112,5 @@
 fn note_failed(core: &Core, seed: SocketAddr, error: Option<AskError>) {
     let error = error.map_or(String::from("no time was left"), |error| error.to_string());
     let event = Learned::SourceFailed { entry: &seed.to_string(), error };
-    core.journal.note(Rank::State, &event);
+    core.event_log.record(LogPriority::State, &event);
 }
--- a/crates/direct/src/follow/learn.rs
+++ b/crates/direct/src/follow/learn.rs
@@ -8,9 +8,9 @@
 use super::{Follower, Heard, report::Learned};
 use crate::{
     catalog::{BackendServer, Catalog, ServerState},
-    facts::{Evacuation, Fact, UnreadableFact},
-    journal::Rank,
+    event_log::LogPriority,
     membership::{ENTRY_PREFIX, Listing},
+    port::{Evacuation, StoreRecord, UnreadableRecord},
 };
 
 /// Unreadable entries of servers that are told apart in the logs.
@@ -27,13 +27,13 @@
     }
 
     pub(super) fn learn_written(&self, entry: &Fetched) {
-        self.conductor.learn_revision(&entry.key, Some(entry));
+        self.coordinator.learn_revision(&entry.key, Some(entry));
         self.learn_peer(&entry.key, Some(&entry.value));
-        match self.port.read_entry(entry) {
+        match self.port.decode_entry(entry) {
             Ok(fact) => self.take_in(fact, entry.revision),
             Err(error) => {
                 let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
             }
         }
     }
@@ -44,48 +44,52 @@
             Ok(listing) => listing,
             Err(error) => {
                 let event = Learned::EntryUnreadable { key, reason: &error.to_string() };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
                 None
             }
         };
-        if self.core.roster.learn(name, listing) {
-            self.core.share_bounds();
+        if self.core.members.learn(name, listing) {
+            self.core.update_bound_shares();
         }
     }
 
     fn learn_removed(&self, key: &str) {
-        self.conductor.learn_revision(key, None);
+        self.coordinator.learn_revision(key, None);
         self.learn_peer(key, None);
-        match (self.port.read)(key, None) {
+        match (self.port.decode)(key, None) {
             Ok(fact) => self.take_in(fact, 0),
             Err(error) => {
                 let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
             }
         }
     }
 
-    fn take_in(&self, fact: Fact, store_revision: u64) {
+    fn take_in(&self, fact: StoreRecord, store_revision: u64) {
         match fact {
-            Fact::Catalog(catalog) => self.install(*catalog, store_revision),
-            Fact::Server(_, Some(server)) => self.learn_server(server),
-            Fact::UnreadableServer(id, error) => self.forget_unreadable(&id, &error),
-            Fact::Evacuation(data_centre, evacuation) => {
+            StoreRecord::Catalog(catalog) => self.install(*catalog, store_revision),
+            StoreRecord::Server(_, Some(server)) => self.learn_server(server),
+            StoreRecord::UnreadableServer(id, error) => self.forget_unreadable(&id, &error),
+            StoreRecord::Evacuation(data_centre, evacuation) => {
                 self.learn_evacuation(&data_centre, evacuation);
             }
-            Fact::Server(id, None) if self.may_have_lapsed() => {
-                self.core.journal.note(Rank::State, &Learned::ServerLapsed { server: &id });
+            StoreRecord::Server(id, None) if self.may_have_lapsed() => {
+                self.core
+                    .event_log
+                    .record(LogPriority::State, &Learned::ServerLapsed { server: &id });
                 self.core.state.borrow_mut().lapse_server(&id, self.core.clock.now());
             }
-            Fact::Server(id, None) => {
-                self.core.journal.note(Rank::State, &Learned::ServerGone { server: &id });
+            StoreRecord::Server(id, None) => {
+                self.core
+                    .event_log
+                    .record(LogPriority::State, &Learned::ServerGone { server: &id });
                 self.core.state.borrow_mut().remove_server(&id);
             }
-            Fact::Order(service, order) => self.conductor.learn_order(&service, order),
-            Fact::Progress(service, progress) => {
-                self.conductor.learn_progress(&service, progress.as_ref());
+            StoreRecord::Order(service, order) => self.coordinator.learn_order(&service, order),
+            StoreRecord::Progress(service, progress) => {
+                self.coordinator.learn_progress(&service, progress.as_ref());
             }
-            Fact::Unrelated => {}
+            StoreRecord::Unrelated => {}
         }
     }
 
@@ -100,7 +104,9 @@
         }
         let id = server.id.clone();
         if self.core.state.borrow_mut().put_server(server, self.core.clock.now()) {
-            self.core.journal.note(Rank::State, &Learned::ServerBornAnew { server: &id });
+            self.core
+                .event_log
+                .record(LogPriority::State, &Learned::ServerBornAnew { server: &id });
         }
     }
 
@@ -113,17 +119,17 @@
             cold_ms: server.warm_up_left.as_millis() as u64,
             born_ms: server.born_ms,
         };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// An entry of a server cannot be read: it names no server, whatever it named before.
-    fn forget_unreadable(&self, id: &str, error: &UnreadableFact) {
+    fn forget_unreadable(&self, id: &str, error: &UnreadableRecord) {
         self.core.state.borrow_mut().remove_server(id);
         let mut unreadable = self.unreadable.borrow_mut();
         // NB: one line for each, however often it is written.
         if unreadable.len() < MOST_UNREADABLE && unreadable.insert(id.to_owned()) {
             let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
@@ -133,7 +139,7 @@
         let mut state = self.core.state.borrow_mut();
         let is_new = match evacuation {
             Evacuation::Ordered => state.evacuate(data_centre),
-            Evacuation::TakenBack => state.take_back(data_centre, now),
+            Evacuation::Cancelled => state.take_back(data_centre, now),
         };
         // NB: none of them means that no server is known there; the order may name another place.
         let servers = state.fleets.values().map(|fleet| fleet.count_in(data_centre)).sum();
@@ -141,9 +147,9 @@
         if is_new {
             let event = match evacuation {
                 Evacuation::Ordered => Learned::DataCentreEvacuated { data_centre, servers },
-                Evacuation::TakenBack => Learned::DataCentreTakenBack { data_centre, servers },
+                Evacuation::Cancelled => Learned::DataCentreTakenBack { data_centre, servers },
             };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
@@ -153,7 +159,7 @@
         // NB: what others tell while this entry alone has lost the store has not lapsed.
         // And one that asks the store after long silence, for the first time, may be the first to
         // hear from it again.
-        let lost = (self.lost || self.core.is_out_of_date(Duration::ZERO))
+        let lost = (self.lost || self.core.is_state_outdated(Duration::ZERO))
             && self.learns_from == Heard::FromStore;
         lost || self.core.state.borrow().store_returned.is_some_and(returned)
     }
@@ -163,7 +169,7 @@
         self.end_lost_evacuations();
         let lapsed = self.core.state.borrow_mut().take_lapsed(self.core.clock.now());
         for id in &lapsed {
-            self.core.journal.note(Rank::State, &Learned::ServerGone { server: id });
+            self.core.event_log.record(LogPriority::State, &Learned::ServerGone { server: id });
         }
     }
 
@@ -175,7 +181,7 @@
             over.map(|(data_centre, _)| data_centre.clone()).collect()
         };
         for data_centre in &over {
-            self.learn_evacuation(data_centre, Evacuation::TakenBack);
+            self.learn_evacuation(data_centre, Evacuation::Cancelled);
         }
     }
 
@@ -187,14 +193,14 @@
         if held > version {
             drop(state);
             let event = Learned::OlderConfigurationIgnored { version, held };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
             return;
         }
         state.install(catalog);
         let store_era = state.replica.position().era;
         drop(state);
         let event = Learned::ConfigurationInForce { version, store_era, store_revision };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// Forgets the servers and evacuations that a whole reading does not show.
@@ -202,11 +208,11 @@
         let mut shown = HashSet::new();
         let mut evacuated = HashSet::new();
         for entry in entries {
-            match self.port.read_entry(entry) {
-                Ok(Fact::Server(id, _)) => {
+            match self.port.decode_entry(entry) {
+                Ok(StoreRecord::Server(id, _)) => {
                     shown.insert(id);
                 }
-                Ok(Fact::Evacuation(data_centre, Evacuation::Ordered)) => {
+                Ok(StoreRecord::Evacuation(data_centre, Evacuation::Ordered)) => {
                     evacuated.insert(data_centre);
                 }
                 _ => {}
@@ -218,13 +224,13 @@
                 let until = self.core.clock.now() + RETURN_TIME;
                 self.lost_evacuations.borrow_mut().insert(data_centre.clone(), until);
             } else {
-                self.learn_evacuation(data_centre, Evacuation::TakenBack);
+                self.learn_evacuation(data_centre, Evacuation::Cancelled);
             }
         }
         let known: Vec<String> = self.core.state.borrow().service_of.keys().cloned().collect();
         for id in known.iter().filter(|id| !shown.contains(*id)) {
-            self.take_in(Fact::Server(id.clone(), None), 0);
+            self.take_in(StoreRecord::Server(id.clone(), None), 0);
         }
-        self.conductor.forget_all_but(entries);
+        self.coordinator.forget_all_but(entries);
     }
 }
--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/others.rs
@@ -7,7 +7,7 @@
 
 use super::{Follower, Heard, report::Learned, watching::NO_WAIT};
 use crate::{
-    journal::Rank,
+    event_log::LogPriority,
     membership::{AskError, Need, Question, Told},
     metrics::{Counter, StoreCause},
 };
@@ -34,8 +34,8 @@
         if self.unreached >= UNREACHED_IN_ROW {
             return true;
         }
-        let spread = FALLBACK_SPREAD * self.core.roster.rank() as u32;
-        self.core.clock.now() >= self.fallback_from && self.core.is_out_of_date(spread)
+        let spread = FALLBACK_SPREAD * self.core.members.rank() as u32;
+        self.core.clock.now() >= self.fallback_from && self.core.is_state_outdated(spread)
     }
 
     /// Asks the store beside the others, and puts off the next such question.
@@ -50,7 +50,7 @@
     /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
     /// among those that are turned away.
     pub(super) async fn ask_around(&mut self, position: Position) -> Position {
-        let others = self.core.roster.others(self.core.clock.now());
+        let others = self.core.members.others(self.core.clock.now());
         for _ in 0..ASKED_AROUND.min(others.len()) {
             self.asked_around = (self.asked_around + 1) % others.len();
             let (name, address) = &others[self.asked_around];
@@ -66,7 +66,7 @@
                 // NB: that others have lost the store too is no news.
                 Err(AskError::Old) => {}
                 Err(error) => {
-                    self.core.roster.note(name, Some(&error), self.core.clock.now());
+                    self.core.members.note(name, Some(&error), self.core.clock.now());
                     return position;
                 }
             }
@@ -98,7 +98,7 @@
         told: Result<Told, AskError>,
         position: Position,
     ) -> Position {
-        self.core.roster.note(name, told.as_ref().err(), self.core.clock.now());
+        self.core.members.note(name, told.as_ref().err(), self.core.clock.now());
         match told {
             Ok(told) => {
                 self.unreached = 0;
@@ -108,11 +108,11 @@
             }
             Err(error) => {
                 if error != AskError::Old {
-                    self.core.told_by.set(None);
+                    self.core.initial_source.set(None);
                     self.unreached += 1;
                 }
                 let event = Learned::SourceFailed { entry: name, error: error.to_string() };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
                 position
             }
         }
@@ -124,7 +124,7 @@
         let state = self.core.state.borrow();
         let too_old = state.freshness.confirmed().unwrap_or_default() + times.oldest_told;
         // NB: where the store answers late every state is as old, and told anew at each interval.
-        let hold = match state.store_takes > times.exchange {
+        let hold = match state.store_latency > times.exchange {
             true => times.hold_while_old.max(times.confirm_interval + times.exchange),
             false => times.hold_while_old,
         };
@@ -138,18 +138,18 @@
 
     /// Takes in what another entry told, and from when it is; `position` is where that leads.
     pub(super) fn take_told(&mut self, mut told: Told, position: Position) {
-        self.core.metrics.count_many(Counter::PeerBytesHeard, told.bytes);
+        self.core.metrics.count_many(Counter::PeerBytesReceived, told.bytes);
         if told.position.era != position.era {
             // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
             self.core.hear_from_above(std::mem::take(&mut told.news));
-            self.conductor.wake();
+            self.coordinator.wake();
             return;
         }
         let confirmed = told.confirmed;
         // NB: most entries make no calls to the store, and hear of its loss only with its return.
         let mut state = self.core.state.borrow_mut();
         state.store_returned = state.store_returned.max(told.store_returned);
-        state.store_takes = told.store_takes;
+        state.store_latency = told.store_takes;
         drop(state);
         self.watching.drop_known(position);
         self.learns_from = Heard::FromOthers;
@@ -165,7 +165,7 @@
         if let Some(confirmed) = confirmed {
             self.confirm(confirmed, position, Heard::FromOthers);
         }
-        self.conductor.wake();
+        self.coordinator.wake();
     }
 }
 
--- a/crates/direct/src/follow/watching.rs
+++ b/crates/direct/src/follow/watching.rs
@@ -11,7 +11,7 @@
     report::Learned,
 };
 use crate::{
-    journal::Rank,
+    event_log::LogPriority,
     metrics::{StoreCause, Timer},
 };
 
@@ -131,7 +131,7 @@
             // NB: of the history that an earlier question asked for, nothing is needed any more.
             Ok(WatchReply::HistoryGone) if asked.after < position => Some(position),
             Ok(WatchReply::HistoryGone) => {
-                self.core.journal.note(Rank::State, &Learned::HistoryGone { position });
+                self.core.event_log.record(LogPriority::State, &Learned::HistoryGone { position });
                 self.watching.clear();
                 None
             }
@@ -154,18 +154,18 @@
     fn note_answer(&self, asked: Asked, bytes: usize) {
         let took = self.core.clock.now().saturating_sub(asked.sent + asked.wait);
         self.core.metrics.time(Timer::StoreCall, took);
-        self.core.state.borrow_mut().store_takes = took;
+        self.core.state.borrow_mut().store_latency = took;
         if bytes >= LARGE_BYTES || took >= SILENCE {
             let took_ms = took.as_millis() as u64;
             let event = Learned::AnswerTookLong { after: asked.after.revision, bytes, took_ms };
-            self.core.journal.note(Rank::State, &event);
+            self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
     /// Counts the store as lost once it has been silent for longer than it should.
     fn note_silence(&mut self) {
         let Some(oldest) = self.watching.oldest_sent() else { return };
-        let takes = self.core.state.borrow().store_takes;
+        let takes = self.core.state.borrow().store_latency;
         let wait = self.core.settings.store.watch_wait;
         let limit = SILENCE + takes + if self.is_alone() { wait } else { NO_WAIT };
         let confirmed = self.core.state.borrow().freshness.confirmed().unwrap_or_default();
--- a/crates/direct/src/foresight.rs
+++ b/crates/direct/src/forecasts.rs
@@ -19,10 +19,10 @@
 
 /// What asking each of the route's models would cost a job that has used this part of its
 /// objective, servers in `avoid` left out; nothing if no server could take it.
-pub fn terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<Terms> {
+pub fn model_terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<Terms> {
     let prices = job.prices();
     let objective_ms = job.route.objective.as_secs_f64().max(0.001) * 1_000.0;
-    let allowed_ms = (job.give_up - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
+    let allowed_ms = (job.deadline - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
     let mut state = core.state.borrow_mut();
     let State { fleets, engines, .. } = &mut *state;
     let engine = engine_of(engines, job);
@@ -70,7 +70,7 @@
         base_ms: engine.begins_ms(),
         avoid,
         versions,
-        homes: job.homes(),
+        homes: job.allowed_data_centres(),
     }
 }
 
--- a/crates/direct/src/http/intake.rs
+++ b/crates/direct/src/http/intake.rs
@@ -16,9 +16,9 @@
 
 use crate::{
     catalog::{Catalog, Route, Service, Workspace},
-    core::{Core, Stopping},
+    core::{Core, ShutdownPhase},
     metrics::Timer,
-    request::{Job, Prompt, Refusal, homes_of, strip_connection_headers},
+    request::{Job, Prompt, Refusal, allowed_data_centres_of, strip_hop_by_hop_headers},
 };
 
 /// Longest time for which a request waits for the first configuration. An entry that starts hears it
@@ -40,9 +40,11 @@
     let body = read_body(body, checked.catalog.limits.max_body_bytes).await?;
     let job = into_job(core, parts, body, checked, arrived);
     let late_calls = core.settings.policy.late_calls;
-    match core.stopping.get() {
+    match core.shutdown.get() {
         // NB: streams last too variably to be foreseen; one that is cut is lost to its caller.
-        Stopping::Closing { end } if job.give_up > end || !late_calls => Err(Refusal::Closing),
+        ShutdownPhase::Closing { end } if job.deadline > end || !late_calls => {
+            Err(Refusal::Closing)
+        }
         _ => Ok(job),
     }
 }
@@ -51,9 +53,9 @@
 async fn wait_for_first_state(core: &Core) {
     let end = core.clock.instant(core.clock.now() + FIRST_STATE_WAIT);
     loop {
-        let something_new = core.something_new.notified();
+        let state_changed = core.state_changed.notified();
         let is_held = core.state.borrow().catalog.is_some();
-        if is_held || core.outage().is_some() || timeout_at(end, something_new).await.is_err() {
+        if is_held || core.outage().is_some() || timeout_at(end, state_changed).await.is_err() {
             return;
         }
     }
@@ -81,7 +83,7 @@
     // NB: what is refused for good must not rest on an old configuration.
     let absent = if is_fresh { Refusal::NoRoute } else { Refusal::Stale };
     let route = catalog.route(&host, parts.uri.path()).cloned().ok_or(absent)?;
-    let needs_key = catalog.asks_for_keys() && !route.anonymous;
+    let needs_key = catalog.requires_keys() && !route.anonymous;
     if needs_key && !state.freshness.honours_keys(arrived) {
         return Err(Refusal::Stale);
     }
@@ -143,19 +145,23 @@
         Prompt::parse(text(headers, &dialect.prompt_parts), text(headers, &dialect.token_usage));
     let allowed = text(headers, &dialect.deadline_ms).and_then(|text| text.trim().parse().ok());
     let allowed = allowed.map_or(checked.route.timeout, Duration::from_millis);
-    let give_up = arrived + allowed.min(checked.route.timeout);
+    let deadline = arrived + allowed.min(checked.route.timeout);
     let chooses_model = !checked.route.models.is_empty()
         && text(headers, &dialect.model) == Some(dialect.any_model);
     let session = session_of(core, headers, &prompt);
     let last_event_id = text(headers, &dialect.last_event_id).map(str::to_owned);
-    strip_connection_headers(&mut parts.headers);
+    strip_hop_by_hop_headers(&mut parts.headers);
     for name in &dialect.reserved {
         parts.headers.remove(name);
     }
     if checked.key.is_some() {
         parts.headers.remove(header::AUTHORIZATION);
     }
-    let homes = homes_of(&checked.route, checked.workspace.as_deref(), &core.settings.regions);
+    let allowed_data_centres = allowed_data_centres_of(
+        &checked.route,
+        checked.workspace.as_deref(),
+        &core.settings.regions,
+    );
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     Job {
         id: checked.id,
@@ -168,14 +174,14 @@
         workspace: checked.workspace,
         key: checked.key,
         arrived,
-        give_up,
+        deadline,
         chooses_model,
         prompt,
         session,
-        homes,
+        allowed_data_centres,
         last_event_id,
         catalog_version: checked.catalog.version,
-        known_content: OnceCell::new(),
+        content_cell: OnceCell::new(),
     }
 }
 
--- a/crates/direct/src/http/listen.rs
+++ b/crates/direct/src/http/listen.rs
@@ -16,11 +16,11 @@
 
 use super::serve;
 use crate::{
-    core::{Core, Stopping},
+    core::{Core, ShutdownPhase},
     entry::Entry,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::Counter,
-    upstream::govern,
+    upstream::set_tcp_timeouts,
 };
 
 /// Pause after a failed accept, such as when descriptors run out.
@@ -66,7 +66,7 @@
     accept_each(&core, listener, |stream| {
         // NB: a socket that takes no options has been closed already; serving it finds that out.
         let _ = stream.set_nodelay(true);
-        let _ = govern(&stream);
+        let _ = set_tcp_timeouts(&stream);
         let entry = entry.clone();
         spawn_local(async move { entry.serve(stream).await });
     })
@@ -80,7 +80,7 @@
             Ok((stream, _)) => take(stream),
             Err(error) => {
                 let event = ListenEvent::AcceptFailed { error: error.to_string() };
-                core.journal.note(Rank::State, &event);
+                core.event_log.record(LogPriority::State, &event);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -121,7 +121,7 @@
 ) -> Result<hyper::Response<super::body::AnswerBody>, Infallible> {
     core.metrics.count(Counter::Requests);
     let mut response = serve::serve(&core, request).await;
-    if core.stopping.get() != Stopping::No {
+    if core.shutdown.get() != ShutdownPhase::Running {
         response
             .headers_mut()
             .insert(header::CONNECTION, header::HeaderValue::from_static("close"));
--- a/crates/direct/src/http/notes.rs
+++ b/crates/direct/src/http/notes.rs
@@ -8,18 +8,18 @@
 use super::{report::RequestEvent, run::Run};
 use crate::{
     content::content_text,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::{Counter, Timer},
-    notice::Notice,
     placement::Placement,
+    server_signals::ServerSignals,
 };
 
 impl Run {
     /// What the server asks of this entry with an answer.
-    pub fn notice(&self, response: &Response<Incoming>) -> Notice {
+    pub fn notice(&self, response: &Response<Incoming>) -> ServerSignals {
         let not_run = self.says_not_run(response);
         let is_authentic = !not_run && self.is_authentic(response);
-        Notice::read(
+        ServerSignals::from_response(
             &self.core.dialect,
             response.status(),
             response.headers(),
@@ -33,17 +33,17 @@
         let notice = self.notice(response);
         let (request, server) = (self.job.id.as_str(), placement.server());
         let (status, after_ms) = (response.status().as_u16(), self.after_ms());
-        if notice.leaves && placement.told_leaving() {
-            self.core.metrics.count(Counter::ToldLeaving);
+        if notice.is_draining && placement.on_draining() {
+            self.core.metrics.count(Counter::ServersDraining);
             let event = RequestEvent::ServerToldLeaving { request, server, status, after_ms };
-            self.core.journal.note(Rank::Failure, &event);
+            self.core.event_log.record(LogPriority::Failure, &event);
         }
-        if placement.told_limit(notice.limit) {
+        if placement.on_limit_reported(notice.limit) {
             self.note_limit(placement, notice.limit, status);
         }
         if let Some(backoff) = notice.backoff {
-            self.core.metrics.count(Counter::AskedBackoff);
-            let kept = placement.asked_backoff(backoff);
+            self.core.metrics.count(Counter::BackoffsRequested);
+            let kept = placement.on_backoff_requested(backoff);
             let event = RequestEvent::ServerAskedBackoff {
                 request,
                 server,
@@ -52,7 +52,7 @@
                 kept_ms: kept.map(|kept| kept.as_millis() as u64),
                 after_ms,
             };
-            self.core.journal.note(Rank::Failure, &event);
+            self.core.event_log.record(LogPriority::Failure, &event);
         }
     }
 
@@ -70,7 +70,7 @@
                 RequestEvent::ServerLiftedLimit { request, server, status, after_ms }
             }
         };
-        self.core.journal.note(Rank::Failure, &event);
+        self.core.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Logs a send that brought no answer to pass on.
@@ -85,24 +85,24 @@
             detail,
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Failure, &event);
+        self.core.event_log.record(LogPriority::Failure, &event);
     }
 
     /// The connection broke while the request was at a server, which may have ended by it.
     ///
     /// NB: a caller's tries have ids of their own; only the content shows that they are one request.
     pub fn note_broke(&mut self, placement: &Placement) {
-        self.core.metrics.count(Counter::Broke);
+        self.core.metrics.count(Counter::ConnectionsBroken);
         let event = RequestEvent::ServerBroke {
             request: &self.job.id,
             server: placement.server(),
             content: &content_text(self.job.content()),
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Failure, &event);
-        placement.settle();
+        self.core.event_log.record(LogPriority::Failure, &event);
+        placement.mark_finished();
         let on_probe = self.probe.take().is_some();
-        self.core.note_server_end(&self.job, placement, on_probe);
+        self.core.record_server_crash(&self.job, placement, on_probe);
     }
 
     /// Logs that an answer to this request made a version bad.
@@ -112,7 +112,7 @@
             service: &self.job.service.name,
             version: &placement.version,
         };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// Counts and logs an answer passed on.
@@ -124,8 +124,8 @@
         status: StatusCode,
     ) {
         let after_ms = self.after_ms();
-        placement.settle();
-        self.core.note_good_end(&self.job);
+        placement.mark_finished();
+        self.core.record_success(&self.job);
         self.core.metrics.count(Counter::Answered);
         self.core.metrics.time(Timer::WholeAnswer, Duration::from_millis(after_ms));
         let event = RequestEvent::RequestAnswered {
@@ -142,6 +142,6 @@
             expected_ms: placement.expected_ms() as u64,
             after_ms,
         };
-        self.core.journal.note(Rank::Success, &event);
+        self.core.event_log.record(LogPriority::Success, &event);
     }
 }
--- a/crates/direct/src/http/placing.rs
+++ b/crates/direct/src/http/placing.rs
@@ -11,8 +11,8 @@
 use super::run::Run;
 use crate::{
     metrics::Counter,
-    permits::WaitingForPermit,
-    placement::{NextSend, NoPlace, Placement},
+    permits::PermitWaiter,
+    placement::{NextSend, Placement, PlacementError},
 };
 
 /// Shortest pause of a request that waits for room at a cold server.
@@ -35,18 +35,18 @@
     }
 
     /// How surely the request could be sent with a model now, and if it could not, why.
-    pub fn outlook(&self, model: ModelNumber) -> Result<Certainty, NoPlace> {
-        Placement::outlook(&self.core, &self.job, NextSend { model, ..self.next_send() })
+    pub fn outlook(&self, model: ModelNumber) -> Result<Certainty, PlacementError> {
+        Placement::certainty(&self.core, &self.job, NextSend { model, ..self.next_send() })
     }
 
     /// Whether it could be sent once more to a server other than this one, now or after a short wait.
-    pub fn could_go_on(&self, besides: &Placement) -> Result<Certainty, NoPlace> {
+    pub fn could_go_on(&self, besides: &Placement) -> Result<Certainty, PlacementError> {
         let mut avoid = self.avoid.clone();
         avoid.push(besides.server().clone());
         let failed = Some(besides.version.as_str());
         let next = NextSend { model: self.model, avoid: &avoid, failed };
-        match Placement::outlook(&self.core, &self.job, next) {
-            Err(NoPlace::Shut(opening))
+        match Placement::certainty(&self.core, &self.job, next) {
+            Err(PlacementError::Unavailable(opening))
                 if opening.shut != Shut::Limited && opening.at < self.wait_until() =>
             {
                 Ok(Certainty::Sure)
@@ -64,7 +64,7 @@
         self.ask_for_permits(PERMITS_AT_FIRST).await;
         self.reserved = Placement::find(&self.core, &self.job, self.next_send()).ok();
         if let Some(reserved) = &self.reserved {
-            reserved.settle();
+            reserved.mark_finished();
         }
         self.reserved.is_some()
     }
@@ -77,7 +77,7 @@
             let wanted = Placement::wanted_permit(&self.core, &self.job, self.next_send());
             let Some(wanted) = wanted else { return };
             let core = Rc::clone(&self.core);
-            let asking = spawn_local(core.ask_for_permit(self.job.service.name.clone(), wanted));
+            let asking = spawn_local(core.request_permit(self.job.service.name.clone(), wanted));
             // NB: what came of it stands in the fleet.
             let _ = timeout(PERMIT_PATIENCE, asking).await;
         }
@@ -85,22 +85,22 @@
 
     /// Joins those that wait for a permit, if as many may come before `until`; whoever comes later has nothing to wait
     /// for.
-    fn wait_for_permit(&self, until: Duration) -> Option<WaitingForPermit> {
+    fn wait_for_permit(&self, until: Duration) -> Option<PermitWaiter> {
         let most = Placement::permits_before(&self.core, &self.job, self.next_send(), until);
-        WaitingForPermit::enter(&self.core, &self.job.service.name, most)
+        PermitWaiter::enter(&self.core, &self.job.service.name, most)
     }
 
     /// Until when a request waits for a server that is shut.
     fn wait_until(&self) -> Duration {
         let longest = longest_wait(self.job.route.objective);
-        (self.core.clock.now() + longest).min(self.job.give_up)
+        (self.core.clock.now() + longest).min(self.job.deadline)
     }
 
     /// A place for the next send, waited for if the servers that could take it are merely shut for now. There
     /// may be room again within a fraction of a second, and a refusal costs its caller a new attempt.
-    pub async fn wait_for_place(&mut self) -> Result<Placement, NoPlace> {
+    pub async fn wait_for_place(&mut self) -> Result<Placement, PlacementError> {
         if let Some(reserved) = self.reserved.take() {
-            reserved.unsettle();
+            reserved.mark_unfinished();
             return Ok(reserved);
         }
         let until = self.wait_until();
@@ -110,17 +110,17 @@
         loop {
             self.ask_for_permits(std::mem::replace(&mut permits, PERMITS_LATER)).await;
             let opening = match Placement::find(&self.core, &self.job, self.next_send()) {
-                Err(NoPlace::Shut(opening)) if opening.at < until => opening,
+                Err(PlacementError::Unavailable(opening)) if opening.at < until => opening,
                 found => return found,
             };
             if opening.shut == Shut::Limited && waiting.is_none() {
                 waiting = self.wait_for_permit(until);
                 if waiting.is_none() {
-                    return Err(NoPlace::Shut(opening));
+                    return Err(PlacementError::Unavailable(opening));
                 }
             }
             if !std::mem::replace(&mut has_waited, true) {
-                self.core.metrics.count(Counter::HeldForRoom);
+                self.core.metrics.count(Counter::WaitedForCapacity);
             }
             // NB: others may have taken the room by then, so the shortest pause is more than none.
             let pause = if opening.shut == Shut::Limited { PERMIT_PAUSE } else { SHORTEST_PAUSE };
--- a/crates/direct/src/http/refuse.rs
+++ b/crates/direct/src/http/refuse.rs
@@ -13,9 +13,9 @@
 use super::{body::AnswerBody, report::RequestEvent, run::Run};
 use crate::{
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::Counter,
-    placement::{NextSend, NoPlace, Placement},
+    placement::{NextSend, Placement, PlacementError},
     request::Refusal,
 };
 
@@ -81,45 +81,47 @@
     /// Why a request is refused that is held until some time.
     pub(super) fn held(&self, until: Duration) -> Refusal {
         match self.may_have_run {
-            true => Refusal::EndedServers,
-            false => self.core.refusal_until(until),
+            true => Refusal::CrashedServers,
+            false => self.core.crash_refusal(until),
         }
     }
 
-    pub(super) fn no_server(&self, no_place: NoPlace) -> Refusal {
+    pub(super) fn no_server(&self, no_place: PlacementError) -> Refusal {
         match no_place {
             _ if self.may_have_run => Refusal::OutcomeUnknown,
-            NoPlace::Shut(opening) => self.shut(opening),
+            PlacementError::Unavailable(opening) => self.shut(opening),
             _ if !self.avoid.is_empty() => self.turned_away(),
-            NoPlace::Leaving => Refusal::AllLeaving,
-            NoPlace::Closed if self.job.homes.is_some() => Refusal::NoServerAtHome,
-            NoPlace::Closed => Refusal::NoServer,
+            PlacementError::AllDraining => Refusal::AllDraining,
+            PlacementError::NoServer if self.job.allowed_data_centres.is_some() => {
+                Refusal::NoServerInAllowedRegions
+            }
+            PlacementError::NoServer => Refusal::NoServer,
         }
     }
 
     /// Why a request is refused that servers have turned away: what holds for its next try counts.
     pub(super) fn turned_away(&self) -> Refusal {
         let next = NextSend { model: self.model, avoid: &[], failed: None };
-        match Placement::outlook(&self.core, &self.job, next) {
-            Err(NoPlace::Shut(opening)) => self.shut(opening),
-            Err(NoPlace::Leaving) => Refusal::AllLeaving,
-            Ok(_) | Err(NoPlace::Closed) => Refusal::TurnedAway,
+        match Placement::certainty(&self.core, &self.job, next) {
+            Err(PlacementError::Unavailable(opening)) => self.shut(opening),
+            Err(PlacementError::AllDraining) => Refusal::AllDraining,
+            Ok(_) | Err(PlacementError::NoServer) => Refusal::TurnedAway,
         }
     }
 
     fn shut(&self, Opening { at, shut }: Opening) -> Refusal {
-        let opens_in = at.saturating_sub(self.core.clock.now());
+        let available_in = at.saturating_sub(self.core.clock.now());
         match shut {
-            Shut::Cold => Refusal::AllCold { opens_in },
-            Shut::Backoff => Refusal::AllBackingOff { opens_in: self.spread(opens_in) },
-            Shut::Limited => Refusal::AllLimited { opens_in: self.spread(opens_in) },
+            Shut::Cold => Refusal::AllCold { available_in },
+            Shut::Backoff => Refusal::AllBackingOff { available_in: self.spread(available_in) },
+            Shut::Limited => Refusal::AllLimited { available_in: self.spread(available_in) },
         }
     }
 
     /// When callers that hear of the same opening come back, one a little later than another.
-    fn spread(&self, opens_in: Duration) -> Duration {
+    fn spread(&self, available_in: Duration) -> Duration {
         let drawn = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
-        opens_in + spread_of(opens_in.max(LEAST_SPREAD_OVER), drawn)
+        available_in + spread_of(available_in.max(LEAST_SPREAD_OVER), drawn)
     }
 
     pub(super) fn refuse(&self, refusal: Refusal) -> Response<AnswerBody> {
@@ -129,9 +131,9 @@
         } else {
             refusal
         };
-        let is_held = || self.core.standing(&self.job) != Standing::Free;
+        let is_held = || self.core.quarantine_status(&self.job) != Standing::Free;
         let refusal = match refusal {
-            Refusal::OutcomeUnknown if is_held() => Refusal::EndedServers,
+            Refusal::OutcomeUnknown if is_held() => Refusal::CrashedServers,
             refusal => refusal,
         };
         let route = Some(self.job.route.name.as_str());
@@ -155,5 +157,5 @@
         after_ms: now.saturating_sub(refused.arrived).as_millis() as u64,
         sends: refused.sends,
     };
-    core.journal.note(Rank::Failure, &event);
+    core.event_log.record(LogPriority::Failure, &event);
 }
--- a/crates/direct/src/http/relay.rs
+++ b/crates/direct/src/http/relay.rs
@@ -12,10 +12,10 @@
     waiting::{PieceReceiver, PieceSender, pieces},
 };
 use crate::{
-    events::EventSplitter,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::Counter,
     placement::Placement,
+    sse::EventSplitter,
     upstream::{Connection, Exchange, SendError},
 };
 
@@ -101,7 +101,7 @@
                     let Follower { run, confidence, head_ms, status } = &self.follower;
                     run.note_answered(&source.placement, *confidence, *head_ms, *status);
                     if !source.is_resumed {
-                        source.placement.is_whole();
+                        source.placement.on_completed();
                     }
                     return;
                 }
@@ -123,7 +123,7 @@
                     }
                 }
                 End::Broken(reason) => {
-                    source.placement.broke();
+                    source.placement.on_connection_broken();
                     let run = &mut self.follower.run;
                     run.note_failed(&source.placement, "stream_broken", reason.to_owned());
                     run.note_broke(&source.placement);
@@ -143,7 +143,7 @@
     async fn pass(&mut self, source: &mut Source) -> End {
         let job = Rc::clone(&self.follower.run.job);
         let clock = self.follower.run.core.clock.clone();
-        let silence = job.route.event_pause.unwrap_or(DEFAULT_PAUSE).mul_f64(SILENCE_PART);
+        let silence = job.route.max_event_gap.unwrap_or(DEFAULT_PAUSE).mul_f64(SILENCE_PART);
         let mut last_heard = clock.now();
         loop {
             // NB: with nowhere to go on, silence is no reason to end the answer.
@@ -151,20 +151,20 @@
                 && source.may_be_left
                 && source.placement.has_alternative
                 // NB: two servers at a time must not run what one has ended under.
-                && self.follower.run.core.ends_under(&job) == 0
+                && self.follower.run.core.crash_count(&job) == 0
                 && self.follower.run.may_go_on();
             let until = if may_leave { last_heard + silence } else { clock.now() + silence };
-            let until = until.min(job.give_up);
+            let until = until.min(job.deadline);
             let frame = select! {
                 biased;
                 () = self.sender.closed() => return End::CallerLeft,
                 frame = timeout_at(clock.instant(until), source.body.frame()) => frame,
             };
             match frame {
-                Err(_) if clock.now() >= job.give_up => return End::TimedOut,
+                Err(_) if clock.now() >= job.deadline => return End::TimedOut,
                 Err(_) if may_leave => return End::Silent,
                 Err(_) => {}
-                Ok(None) if source.splitter.has_rest() => {
+                Ok(None) if source.splitter.has_partial_event() => {
                     return End::Broken("ended_within_an_event");
                 }
                 Ok(None) => return End::Whole,
@@ -182,7 +182,7 @@
     }
 
     async fn deliver(&mut self, splitter: &mut EventSplitter) -> bool {
-        let Some(whole) = splitter.take_whole() else { return true };
+        let Some(whole) = splitter.pop_complete() else { return true };
         if whole.last_id.is_some() {
             self.last_id = whole.last_id;
         }
@@ -193,13 +193,13 @@
     async fn resume(&mut self, broken: &Source) -> Option<Source> {
         let run = &mut self.follower.run;
         run.avoid.push(broken.placement.server().clone());
-        while run.job.route.kind.may_repeat() && run.core.clock.now() < run.job.give_up {
+        while run.job.route.kind.may_repeat() && run.core.clock.now() < run.job.deadline {
             run.ask_to_run().await.ok()?;
             if !run.take_further_send(0.0) {
                 return None;
             }
             let placement = run.wait_for_place().await.ok()?;
-            let until = run.job.give_up;
+            let until = run.job.deadline;
             match run.send(&placement, until, self.last_id.as_deref()).await {
                 Ok(exchange) if goes_on(run, &exchange) => {
                     run.core.metrics.count(Counter::Resumes);
@@ -209,17 +209,17 @@
                         last_event_id: self.last_id.as_deref(),
                         after_ms: run.after_ms(),
                     };
-                    run.core.journal.note(Rank::Failure, &event);
+                    run.core.event_log.record(LogPriority::Failure, &event);
                     return Some(source_of(exchange, placement));
                 }
                 Ok(exchange) => {
                     let status = exchange.response.status().to_string();
                     run.note_failed(&placement, "not_resumed", status);
                     if run.says_not_run(&exchange.response) {
-                        placement.settle();
+                        placement.mark_finished();
                     }
                     if run.notice(&exchange.response).backoff.is_none() {
-                        placement.refused();
+                        placement.on_rejected();
                     }
                 }
                 Err(error) => {
@@ -244,7 +244,7 @@
             reason,
             after_ms: run.after_ms(),
         };
-        run.core.journal.note(Rank::Failure, &event);
+        run.core.event_log.record(LogPriority::Failure, &event);
         self.sender.cut();
     }
 
@@ -256,7 +256,7 @@
             server: source.placement.server(),
             after_ms: run.after_ms(),
         };
-        run.core.journal.note(Rank::Failure, &event);
+        run.core.event_log.record(LogPriority::Failure, &event);
     }
 }
 
@@ -264,9 +264,9 @@
 /// be cold when it is.
 fn note_unsent(placement: &Placement, error: &SendError) {
     match error {
-        SendError::NotSent { why, .. } => placement.unreached(*why),
-        SendError::Withheld => placement.settle(),
-        _ => placement.refused(),
+        SendError::NotSent { why, .. } => placement.on_unreachable(*why),
+        SendError::Withheld => placement.mark_finished(),
+        _ => placement.on_rejected(),
     }
 }
 
@@ -276,6 +276,6 @@
 }
 
 fn source_of(exchange: Exchange, mut placement: Placement) -> Source {
-    placement.began();
+    placement.on_response_started();
     Source::new(exchange.response.into_body(), exchange.connection, placement, true)
 }
--- a/crates/direct/src/http/run.rs
+++ b/crates/direct/src/http/run.rs
@@ -19,7 +19,7 @@
     metrics::Counter,
     placement::Placement,
     quarantine::ProbeLease,
-    request::{Job, key_still_holds},
+    request::{Job, is_key_valid},
     upstream::{self, Exchange, SendError},
 };
 
@@ -39,14 +39,14 @@
 impl UnderWay {
     /// Counts one more.
     pub fn enter(core: &Rc<Core>) -> Self {
-        core.under_way.set(core.under_way.get() + 1);
+        core.in_flight.set(core.in_flight.get() + 1);
         UnderWay { core: Rc::clone(core) }
     }
 }
 
 impl Drop for UnderWay {
     fn drop(&mut self) {
-        self.core.under_way.set(self.core.under_way.get() - 1);
+        self.core.in_flight.set(self.core.in_flight.get() - 1);
     }
 }
 
@@ -135,11 +135,11 @@
         if self.probe.is_some() {
             return Ok(());
         }
-        let refused = match self.core.standing(&self.job) {
+        let refused = match self.core.quarantine_status(&self.job) {
             Standing::Free => return Ok(()),
             Standing::Held { until } => return Err(until),
             Standing::Probed => Grant::Probed,
-            Standing::OnProbe => match self.core.ask_for_probe(&self.job).await {
+            Standing::OnProbe => match self.core.request_probe(&self.job).await {
                 Ok(lease) => {
                     self.probe = Some(Rc::new(lease));
                     return Ok(());
@@ -157,10 +157,10 @@
     /// good end, all that carry the same go on.
     async fn wait_for_probe(&self) -> Result<(), Duration> {
         let asked = self.core.clock.now();
-        let until = (asked + longest_wait(self.job.route.objective)).min(self.job.give_up);
+        let until = (asked + longest_wait(self.job.route.objective)).min(self.job.deadline);
         while self.core.clock.now() < until {
             sleep(PROBE_LOOK).await;
-            match self.core.standing(&self.job) {
+            match self.core.quarantine_status(&self.job) {
                 Standing::Free => return Ok(()),
                 Standing::Held { until } => return Err(until),
                 Standing::Probed | Standing::OnProbe => {}
@@ -171,7 +171,7 @@
 
     /// Whether what is known of its content lets it be sent now, without asking anybody.
     fn is_not_held(&self) -> bool {
-        self.probe.is_some() || self.core.standing(&self.job) == Standing::Free
+        self.probe.is_some() || self.core.quarantine_status(&self.job) == Standing::Free
     }
 
     /// Sends the request to its place and waits for the head of the answer.
@@ -188,7 +188,7 @@
         let until = self.core.clock.instant(until);
         let connect = &self.core.connect;
         let sent = upstream::send(connect, placement.address, request, until, || {
-            self.may_send() && self.is_not_held() && placement.may_leave()
+            self.may_send() && self.is_not_held() && placement.may_dispatch()
         });
         let sent = sent.await;
         if matches!(sent, Err(SendError::Withheld)) {
@@ -221,8 +221,7 @@
             return true;
         }
         let state = self.core.state.borrow();
-        let holds =
-            state.catalog.as_ref().is_some_and(|catalog| key_still_holds(&self.job, catalog));
+        let holds = state.catalog.as_ref().is_some_and(|catalog| is_key_valid(&self.job, catalog));
         holds && state.freshness.honours_keys(self.core.clock.now())
     }
 
@@ -260,7 +259,7 @@
         if !headers.contains_key(HOST) {
             put(headers, &HOST, &job.route.host);
         }
-        let left = job.give_up.saturating_sub(self.core.clock.now()).saturating_sub(WAY_BACK);
+        let left = job.deadline.saturating_sub(self.core.clock.now()).saturating_sub(WAY_BACK);
         put(headers, &dialect.deadline_ms, &left.as_millis().max(1).to_string());
         put(headers, &dialect.expected_server, placement.server());
         if let Some(workspace) = &job.workspace {
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -17,11 +17,11 @@
 };
 use crate::{
     core::Core,
-    foresight,
-    journal::Rank,
+    event_log::LogPriority,
+    forecasts,
     metrics::{Counter, Timer},
     placement::Placement,
-    request::{Refusal, strip_connection_headers},
+    request::{Refusal, strip_hop_by_hop_headers},
     upstream::{Exchange, SendError},
 };
 
@@ -62,7 +62,7 @@
 impl Run {
     async fn answer(mut self) -> Response<AnswerBody> {
         loop {
-            if self.core.clock.now() >= self.job.give_up {
+            if self.core.clock.now() >= self.job.deadline {
                 let refusal =
                     if self.may_have_run { Refusal::TimedOut } else { Refusal::ExpiredUnsent };
                 return self.refuse(refusal);
@@ -88,13 +88,13 @@
         match self.send(&placement, until, job.last_event_id.as_deref()).await {
             Ok(exchange) => self.judge(exchange, placement).await,
             Err(SendError::NotSent { why, detail }) => {
-                placement.unreached(why);
+                placement.on_unreachable(why);
                 self.note_failed(&placement, "not_sent", detail);
                 self.avoid.push(placement.server().clone());
                 Verdict::Next
             }
             Err(SendError::Withheld) => {
-                placement.settle();
+                placement.mark_finished();
                 self.note_failed(&placement, "withheld", String::new());
                 if self.may_send() { Verdict::Next } else { Verdict::Refuse(Refusal::Stale) }
             }
@@ -102,14 +102,14 @@
                 self.note_broke(&placement);
                 self.after_loss(&placement, "broken", detail)
             }
-            Err(SendError::NoHead) if until >= self.job.give_up => {
-                placement.broke();
+            Err(SendError::NoResponse) if until >= self.job.deadline => {
+                placement.on_connection_broken();
                 self.may_have_run = true;
                 self.note_failed(&placement, "no_answer", String::new());
                 Verdict::Refuse(Refusal::TimedOut)
             }
-            Err(SendError::NoHead) => {
-                if placement.was_silent() {
+            Err(SendError::NoResponse) => {
+                if placement.on_response_timeout() {
                     self.note_tripped(&placement);
                 }
                 self.after_loss(&placement, "silent", String::new())
@@ -123,13 +123,13 @@
         let may_go_on = job.route.kind.may_repeat() && self.sends + 1 < job.route.max_attempts;
         let elsewhere = self.core.settings.policy.tries_elsewhere && placement.has_alternative;
         if !may_go_on || !elsewhere {
-            return job.give_up;
+            return job.deadline;
         }
         let least = if job.route.kind.is_stream() { STREAM_PATIENCE } else { Duration::ZERO };
         let expected = Duration::from_secs_f64(placement.expected_ms() / 1_000.0);
         let patience = job.route.objective.mul_f64(PATIENCE_PART);
         let patience = patience.max(expected.mul_f64(PATIENCE_FACTOR)).max(least);
-        (self.core.clock.now() + patience).min(job.give_up)
+        (self.core.clock.now() + patience).min(job.deadline)
     }
 
     /// The request may have run, and no answer can be passed on.
@@ -139,7 +139,7 @@
         outcome: &'static str,
         detail: String,
     ) -> Verdict {
-        placement.broke();
+        placement.on_connection_broken();
         self.may_have_run = true;
         self.note_failed(placement, outcome, detail);
         self.avoid.push(placement.server().clone());
@@ -159,20 +159,20 @@
         if !self.is_authentic(&exchange.response) {
             return self.after_loss(&placement, "not_its_answer", status.to_string());
         }
-        placement.began();
+        placement.on_response_started();
         self.note_begun();
         if let Some(load) = self.load(exchange.response.headers()) {
-            placement.tells_load(load);
+            placement.record_load(load);
         }
         let failed = status.is_server_error();
-        if placement.answered(failed) {
+        if placement.on_response(failed) {
             self.note_tripped(&placement);
         }
         let is_tried_again = failed && self.job.route.kind.may_repeat();
         // NB: a server's failure is still an answer; with nowhere else to go the caller gets it.
         if is_tried_again && self.goes_on_after(&placement).await {
             self.may_have_run = true;
-            placement.settle();
+            placement.mark_finished();
             self.note_failed(&placement, "failed", status.to_string());
             return Verdict::Next;
         }
@@ -210,11 +210,11 @@
         self.core.metrics.count(Counter::NotRun);
         self.probe_has_reached(false);
         // NB: it is not aboard of the server, should that break off a moment later.
-        placement.settle();
+        placement.mark_finished();
         if status == StatusCode::MISDIRECTED_REQUEST {
-            placement.is_replaced();
+            placement.on_server_replaced();
         } else if !asks_backoff {
-            placement.refused();
+            placement.on_rejected();
         }
         self.note_failed(placement, "not_run", status.to_string());
         // NB: one that asked for a pause may be asked again after it, also by this request.
@@ -258,7 +258,7 @@
             confidence: Some(confidence),
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Success, &event);
+        self.core.event_log.record(LogPriority::Success, &event);
         true
     }
 
@@ -267,7 +267,7 @@
         let job = &self.job;
         let objective_ms = job.route.objective.as_millis().max(1) as f64;
         let used = self.after_ms() as f64 / objective_ms;
-        let terms = foresight::terms(&self.core, job, &self.avoid, used);
+        let terms = forecasts::model_terms(&self.core, job, &self.avoid, used);
         let mut state = self.core.state.borrow_mut();
         let cascade = state.cascades.entry(job.service.name.clone()).or_default();
         let answer = (self.model, confidence);
@@ -307,7 +307,7 @@
     async fn pass_whole(&mut self, exchange: Exchange, placement: Placement) -> Verdict {
         let (parts, body) = exchange.response.into_parts();
         let head_ms = self.after_ms();
-        let until = self.core.clock.instant(self.job.give_up);
+        let until = self.core.clock.instant(self.job.deadline);
         let body = match timeout_at(until, body.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
@@ -330,7 +330,7 @@
         let mut response = Response::new(body);
         *response.status_mut() = parts.status;
         *response.headers_mut() = parts.headers;
-        strip_connection_headers(response.headers_mut());
+        strip_hop_by_hop_headers(response.headers_mut());
         response
     }
 }
--- a/crates/direct/src/membership/client.rs
+++ b/crates/direct/src/membership/client.rs
@@ -321,7 +321,7 @@
 ) -> Result<A, AskError> {
     let store = core.settings.store.address;
     let question = to_message(store, question)?;
-    core.metrics.count_many(Counter::PeerBytesTold, question.len());
+    core.metrics.count_many(Counter::PeerBytesSent, question.len());
     let answer = PeerClient::exchange_once(&core.connect, address, path, question).await?;
     Ok(from_message(&answer, store)?)
 }
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -19,7 +19,7 @@
     FORMAT, Item, MessageError, NEWS_PATH, Need, PERMIT_PATH, PROBE_PATH, STATE_PATH, State,
     StateHead, message::from_message,
 };
-use crate::{core::Core, journal::Rank, metrics::Counter};
+use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
 /// Bytes of news that an entry reads from another at once: the sessions that a hundred entries keep
 /// are a third of this.
@@ -95,10 +95,12 @@
                 STATE_PATH => tell_state(&core, &request).await,
                 NEWS_PATH => hear_news(&core, request).await,
                 PROBE_PATH => {
-                    answer_question(&core, request, async |core, body| core.answer_probe(body))
-                        .await
+                    answer_question(&core, request, async |core, body| {
+                        core.handle_probe_request(body)
+                    })
+                    .await
                 }
-                PERMIT_PATH => answer_question(&core, request, Core::answer_permit).await,
+                PERMIT_PATH => answer_question(&core, request, Core::handle_permit_request).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
@@ -121,7 +123,8 @@
             with_status(StatusCode::OK, Bytes::new())
         }
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -141,7 +144,8 @@
     match answer {
         Ok(bytes) => with_status(StatusCode::OK, bytes),
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -154,7 +158,7 @@
     match wait_for_state(core, asked).await {
         Some(Ok(bytes)) => {
             core.metrics.count(Counter::QuestionsAnswered);
-            core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
+            core.metrics.count_many(Counter::PeerBytesSent, bytes.len());
             with_status(StatusCode::OK, bytes)
         }
         Some(Err(_)) => with_status(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
@@ -168,7 +172,7 @@
     let times = &core.settings.membership.times;
     let held_from = core.clock.now();
     loop {
-        let something_new = core.something_new.notified();
+        let state_changed = core.state_changed.notified();
         if has_news(core, asked) {
             return Some(state_after(core, asked));
         }
@@ -178,7 +182,7 @@
         let too_old_at = too_old_at(core);
         // NB: an entry that has lost its way may be about to find another.
         let give_up = too_old_at.unwrap_or_default().max(held_from + times.hold_while_old);
-        if timeout_at(core.clock.instant(give_up), something_new).await.is_err() {
+        if timeout_at(core.clock.instant(give_up), state_changed).await.is_err() {
             return None;
         }
     }
@@ -190,7 +194,7 @@
 /// that it holds would reach nobody.
 fn too_old_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let oldest_told = core.settings.membership.times.oldest_told + state.store_takes;
+    let oldest_told = core.settings.membership.times.oldest_told + state.store_latency;
     state.freshness.confirmed().map(|at| at + oldest_told)
 }
 
@@ -202,7 +206,9 @@
     let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
     let has_changes = state.replica.position() > asked.after;
     let (is_confirmed_anew, has_news) = match heard {
-        Some(heard) => (state.turn != heard.turn, core.news.borrow().end() > heard.news_end),
+        Some(heard) => {
+            (state.confirmation_count != heard.turn, core.gossip.borrow().end() > heard.news_end)
+        }
         None => (true, false),
     };
     match asked.need {
@@ -215,7 +221,7 @@
 }
 
 fn state_after(core: &Core, asked: Asked) -> Result<Bytes, MessageError> {
-    let summary = core.summary_of_ends();
+    let summary = core.crash_summary();
     let mut state = core.state.borrow_mut();
     let changes = match asked.need {
         Need::Changes | Need::ChangesNow => state.replica.sent_after(asked.after),
@@ -228,7 +234,7 @@
     };
     let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
     let summary = if heard.is_none() { summary.map(|news| core.new_item(news)) } else { None };
-    let news = core.news.borrow();
+    let news = core.gossip.borrow();
     let mut unheard = news.since(heard.map_or(0, |heard| heard.news_end), core.clock.now());
     unheard.extend(summary);
     let head = StateHead {
@@ -239,8 +245,8 @@
         // NB: only an entry that was confirmed answers.
         confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
-        store_takes: state.store_takes,
-        turn: state.turn,
+        store_takes: state.store_latency,
+        turn: state.confirmation_count,
         position: state.replica.position(),
         whole,
         // NB: filled in when the bytes are made.
--- a/crates/direct/src/membership/spread.rs
+++ b/crates/direct/src/membership/spread.rs
@@ -6,7 +6,7 @@
 use tokio::{sync::Notify, task::spawn_local, time::sleep};
 
 use super::{Item, News, PeerClient, message};
-use crate::{core::Core, journal::Rank, metrics::Counter};
+use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
 /// Time for which news is gathered before it is passed on, so that what a hundred entries find at
 /// the same moment goes in a few messages.
@@ -57,8 +57,8 @@
 
     /// A piece of news as this entry tells it now.
     pub fn new_item(&self, news: News) -> Item {
-        let number = self.news_told.get();
-        self.news_told.set(number + 1);
+        let number = self.gossip_sent.get();
+        self.gossip_sent.set(number + 1);
         Item {
             origin: self.settings.name.clone(),
             incarnation: self.incarnation,
@@ -82,7 +82,7 @@
     fn hear(&self, items: Vec<Item>) -> Vec<Item> {
         let now = self.clock.now();
         let is_new = |item: &Item| {
-            let log = if item.only_goes_up() { &self.news_for_above } else { &self.news };
+            let log = if item.only_goes_up() { &self.gossip_for_parents } else { &self.gossip };
             log.borrow_mut().add(item.clone(), now)
         };
         let new: Vec<Item> = items.into_iter().filter(is_new).collect();
@@ -91,14 +91,14 @@
             self.apply(item);
         }
         if new.iter().any(|item| !item.only_goes_up()) {
-            self.something_new.notify_waiters();
+            self.state_changed.notify_waiters();
         }
         new
     }
 
     /// Weighs all news about a service again, since a roll-out of it was learned of only now.
     pub fn apply_news_of(&self, service: &str) {
-        let news = self.news.borrow();
+        let news = self.gossip.borrow();
         let items = news.all(self.clock.now()).map(|(_, item)| item);
         items.filter(|item| item.service() == Some(service)).for_each(|item| self.apply(item));
     }
@@ -119,19 +119,19 @@
         };
         let (service, target) = (item.service(), item.target());
         let event = SpreadEvent::NewsHeard { from: &item.origin, service, target, what };
-        self.journal.note(Rank::State, &event);
+        self.event_log.record(LogPriority::State, &event);
     }
 
     fn apply(&self, item: &Item) {
         match &item.news {
             News::Used { window, counts, unix_ms } => {
-                return self.hear_used(item, *window, counts, *unix_ms);
+                return self.receive_usage_counts(item, *window, counts, *unix_ms);
             }
             News::Unreached { fleet, server } => return self.hear_unreached(fleet, server, item),
-            News::Limited { .. } => return self.hear_limit(item),
-            News::Ended { ends } => return self.hear_ends(ends, item.age),
+            News::Limited { .. } => return self.receive_limit(item),
+            News::Ended { ends } => return self.receive_crashes(ends, item.age),
             News::Cleared { content } => {
-                return self.hear_cleared(*content, &item.origin, item.age);
+                return self.receive_clearance(*content, &item.origin, item.age);
             }
             _ => {}
         }
@@ -168,7 +168,7 @@
         drop(state);
         if is_new {
             let event = SpreadEvent::ServerDoubted { server, from: &item.origin };
-            self.journal.note(Rank::State, &event);
+            self.event_log.record(LogPriority::State, &event);
         }
     }
 }
@@ -226,7 +226,7 @@
     for _ in 0..TRIES {
         failed = None;
         // NB: where it goes is asked anew each time; whoever was to take it may be gone.
-        for address in core.above() {
+        for address in core.parents() {
             if told.contains(&address) {
                 continue;
             }
@@ -244,14 +244,14 @@
     if let Some((to, error)) = failed {
         let to = to.to_string();
         let event = SpreadEvent::NewsNotPassedOn { to, items: items.len(), error };
-        core.journal.note(Rank::State, &event);
+        core.event_log.record(LogPriority::State, &event);
     }
 }
 
 async fn pass_on_to(core: &Core, address: SocketAddr, items: &[Item]) -> Result<(), String> {
     let store = core.settings.store.address;
     let bytes = message::to_message(store, &items).map_err(|error| error.to_string())?;
-    core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
+    core.metrics.count_many(Counter::PeerBytesSent, bytes.len());
     let told = PeerClient::tell_news(&core.connect, address, bytes).await;
     told.map_err(|error| error.to_string())
 }
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -31,9 +31,9 @@
     /// Sends that a backend server turned away without running them.
     NotRun,
     /// Backend servers that said in an answer that they leave.
-    ToldLeaving,
+    ServersDraining,
     /// Times that a backend server asked to be sent nothing for a while.
-    AskedBackoff,
+    BackoffsRequested,
     /// Changes of rate limits that backend servers name.
     LimitsChanged,
     /// Permits that were given to this entry for servers that name a rate limit.
@@ -41,19 +41,19 @@
     /// Permits that it asked for in vain.
     PermitsRefused,
     /// Requests held back until a server that was cold or paused could take one more.
-    HeldForRoom,
+    WaitedForCapacity,
     /// Requests that did not leave, since their server's data centre was evacuated or it turned cold.
     Withheld,
     /// Backend servers that could not be reached and count as cold when they are again.
-    ServersDoubted,
+    ServersPresumedCold,
     /// Connections that broke while a request was at a backend server.
-    Broke,
+    ConnectionsBroken,
     /// Times that the content of a request began to be held, since servers ended under it.
-    ContentsHeld,
+    ContentsQuarantined,
     /// Runs of such a content by leave of the entry that grants them.
     Probes,
     /// Ends of servers that this entry saw and did not tell, since they were too many at once.
-    EndsNotTold,
+    CrashesNotReported,
     /// Answers of smaller models dropped for a stronger one's.
     Escalations,
     /// Streams resumed at another backend server.
@@ -67,9 +67,9 @@
     /// Calls with such reports that came to nothing.
     UsageCallsFailed,
     /// Bytes of states and news told to other entries.
-    PeerBytesTold,
+    PeerBytesSent,
     /// Bytes of states heard from other entries.
-    PeerBytesHeard,
+    PeerBytesReceived,
 }
 
 impl Counter {
@@ -83,26 +83,26 @@
             Counter::Sends => "sends_total",
             Counter::FurtherSends => "further_sends_total",
             Counter::NotRun => "not_run_total",
-            Counter::ToldLeaving => "told_leaving_total",
-            Counter::AskedBackoff => "asked_backoff_total",
+            Counter::ServersDraining => "told_leaving_total",
+            Counter::BackoffsRequested => "asked_backoff_total",
             Counter::LimitsChanged => "server_limits_changed_total",
             Counter::PermitsGiven => "permits_given_total",
             Counter::PermitsRefused => "permits_refused_total",
-            Counter::HeldForRoom => "held_for_room_total",
+            Counter::WaitedForCapacity => "held_for_room_total",
             Counter::Withheld => "withheld_total",
-            Counter::ServersDoubted => "servers_doubted_total",
-            Counter::Broke => "connections_broken_total",
-            Counter::ContentsHeld => "contents_held_total",
+            Counter::ServersPresumedCold => "servers_doubted_total",
+            Counter::ConnectionsBroken => "connections_broken_total",
+            Counter::ContentsQuarantined => "contents_held_total",
             Counter::Probes => "probes_total",
-            Counter::EndsNotTold => "ends_not_told_total",
+            Counter::CrashesNotReported => "ends_not_told_total",
             Counter::Escalations => "escalations_total",
             Counter::Resumes => "resumes_total",
             Counter::StoreFailures => "store_failures_total",
             Counter::QuestionsAnswered => "questions_answered_total",
             Counter::UsageReports => "usage_reports_total",
             Counter::UsageCallsFailed => "usage_calls_failed_total",
-            Counter::PeerBytesTold => "peer_bytes_told_total",
-            Counter::PeerBytesHeard => "peer_bytes_heard_total",
+            Counter::PeerBytesSent => "peer_bytes_told_total",
+            Counter::PeerBytesReceived => "peer_bytes_heard_total",
         }
     }
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -17,7 +17,7 @@
 use crate::{
     catalog::ServiceId,
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     membership::{
         AskError, Item, MessageError, News, PERMIT_PATH, ask_question, from_message, to_message,
     },
@@ -72,12 +72,12 @@
 }
 
 /// Counts a request as one that waits for a permit until it is dropped.
-pub struct WaitingForPermit {
+pub struct PermitWaiter {
     core: Rc<Core>,
     service: ServiceId,
 }
 
-impl WaitingForPermit {
+impl PermitWaiter {
     /// Lets one more request of a service wait, unless `most` do.
     pub fn enter(core: &Rc<Core>, service: &ServiceId, most: usize) -> Option<Self> {
         let mut waiting = core.permits.waiting.borrow_mut();
@@ -86,11 +86,11 @@
             return None;
         }
         *count += 1;
-        Some(WaitingForPermit { core: Rc::clone(core), service: service.clone() })
+        Some(PermitWaiter { core: Rc::clone(core), service: service.clone() })
     }
 }
 
-impl Drop for WaitingForPermit {
+impl Drop for PermitWaiter {
     fn drop(&mut self) {
         let mut waiting = self.core.permits.waiting.borrow_mut();
         if let Some(count) = waiting.get_mut(&self.service) {
@@ -146,7 +146,7 @@
 
 impl Core {
     /// Asks for a permit, and notes in the fleet what came of it.
-    pub async fn ask_for_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
+    pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
         let said_ago = self.clock.now().saturating_sub(wanted.said_at);
         let question = PermitQuestion {
             service: service.to_string(),
@@ -161,7 +161,7 @@
             Err(error) => {
                 let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
                 let event = PermitEvent::PermitUnanswered { server: &question.server, error };
-                self.journal.note(Rank::Failure, &event);
+                self.event_log.record(LogPriority::Failure, &event);
                 PermitAnswer::Refused { opens_in: UNANSWERED_PAUSE }
             }
         };
@@ -208,9 +208,9 @@
 
     /// Asks those that may grant a permit in turn, until one answers or it is this entry's turn.
     async fn walk_granters(&self, question: &PermitQuestion) -> Walk {
-        let order = self.roster.granting_order(u128::from(server_hash(&question.server)));
+        let order = self.members.granting_order(u128::from(server_hash(&question.server)));
         // NB: an entry that is not listed yet may not know the others, which may grant the same.
-        let is_listed = self.roster.own_listed().is_some() || self.settings.peers.is_none();
+        let is_listed = self.members.own_listed().is_some() || self.settings.peers.is_none();
         let mut error = None;
         let mut asked = 0;
         for (place, (_, address)) in order.into_iter().enumerate() {
@@ -254,7 +254,7 @@
     }
 
     /// Answers another entry's question.
-    pub async fn answer_permit(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    pub async fn handle_permit_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
         let mut question: PermitQuestion = from_message(question, store)?;
         let answer = match question.is_passed_on {
@@ -270,7 +270,7 @@
 
     /// In which place this entry grants permits for a server.
     fn own_place(&self, server: &str) -> Granter {
-        let order = self.roster.granting_order(u128::from(server_hash(server)));
+        let order = self.members.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
         place.map_or(Granter::StandIn, granter_at)
     }
@@ -300,7 +300,7 @@
     }
 
     /// Another entry has heard of a server's rate limit, or that it names none any more.
-    pub fn hear_limit(&self, item: &Item) {
+    pub fn receive_limit(&self, item: &Item) {
         let News::Limited { fleet, server, life, limit } = &item.news else { return };
         let at = self.clock.now().saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
@@ -310,7 +310,7 @@
         if changes {
             let (from, per_s) = (item.origin.as_str(), limit.map(ServerLimit::per_s));
             let event = PermitEvent::ServerLimitHeard { server, from, per_s };
-            self.journal.note(Rank::State, &event);
+            self.event_log.record(LogPriority::State, &event);
         }
     }
 }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -14,7 +14,7 @@
 use crate::{
     catalog::ServiceId,
     core::Core,
-    foresight::engine_of,
+    forecasts::engine_of,
     membership::News,
     metrics::{Counter, Timer},
     request::Job,
@@ -22,7 +22,7 @@
 };
 
 use choice::find_by_rule;
-pub use choice::{NextSend, NoPlace};
+pub use choice::{NextSend, PlacementError};
 
 /// A place at one backend server.
 pub struct Placement {
@@ -43,14 +43,18 @@
     /// Model that runs there, where the entry chooses it.
     pub model: Option<ModelId>,
     /// Whether the run is known to be over, or never to have begun.
-    is_settled: Cell<bool>,
+    is_finished: Cell<bool>,
     /// Whether it runs as a probe.
     is_probe: Cell<bool>,
 }
 
 impl Placement {
     /// Finds a place for a job, if any server may take it now.
-    pub fn find(core: &Rc<Core>, job: &Rc<Job>, next: NextSend<'_>) -> Result<Self, NoPlace> {
+    pub fn find(
+        core: &Rc<Core>,
+        job: &Rc<Job>,
+        next: NextSend<'_>,
+    ) -> Result<Self, PlacementError> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
         let session = job.session.unwrap_or_else(|| state.rng.random());
@@ -80,7 +84,7 @@
             address,
             version,
             model,
-            is_settled: Cell::new(false),
+            is_finished: Cell::new(false),
             is_probe: Cell::new(false),
         })
     }
@@ -91,13 +95,13 @@
     }
 
     /// The run there is over, or never began.
-    pub fn settle(&self) {
-        self.is_settled.set(true);
+    pub fn mark_finished(&self) {
+        self.is_finished.set(true);
     }
 
     /// The place was taken ahead, and the run there begins only now.
-    pub fn unsettle(&self) {
-        self.is_settled.set(false);
+    pub fn mark_unfinished(&self) {
+        self.is_finished.set(false);
     }
 
     /// Identity of the server.
@@ -121,7 +125,7 @@
     }
 
     /// The answer has begun.
-    pub fn began(&mut self) {
+    pub fn on_response_started(&mut self) {
         let now = self.core.clock.now();
         let took_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
         self.took_ms = took_ms;
@@ -139,7 +143,7 @@
     }
 
     /// The server told its load with the answer.
-    pub fn tells_load(&self, load: ServerLoad) {
+    pub fn record_load(&self, load: ServerLoad) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
@@ -148,7 +152,7 @@
     }
 
     /// The whole answer has been passed on; how fast its tokens came tells of others to come.
-    pub fn is_whole(&self) {
+    pub fn on_completed(&self) {
         let tokens_out = self.job.prompt.tokens_out;
         let learns = self.core.settings.policy.learned_engines;
         if !learns || self.model.is_none() || tokens_out == 0 {
@@ -161,7 +165,7 @@
     }
 
     /// The server answered, with a failure of its own or not; true if a roll-out is off by it.
-    pub fn answered(&self, failed: bool) -> bool {
+    pub fn on_response(&self, failed: bool) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
@@ -173,8 +177,8 @@
 
     /// The answer did not begin in the time given, which counts as a failure of the server and its version; true
     /// if a roll-out is off.
-    pub fn was_silent(&self) -> bool {
-        self.broke();
+    pub fn on_response_timeout(&self) -> bool {
+        self.on_connection_broken();
         self.note_evidence(true)
     }
 
@@ -202,7 +206,7 @@
     }
 
     /// The connection broke, or no answer came; this is evidence about the server alone.
-    pub fn broke(&self) {
+    pub fn on_connection_broken(&self) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
@@ -211,7 +215,7 @@
     }
 
     /// Whether the request may leave now that its connection stands.
-    pub fn may_leave(&self) -> bool {
+    pub fn may_dispatch(&self) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
@@ -219,8 +223,8 @@
     }
 
     /// The server could not be reached; other entries are told if it may be cold by that.
-    pub fn unreached(&self, why: Unreached) {
-        self.settle();
+    pub fn on_unreachable(&self, why: Unreached) {
+        self.mark_finished();
         let now = self.core.clock.now();
         let service = &self.job.service.name;
         let mut state = self.core.state.borrow_mut();
@@ -228,15 +232,15 @@
         let is_news = fleet.is_some_and(|fleet| fleet.unreached(&self.ticket, why, now));
         drop(state);
         if is_news {
-            self.core.metrics.count(Counter::ServersDoubted);
+            self.core.metrics.count(Counter::ServersPresumedCold);
             let (fleet, server) = (service.to_string(), self.ticket.server.clone());
             self.core.tell_news(News::Unreached { fleet, server });
         }
     }
 
     /// The server turned the request away.
-    pub fn refused(&self) {
-        self.settle();
+    pub fn on_rejected(&self) {
+        self.mark_finished();
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
@@ -245,7 +249,7 @@
     }
 
     /// The server said in an answer that it leaves. Returns whether that is news.
-    pub fn told_leaving(&self) -> bool {
+    pub fn on_draining(&self) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
@@ -253,7 +257,7 @@
     }
 
     /// An answer of the server spoke of its rate limit. Returns whether that has changed.
-    pub fn told_limit(&self, word: LimitWord) -> bool {
+    pub fn on_limit_reported(&self, word: LimitWord) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(&self.job.service.name) else { return false };
@@ -268,7 +272,7 @@
     }
 
     /// The server asked in an answer to be sent nothing for a while. Returns how long it gets nothing.
-    pub fn asked_backoff(&self, asked: Duration) -> Option<Duration> {
+    pub fn on_backoff_requested(&self, asked: Duration) -> Option<Duration> {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let State { fleets, rng, .. } = &mut *state;
@@ -278,8 +282,8 @@
     }
 
     /// Another server has its address.
-    pub fn is_replaced(&self) {
-        self.settle();
+    pub fn on_server_replaced(&self) {
+        self.mark_finished();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
             fleet.is_replaced(&self.ticket);
@@ -298,8 +302,8 @@
             fleet.ended(&self.ticket);
         }
         drop(state);
-        if !self.is_settled.get() {
-            self.core.note_left(&self.job, self.server(), self.is_probe.get());
+        if !self.is_finished.get() {
+            self.core.record_abandoned_run(&self.job, self.server(), self.is_probe.get());
         }
     }
 }
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -11,20 +11,20 @@
 use super::Placement;
 use crate::{
     core::Core,
-    foresight::{ask_for, engine_of},
+    forecasts::{ask_for, engine_of},
     request::Job,
     state::State,
 };
 
 /// Why there is no place for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// No server takes new work.
-    Closed,
+    NoServer,
     /// All that could take it leave.
-    Leaving,
+    AllDraining,
     /// Those that do are cold or name a rate limit and have taken what they may for now, or asked for a pause.
-    Shut(Opening),
+    Unavailable(Opening),
 }
 
 /// What the next send of a request asks for.
@@ -42,7 +42,11 @@
     /// How surely a request could be sent now, and if it could not, why.
     ///
     /// NB: it is asked before an answer that was made is dropped for another one.
-    pub fn outlook(core: &Core, job: &Job, next: NextSend<'_>) -> Result<Certainty, NoPlace> {
+    pub fn certainty(
+        core: &Core,
+        job: &Job,
+        next: NextSend<'_>,
+    ) -> Result<Certainty, PlacementError> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
         let certainty =
@@ -82,9 +86,9 @@
     session: Option<SessionKey>,
     now: Duration,
     mut find: impl FnMut(&mut Fleet, &Ask<'_>, &mut SmallRng) -> Option<T>,
-) -> Result<T, NoPlace> {
+) -> Result<T, PlacementError> {
     let State { fleets, roll_outs, sessions, engines, rng, .. } = state;
-    let fleet = fleets.get_mut(&job.service.name).ok_or(NoPlace::Closed)?;
+    let fleet = fleets.get_mut(&job.service.name).ok_or(PlacementError::NoServer)?;
     let pinned = job.session.and_then(|session| sessions.version(session, now));
     let roll_out = roll_outs.get(&job.service.name);
     let rule = match (roll_out, session) {
@@ -106,7 +110,7 @@
     target: Option<&str>,
     now: Duration,
     mut find: impl FnMut(&mut Fleet, &Ask<'_>) -> Option<T>,
-) -> Result<T, NoPlace> {
+) -> Result<T, PlacementError> {
     if let Some(found) = find(fleet, ask) {
         return Ok(found);
     }
@@ -114,21 +118,21 @@
     let (VersionRule::Only(_), Some(target)) = (ask.versions, target) else {
         return Err(no_place);
     };
-    if matches!(no_place, NoPlace::Shut(_)) {
+    if matches!(no_place, PlacementError::Unavailable(_)) {
         return Err(no_place);
     }
     let other = Ask { versions: VersionRule::Except(target), ..*ask };
     find(fleet, &other).ok_or_else(|| match why_none(fleet, &other, now) {
-        NoPlace::Closed => no_place,
+        PlacementError::NoServer => no_place,
         other => other,
     })
 }
 
 /// Why no server may take a request now.
-fn why_none(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> NoPlace {
+fn why_none(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> PlacementError {
     match fleet.opens_at(ask, now) {
-        Some(opening) => NoPlace::Shut(opening),
-        None if fleet.has_leaving(ask, now) => NoPlace::Leaving,
-        None => NoPlace::Closed,
+        Some(opening) => PlacementError::Unavailable(opening),
+        None if fleet.has_leaving(ask, now) => PlacementError::AllDraining,
+        None => PlacementError::NoServer,
     }
 }
--- a/crates/direct/src/facts.rs
+++ b/crates/direct/src/port.rs
@@ -27,7 +27,7 @@
     /// Nothing more goes to them.
     Ordered,
     /// They may be used again.
-    TakenBack,
+    Cancelled,
 }
 
 /// How far a roll-out has come, as told to the operator.
@@ -54,13 +54,13 @@
 
 /// Something the store holds, or no longer holds.
 #[derive(Debug, Clone)]
-pub enum Fact {
+pub enum StoreRecord {
     /// A whole configuration.
     Catalog(Box<Catalog>),
     /// A backend server, or that it is gone.
     Server(ServerId, Option<BackendServer>),
     /// An entry of a backend server that cannot be read; it names no server to use.
-    UnreadableServer(ServerId, UnreadableFact),
+    UnreadableServer(ServerId, UnreadableRecord),
     /// A data centre is to be evacuated, or was taken back.
     Evacuation(DataCentreId, Evacuation),
     /// An order to roll out, or that it was taken back.
@@ -74,7 +74,7 @@
 /// An entry of the store that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{key}` cannot be read: {reason}")]
-pub struct UnreadableFact {
+pub struct UnreadableRecord {
     /// Key of the entry.
     pub key: String,
     /// What is wrong with it.
@@ -82,9 +82,9 @@
 }
 
 /// Reads one key with its value, or its absence.
-pub type ReadFact = Rc<dyn Fn(&str, Option<&[u8]>) -> Result<Fact, UnreadableFact>>;
+pub type DecodeRecord = Rc<dyn Fn(&str, Option<&[u8]>) -> Result<StoreRecord, UnreadableRecord>>;
 /// Key and value under which a roll-out's progress is told.
-pub type WriteProgress = Rc<dyn Fn(&Progress) -> (String, Vec<u8>)>;
+pub type EncodeProgress = Rc<dyn Fn(&Progress) -> (String, Vec<u8>)>;
 
 /// A report of usage, with what shows who speaks.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -104,10 +104,10 @@
 pub enum ReportError {
     /// The platform has seen a higher number.
     #[error("a higher number has been seen")]
-    Refused,
+    StaleFencingToken,
     /// The platform takes no more calls for now, or answers otherwise than it should.
     #[error("the platform answers {0}")]
-    NotTaken(u16),
+    UnexpectedStatus(u16),
     /// It cannot be reached.
     #[error("the platform cannot be reached")]
     Unreachable,
@@ -127,16 +127,16 @@
     /// The calls.
     pub store: StorePort,
     /// Reads an entry.
-    pub read: ReadFact,
+    pub decode: DecodeRecord,
     /// Writes progress.
-    pub write_progress: WriteProgress,
+    pub encode_progress: EncodeProgress,
     /// Reports usage, where the deployment asks for that.
     pub report_usage: Option<ReportUsage>,
 }
 
 impl Port {
     /// Reads an entry that exists.
-    pub fn read_entry(&self, entry: &Fetched) -> Result<Fact, UnreadableFact> {
-        (self.read)(&entry.key, Some(&entry.value))
+    pub fn decode_entry(&self, entry: &Fetched) -> Result<StoreRecord, UnreadableRecord> {
+        (self.decode)(&entry.key, Some(&entry.value))
     }
 }
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -14,16 +14,16 @@
 
 use pondwalk_decide::direct::{Content, Grant, Probe, Quarantine, ServerEnd, Standing};
 
-pub use good::{HeldThoughGood, speak_for_good_contents};
-pub use lease::{GivenBack, ProbeLease, give_back_probes};
+pub use good::{PendingClearances, speak_for_good_contents};
+pub use lease::{ProbeLease, ReleasedProbes, give_back_probes};
 pub use report::QuarantineEvent;
-pub use seen::SeenEnds;
+pub use seen::SeenCrashes;
 pub use stored::{MOST_STORED, QUARANTINE_KEY, StoredQuarantine};
 
 use crate::{
     content::content_text,
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     membership::News,
     metrics::Counter,
     request::{Job, Refusal},
@@ -42,7 +42,7 @@
 
 impl Core {
     /// Whether a request may run.
-    pub fn standing(&self, job: &Job) -> Standing {
+    pub fn quarantine_status(&self, job: &Job) -> Standing {
         let state = self.state.borrow();
         if state.quarantine.is_empty() || state.good_contents.holds(job.content()) {
             return Standing::Free;
@@ -51,13 +51,13 @@
     }
 
     /// Ends of servers that count against a request.
-    pub fn ends_under(&self, job: &Job) -> usize {
+    pub fn crash_count(&self, job: &Job) -> usize {
         let state = self.state.borrow();
         if state.quarantine.is_empty() { 0 } else { state.quarantine.ends(job.content()) }
     }
 
     /// Hears of ends that another entry saw.
-    pub fn hear_ends(&self, ends: &[AgedEnd], age: Duration) {
+    pub fn receive_crashes(&self, ends: &[AgedEnd], age: Duration) {
         let now = self.clock.now();
         for (end, more) in ends {
             let at = now.saturating_sub(age + *more);
@@ -75,14 +75,14 @@
     }
 
     /// Hears of a good end at another entry.
-    pub fn hear_cleared(&self, content: Content, from: &str, age: Duration) {
+    pub fn receive_clearance(&self, content: Content, from: &str, age: Duration) {
         let at = self.clock.now().saturating_sub(age);
         let ends = self.state.borrow_mut().quarantine.note_whole(content, at);
         self.note_cleared(content, ends, from);
     }
 
     /// What an entry that has heard nothing from this one is to know.
-    pub fn summary_of_ends(&self) -> Option<News> {
+    pub fn crash_summary(&self) -> Option<News> {
         let ends = self.state.borrow().quarantine.weightiest(MOST_IN_SUMMARY, self.clock.now());
         (!ends.is_empty()).then_some(News::Ended { ends })
     }
@@ -100,7 +100,7 @@
     /// Grants a probe that this entry or another asks for.
     pub fn grant_probe(&self, content: Content, lease: Duration) -> Grant {
         let now = self.clock.now();
-        let order = self.roster.granting_order(content);
+        let order = self.members.granting_order(content);
         let place = order.iter().position(|(name, _)| *name == self.settings.name);
         let settled_at = SETTLING.saturating_sub(self.clock.uptime());
         if order.len() > 1 && !settled_at.is_zero() {
@@ -126,13 +126,13 @@
         let Standing::Held { until } = state.quarantine.standing(content, now) else { return };
         let ends = state.quarantine.ends(content);
         drop(state);
-        self.metrics.count(Counter::ContentsHeld);
+        self.metrics.count(Counter::ContentsQuarantined);
         let event = QuarantineEvent::ContentHeld {
             content: &content_text(content),
             servers_ended: ends,
             for_ms: until.saturating_sub(now).as_millis() as u64,
         };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Logs that a content is cleared of so many ends, if it was held by them.
@@ -141,12 +141,12 @@
             return;
         }
         let event = QuarantineEvent::ContentCleared { content: &content_text(content), from };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Why a request that may not run before `until` is refused.
-    pub fn refusal_until(&self, until: Duration) -> Refusal {
-        let opens_in = until.saturating_sub(self.clock.now());
-        Refusal::EndsServers { opens_in }
+    pub fn crash_refusal(&self, until: Duration) -> Refusal {
+        let available_in = until.saturating_sub(self.clock.now());
+        Refusal::CrashesServers { available_in }
     }
 }
--- a/crates/direct/src/quarantine/ask.rs
+++ b/crates/direct/src/quarantine/ask.rs
@@ -10,7 +10,7 @@
 use crate::{
     content::content_text,
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     membership::{AskError, MessageError, PROBE_PATH, ask_question, from_message, to_message},
     metrics::Counter,
     request::Job,
@@ -57,11 +57,11 @@
 impl Core {
     /// Asks for leave to run a request once; whoever is asked keeps all others from it meanwhile. Given
     /// leave comes as a lease.
-    pub async fn ask_for_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, Grant> {
-        let lease = job.give_up.saturating_sub(self.clock.now());
+    pub async fn request_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, Grant> {
+        let lease = job.deadline.saturating_sub(self.clock.now());
         let content = job.content();
         let mut error = None;
-        for (name, address) in self.roster.granting_order(content).into_iter().take(MOST_ASKED) {
+        for (name, address) in self.members.granting_order(content).into_iter().take(MOST_ASKED) {
             let Some(address) = address else {
                 let grant = self.grant_probe(content, lease);
                 return self.take_grant(job, grant, None, &name);
@@ -84,7 +84,7 @@
             content: &content_text(content),
             error,
         };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
         Err(Grant::Refused { until: self.clock.now() + UNANSWERED_PAUSE })
     }
 
@@ -102,7 +102,7 @@
     pub async fn tell_given_back(&self, address: SocketAddr, question: ProbeQuestion) {
         if let Err(error) = self.exchange(address, &question).await {
             let event = QuarantineEvent::ProbeNotGivenBack { error: error.to_string() };
-            self.journal.note(Rank::Failure, &event);
+            self.event_log.record(LogPriority::Failure, &event);
         }
     }
 
@@ -115,11 +115,11 @@
     }
 
     /// Answers another entry's question.
-    pub fn answer_probe(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    pub fn handle_probe_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
         let (content, lease) = match from_message(question, store)? {
             ProbeQuestion::Ask { content, lease, ends } => {
-                self.hear_ends(&ends, Duration::ZERO);
+                self.receive_crashes(&ends, Duration::ZERO);
                 (content, lease)
             }
             ProbeQuestion::GiveBack(content) => {
@@ -151,10 +151,10 @@
         let event = QuarantineEvent::ProbeGranted {
             request: &job.id,
             content: &content_text(job.content()),
-            servers_ended: self.ends_under(job),
+            servers_ended: self.crash_count(job),
             by,
         };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
         Ok(ProbeLease::new(self, job.content(), granted_by))
     }
 }
--- a/crates/direct/src/quarantine/good.rs
+++ b/crates/direct/src/quarantine/good.rs
@@ -17,7 +17,7 @@
 
 /// Contents that others hold and that came to a good end here.
 #[derive(Debug, Default)]
-pub struct HeldThoughGood {
+pub struct PendingClearances {
     contents: RefCell<Vec<Content>>,
     filled: Notify,
 }
@@ -26,9 +26,9 @@
 pub async fn speak_for_good_contents(core: Rc<Core>) {
     // NB: many entries may know; the first one's word reaches the others while they wait.
     loop {
-        core.held_though_good.filled.notified().await;
-        sleep(SPEAK_INTERVAL * core.roster.spread(SPEAKERS) as u32).await;
-        for content in core.held_though_good.contents.take() {
+        core.pending_clearances.filled.notified().await;
+        sleep(SPEAK_INTERVAL * core.members.spread(SPEAKERS) as u32).await;
+        for content in core.pending_clearances.contents.take() {
             if core.is_held_though_good(content) {
                 core.clear(content);
             }
@@ -38,7 +38,7 @@
 
 impl Core {
     /// A run came to a good end, which speaks for what it carries.
-    pub fn note_good_end(&self, job: &Job) {
+    pub fn record_success(&self, job: &Job) {
         let now = self.clock.now();
         let content = job.content();
         let mut state = self.state.borrow_mut();
@@ -50,8 +50,8 @@
     /// Has a content cleared that others hold and that came to a good end here.
     pub(super) fn speak_for(&self, content: Content) {
         if self.is_held_though_good(content) {
-            self.held_though_good.contents.borrow_mut().push(content);
-            self.held_though_good.filled.notify_one();
+            self.pending_clearances.contents.borrow_mut().push(content);
+            self.pending_clearances.filled.notify_one();
         }
     }
 
--- a/crates/direct/src/quarantine/lease.rs
+++ b/crates/direct/src/quarantine/lease.rs
@@ -14,7 +14,7 @@
 
 /// Leave that was given and is to be given back.
 #[derive(Debug, Default)]
-pub struct GivenBack {
+pub struct ReleasedProbes {
     probes: RefCell<Vec<(Content, Option<SocketAddr>)>>,
     filled: Notify,
 }
@@ -46,9 +46,9 @@
 impl Drop for ProbeLease {
     fn drop(&mut self) {
         if !self.has_reached.get() {
-            let given_back = &self.core.given_back;
-            given_back.probes.borrow_mut().push((self.content, self.granted_by));
-            given_back.filled.notify_one();
+            let released_probes = &self.core.released_probes;
+            released_probes.probes.borrow_mut().push((self.content, self.granted_by));
+            released_probes.filled.notify_one();
         }
     }
 }
@@ -56,8 +56,8 @@
 /// Gives leave back to the entries that granted it, for as long as the process runs.
 pub async fn give_back_probes(core: Rc<Core>) {
     loop {
-        core.given_back.filled.notified().await;
-        for (content, granted_by) in core.given_back.probes.take() {
+        core.released_probes.filled.notified().await;
+        for (content, granted_by) in core.released_probes.probes.take() {
             match granted_by {
                 None => core.state.borrow_mut().quarantine.give_back(content),
                 // NB: one that cannot be told takes the probe for used up.
--- a/crates/direct/src/quarantine/seen.rs
+++ b/crates/direct/src/quarantine/seen.rs
@@ -16,7 +16,7 @@
 
 use super::{AgedEnd, QuarantineEvent};
 use crate::{
-    catalog::ServiceId, core::Core, journal::Rank, membership::News, metrics::Counter,
+    catalog::ServiceId, core::Core, event_log::LogPriority, membership::News, metrics::Counter,
     placement::Placement, request::Job, state::State,
 };
 
@@ -75,13 +75,13 @@
 
 /// Ends that this entry saw a moment ago and has not told yet.
 #[derive(Debug, Default)]
-pub struct SeenEnds {
+pub struct SeenCrashes {
     ends: RefCell<Vec<SeenEnd>>,
     loss: RefCell<Loss>,
     left: RefCell<VecDeque<Left>>,
 }
 
-impl SeenEnds {
+impl SeenCrashes {
     /// Takes out the requests that were left at a server shortly before it ended.
     fn take_left(&self, server: &str, now: Duration) -> VecDeque<Left> {
         let mut left = self.left.borrow_mut();
@@ -97,9 +97,9 @@
     /// A request was left at a server, by its caller or for another server, before its run was over.
     ///
     /// NB: whoever leaves early each time would not be there when the server ends.
-    pub fn note_left(&self, job: &Job, server: &ServerId, on_probe: bool) {
+    pub fn record_abandoned_run(&self, job: &Job, server: &ServerId, on_probe: bool) {
         let at = self.clock.now();
-        let mut left = self.seen_ends.left.borrow_mut();
+        let mut left = self.seen_crashes.left.borrow_mut();
         if left.len() == MOST_LEFT {
             left.pop_front();
         }
@@ -108,10 +108,10 @@
     }
 
     /// A server broke off all connections, or at least this one, while it had the request.
-    pub fn note_server_end(self: &Rc<Self>, job: &Job, placement: &Placement, on_probe: bool) {
+    pub fn record_server_crash(self: &Rc<Self>, job: &Job, placement: &Placement, on_probe: bool) {
         let now = self.clock.now();
         self.note_end_under(job.content(), &job.id, placement, on_probe);
-        for left in self.seen_ends.take_left(placement.server(), now) {
+        for left in self.seen_crashes.take_left(placement.server(), now) {
             self.note_end_under(left.content, &left.request, placement, left.on_probe);
         }
     }
@@ -138,7 +138,7 @@
         drop(state);
         self.note_if_held(content);
         self.speak_for(content);
-        self.seen_ends.loss.borrow_mut().note(content, server);
+        self.seen_crashes.loss.borrow_mut().note(content, server);
         let seen = SeenEnd {
             content,
             id,
@@ -152,7 +152,7 @@
             before,
             is_good,
         };
-        let mut ends = self.seen_ends.ends.borrow_mut();
+        let mut ends = self.seen_crashes.ends.borrow_mut();
         ends.push(seen);
         if ends.len() == 1 {
             let core = Rc::clone(self);
@@ -165,8 +165,8 @@
 
     /// Judges the ends of one moment together, and tells them.
     async fn tell_ends(&self) {
-        let seen = self.seen_ends.ends.take();
-        let loss = self.seen_ends.loss.take();
+        let seen = self.seen_crashes.ends.take();
+        let loss = self.seen_crashes.loss.take();
         let mut told: Vec<AgedEnd> = Vec::with_capacity(seen.len().min(MOST_TOLD));
         self.note_ends_as_evidence(&seen, &loss);
         for end in seen {
@@ -181,7 +181,7 @@
             told.push((end, now.saturating_sub(at)));
         }
         let untold = told.len().saturating_sub(MOST_TOLD);
-        self.metrics.count_many(Counter::EndsNotTold, untold);
+        self.metrics.count_many(Counter::CrashesNotReported, untold);
         told.truncate(MOST_TOLD);
         for ends in told.chunks(MOST_IN_ITEM) {
             self.tell_news(News::Ended { ends: ends.to_vec() });
@@ -218,7 +218,7 @@
         drop(state);
         for SeenEnd { request, service, version, .. } in tripped {
             let event = QuarantineEvent::VersionTripped { request, service, version };
-            self.journal.note(Rank::State, &event);
+            self.event_log.record(LogPriority::State, &event);
         }
     }
 
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -48,37 +48,37 @@
     NoServer,
     /// No backend server takes new work in the regions that it must not leave.
     #[error("no backend server takes new work in the regions that the request must not leave")]
-    NoServerAtHome,
+    NoServerInAllowedRegions,
     /// The backend servers that could take it are cold, and have no room soon enough.
     #[error("all backend servers are cold")]
     AllCold {
         /// Time until one has room.
-        opens_in: Duration,
+        available_in: Duration,
     },
     /// All backend servers that could take it leave.
     #[error("all backend servers are leaving")]
-    AllLeaving,
+    AllDraining,
     /// The backend servers that could take it have asked to be sent nothing for a while.
     #[error("all backend servers have asked for a pause")]
     AllBackingOff {
         /// Time until one may be asked again.
-        opens_in: Duration,
+        available_in: Duration,
     },
     /// The backend servers that could take it name rate limits, which other requests have used up.
     #[error("all backend servers take no more requests for now")]
     AllLimited {
         /// Time until one may take another.
-        opens_in: Duration,
+        available_in: Duration,
     },
     /// Backend servers have ended under requests of this content, and it may not run for now.
     #[error("backend servers have ended under this very request; it is not worth repeating")]
-    EndsServers {
+    CrashesServers {
         /// Time until it may be tried again.
-        opens_in: Duration,
+        available_in: Duration,
     },
     /// Backend servers ended while they ran it, this time too.
     #[error("backend servers ended while they ran this request; it is not worth repeating")]
-    EndedServers,
+    CrashedServers,
     /// The backend servers asked turned the request away without running it.
     #[error("the backend servers turned the request away")]
     TurnedAway,
@@ -102,15 +102,15 @@
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-            Refusal::OutcomeUnknown | Refusal::EndedServers => StatusCode::BAD_GATEWAY,
-            Refusal::EndsServers { .. } => StatusCode::TOO_MANY_REQUESTS,
+            Refusal::OutcomeUnknown | Refusal::CrashedServers => StatusCode::BAD_GATEWAY,
+            Refusal::CrashesServers { .. } => StatusCode::TOO_MANY_REQUESTS,
             Refusal::NotConfigured
             | Refusal::Stale
             | Refusal::Closing
             | Refusal::NoServer
-            | Refusal::NoServerAtHome
+            | Refusal::NoServerInAllowedRegions
             | Refusal::AllCold { .. }
-            | Refusal::AllLeaving
+            | Refusal::AllDraining
             | Refusal::AllBackingOff { .. }
             | Refusal::AllLimited { .. }
             | Refusal::TurnedAway
@@ -130,13 +130,13 @@
             Refusal::NoRoute => "no_route",
             Refusal::UnknownKey => "unknown_key",
             Refusal::NoServer => "no_server",
-            Refusal::NoServerAtHome => "no_server_at_home",
+            Refusal::NoServerInAllowedRegions => "no_server_at_home",
             Refusal::AllCold { .. } => "all_cold",
-            Refusal::AllLeaving => "all_leaving",
+            Refusal::AllDraining => "all_leaving",
             Refusal::AllBackingOff { .. } => "all_backing_off",
             Refusal::AllLimited { .. } => "all_limited",
-            Refusal::EndsServers { .. } => "ends_servers",
-            Refusal::EndedServers => "ended_servers",
+            Refusal::CrashesServers { .. } => "ends_servers",
+            Refusal::CrashedServers => "ended_servers",
             Refusal::TurnedAway => "turned_away",
             Refusal::ExpiredUnsent => "expired_unsent",
             Refusal::TimedOut => "timed_out",
@@ -146,7 +146,7 @@
 
     /// Whether the request may have run.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Refusal::TimedOut | Refusal::OutcomeUnknown | Refusal::EndedServers)
+        matches!(self, Refusal::TimedOut | Refusal::OutcomeUnknown | Refusal::CrashedServers)
     }
 
     /// When the caller may come back, if that is worth it; `outage` is how long the store has been
@@ -161,21 +161,21 @@
             }
             (Refusal::Stale, _) => Some(Duration::from_millis(500)),
             (Refusal::Closing, _) => Some(Duration::from_millis(50)),
-            (Refusal::AllCold { opens_in }, _) => {
+            (Refusal::AllCold { available_in }, _) => {
                 let (least, most) = COLD_PAUSES;
-                Some(opens_in.clamp(least, most))
+                Some(available_in.clamp(least, most))
             }
             // NB: those that replace them are heard of within a heartbeat of their start, or once the store is
             // back.
-            (Refusal::AllLeaving, None) => Some(PAUSE_FOR_REPLACEMENT),
-            (Refusal::AllLeaving, Some(outage)) => {
+            (Refusal::AllDraining, None) => Some(PAUSE_FOR_REPLACEMENT),
+            (Refusal::AllDraining, Some(outage)) => {
                 Some(outage.clamp(PAUSE_FOR_REPLACEMENT, START_PAUSES.1))
             }
-            (Refusal::AllBackingOff { opens_in } | Refusal::AllLimited { opens_in }, _) => {
-                Some(opens_in.max(SHORTEST_BACKOFF))
+            (Refusal::AllBackingOff { available_in } | Refusal::AllLimited { available_in }, _) => {
+                Some(available_in.max(SHORTEST_BACKOFF))
             }
-            (Refusal::EndsServers { opens_in }, _) => Some(opens_in.max(SHORTEST_HOLD)),
-            (Refusal::NoServer | Refusal::NoServerAtHome | Refusal::TurnedAway, _) => {
+            (Refusal::CrashesServers { available_in }, _) => Some(available_in.max(SHORTEST_HOLD)),
+            (Refusal::NoServer | Refusal::NoServerInAllowedRegions | Refusal::TurnedAway, _) => {
                 Some(Duration::from_millis(200))
             }
             _ => None,
@@ -217,7 +217,7 @@
 ];
 
 /// Takes off the headers that concern one connection only, those it names included.
-pub fn strip_connection_headers(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -254,7 +254,7 @@
     /// When it arrived.
     pub arrived: Duration,
     /// When it must be answered at the latest.
-    pub give_up: Duration,
+    pub deadline: Duration,
     /// Whether the model is left to the entry.
     pub chooses_model: bool,
     /// Prompt and output sizes.
@@ -262,24 +262,24 @@
     /// Its conversation, if it belongs to one.
     pub session: Option<SessionKey>,
     /// Data centres that it must not leave, if there are any such.
-    pub homes: Option<Vec<DataCentreId>>,
+    pub allowed_data_centres: Option<Vec<DataCentreId>>,
     /// Last event of a stream that the caller has already.
     pub last_event_id: Option<String>,
     /// Configuration it was checked against.
     pub catalog_version: u64,
     /// What it carries, once that was asked for.
-    pub known_content: OnceCell<Content>,
+    pub content_cell: OnceCell<Content>,
 }
 
 impl Job {
     /// The data centres whose servers may run it.
-    pub fn homes(&self) -> Homes<'_> {
-        self.homes.as_deref().map_or(Homes::Anywhere, Homes::Only)
+    pub fn allowed_data_centres(&self) -> Homes<'_> {
+        self.allowed_data_centres.as_deref().map_or(Homes::Anywhere, Homes::Only)
     }
 
     /// What it carries, by which it is known again when its caller tries once more.
     pub fn content(&self) -> Content {
-        *self.known_content.get_or_init(|| {
+        *self.content_cell.get_or_init(|| {
             let caller = self.workspace.as_ref().map_or("", |workspace| &workspace.name);
             let (host, target) = (self.route.host.as_str(), self.target.as_str());
             content_of(Parts { caller, host, target, body: &self.body })
@@ -337,7 +337,7 @@
 
 /// The data centres that lie in the regions allowed by a route and by a workspace; `None` if neither names
 /// any. One whose region is not known lies in none.
-pub fn homes_of(
+pub fn allowed_data_centres_of(
     route: &Route,
     workspace: Option<&Workspace>,
     regions: &BTreeMap<DataCentreId, RegionId>,
@@ -354,7 +354,7 @@
 }
 
 /// Whether a job's key is still held by the same workspace.
-pub fn key_still_holds(job: &Job, catalog: &Catalog) -> bool {
+pub fn is_key_valid(job: &Job, catalog: &Catalog) -> bool {
     let (Some(key), Some(workspace)) = (&job.key, &job.workspace) else { return true };
     catalog.workspace_of(key).is_some_and(|holder| holder.name == workspace.name)
 }
--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -15,9 +15,9 @@
 use crate::{
     dialect::Dialect,
     entry::Entry,
-    facts::Port,
+    event_log::{EventLog, LogError, LogPriority},
     http,
-    journal::{Journal, LogError, Rank},
+    port::Port,
     upstream,
 };
 
@@ -69,7 +69,7 @@
 }
 
 async fn live(settings: DirectSettings, dialect: Dialect, port: Port) -> Result<(), RunError> {
-    let journal = Journal::to_stdout(&settings.name, settings.log_lines_per_s)?;
+    let event_log = EventLog::to_stdout(&settings.name, settings.log_lines_per_s)?;
     let callers = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
     let metrics = match settings.metrics {
@@ -80,7 +80,8 @@
         Some(address) => Some(listen(address).await?),
         None => None,
     };
-    let entry = Entry::new(settings, dialect, port, upstream::over_tcp(), journal, rand::random());
+    let entry =
+        Entry::new(settings, dialect, port, upstream::tcp_connector(), event_log, rand::random());
     let core = entry.core();
     let membership = &core.settings.membership;
     let longest_answer_ms = |bound| membership.times.longest_answer(bound).as_millis() as u64;
@@ -91,7 +92,7 @@
         answer_for_changes_ms: longest_answer_ms(membership.propagation),
         answer_for_keys_ms: longest_answer_ms(core.settings.key_bound),
     };
-    core.journal.note(Rank::State, &event);
+    core.event_log.record(LogPriority::State, &event);
     entry.start();
     spawn_local(http::serve_readiness(Rc::clone(core), readiness));
     if let Some(listener) = metrics {
@@ -120,7 +121,7 @@
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
             // NB: settings take effect at the next start; all that changes lies in the store.
-            _ = hang_up.recv() => entry.core().journal.note(Rank::State, &LifeEvent::ReloadAsked),
+            _ = hang_up.recv() => entry.core().event_log.record(LogPriority::State, &LifeEvent::ReloadAsked),
         }
     }
 }
--- a/crates/direct/src/notice.rs
+++ b/crates/direct/src/server_signals.rs
@@ -13,37 +13,37 @@
 
 /// What a backend server asks of this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Notice {
+pub struct ServerSignals {
     /// It leaves: it wants no further requests in this life.
-    pub leaves: bool,
+    pub is_draining: bool,
     /// It wants no request for so long.
     pub backoff: Option<Duration>,
     /// What it says of its rate limit.
     pub limit: LimitWord,
 }
 
-impl Notice {
+impl ServerSignals {
     /// Reads the head of an answer; `not_run` tells whether the server says that it did not run the
     /// request, `is_authentic` whether the answer is its own.
     ///
     /// NB: a 421 comes from whoever listens there now, which is not the server that was meant.
-    pub fn read(
+    pub fn from_response(
         dialect: &Dialect,
         status: StatusCode,
         headers: &HeaderMap,
         not_run: bool,
         is_authentic: bool,
-    ) -> Notice {
+    ) -> ServerSignals {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            return Notice::default();
+            return ServerSignals::default();
         }
         // NB: a 429 that ran is an answer to the caller, about the caller's own rate.
         let asks_entry = status == StatusCode::SERVICE_UNAVAILABLE
             || (not_run && status == StatusCode::TOO_MANY_REQUESTS);
         let backoff = text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(read_retry_after);
-        let leaves = text(headers, &dialect.leaving).is_some_and(|text| text == "1");
+        let is_draining = text(headers, &dialect.leaving).is_some_and(|text| text == "1");
         let limit = limit_word(dialect, headers, status.is_success() && is_authentic);
-        Notice { leaves, backoff, limit }
+        ServerSignals { is_draining, backoff, limit }
     }
 }
 
--- a/crates/direct/src/events.rs
+++ b/crates/direct/src/sse.rs
@@ -8,7 +8,7 @@
 
 /// Whole events with their bytes as they came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// Their bytes, the empty lines included.
     pub bytes: Bytes,
     /// Id of the last event that carries one.
@@ -29,7 +29,7 @@
     }
 
     /// All events that are whole, if any is.
-    pub fn take_whole(&mut self) -> Option<WholeEvents> {
+    pub fn pop_complete(&mut self) -> Option<CompleteEvents> {
         let Some(end) = end_of_last_event(&self.pending, self.searched) else {
             // NB: an empty line may be split, so the last bytes are looked at again.
             self.searched = self.pending.len().saturating_sub(3);
@@ -38,11 +38,11 @@
         self.searched = 0;
         let bytes = self.pending.split_to(end).freeze();
         let last_id = last_id(&bytes);
-        Some(WholeEvents { bytes, last_id })
+        Some(CompleteEvents { bytes, last_id })
     }
 
     /// Whether bytes of an unfinished event are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -37,11 +37,11 @@
     /// Whether the last call to the store failed.
     pub source_lost: bool,
     /// How long the last answer of the store took, here or where this entry's state comes from.
-    pub store_takes: Duration,
+    pub store_latency: Duration,
     /// When the store last came back after an entry that asks it had lost it.
     pub store_returned: Option<Duration>,
     /// Confirmations so far.
-    pub turn: u64,
+    pub confirmation_count: u64,
     /// The store's keys, for other entries.
     pub replica: Replica,
     /// Backend servers by service.
@@ -83,9 +83,9 @@
             catalog: None,
             freshness: Freshness::new(settings.state_bound, settings.key_bound),
             source_lost: false,
-            store_takes: Duration::ZERO,
+            store_latency: Duration::ZERO,
             store_returned: None,
-            turn: 0,
+            confirmation_count: 0,
             replica: Replica::default(),
             fleets: HashMap::new(),
             evacuated: BTreeSet::new(),
--- a/crates/direct/src/upstream.rs
+++ b/crates/direct/src/upstream.rs
@@ -40,17 +40,17 @@
 /// An open connection.
 pub type BoxedDuplex = Box<dyn Duplex>;
 /// A connection being opened.
-pub type Opening = Pin<Box<dyn Future<Output = io::Result<BoxedDuplex>>>>;
+pub type Connecting = Pin<Box<dyn Future<Output = io::Result<BoxedDuplex>>>>;
 /// Opens connections to backend servers.
-pub type Connect = Rc<dyn Fn(SocketAddr) -> Opening>;
+pub type Connect = Rc<dyn Fn(SocketAddr) -> Connecting>;
 
 /// Opens connections over TCP.
-pub fn over_tcp() -> Connect {
+pub fn tcp_connector() -> Connect {
     Rc::new(|address| {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
-            govern(&stream)?;
+            set_tcp_timeouts(&stream)?;
             Ok(Box::new(stream) as BoxedDuplex)
         })
     })
@@ -75,7 +75,7 @@
     Broken(String),
     /// No head of an answer came in time; whether the request ran is not known.
     #[error("no answer began in time")]
-    NoHead,
+    NoResponse,
 }
 
 /// Ends the connection when dropped, which makes the backend server stop the work.
@@ -123,12 +123,12 @@
     match timeout_at(until, sender.send_request(request)).await {
         Ok(Ok(response)) => Ok(Exchange { response, connection }),
         Ok(Err(error)) => Err(SendError::Broken(error.to_string())),
-        Err(_) => Err(SendError::NoHead),
+        Err(_) => Err(SendError::NoResponse),
     }
 }
 
 /// Lets a connection to a silent peer fail in seconds.
-pub fn govern(stream: &TcpStream) -> io::Result<()> {
+pub fn set_tcp_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL);
     socket.set_tcp_keepalive(&probes)?;
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -20,12 +20,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    conductor::Conductor,
+    coordinator::Coordinator,
     core::Core,
-    facts::{Port, ReportError, UsageReport},
-    journal::Rank,
+    event_log::LogPriority,
     membership::{Item, News, Source},
     metrics::{Counter, StoreCause},
+    port::{Port, ReportError, UsageReport},
 };
 
 /// Key of the record of who reports usage, and what was reported last, where the store names no era.
@@ -182,7 +182,13 @@
     }
 
     /// An entry told what it has counted.
-    pub fn hear_used(&self, item: &Item, window: WindowId, counts: &UsageCounts, told_ms: u64) {
+    pub fn receive_usage_counts(
+        &self,
+        item: &Item,
+        window: WindowId,
+        counts: &UsageCounts,
+        told_ms: u64,
+    ) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut time = usage.time.borrow_mut();
@@ -191,7 +197,7 @@
         drop(time);
         if !usage.is_open(window, unix_ms) {
             let from = item.origin.clone();
-            self.journal.note(Rank::State, &UsageEvent::CountsIgnored { from, window });
+            self.event_log.record(LogPriority::State, &UsageEvent::CountsIgnored { from, window });
             return;
         }
         let teller = (item.origin.clone(), item.incarnation);
@@ -218,14 +224,14 @@
             Err(error) => {
                 usage.is_foreign.set(true);
                 let error = error.to_string();
-                self.journal.note(Rank::State, &UsageEvent::RecordUnreadable { error });
+                self.event_log.record(LogPriority::State, &UsageEvent::RecordUnreadable { error });
             }
         }
     }
 
     /// Time between two tellings of what this entry has counted.
     fn usage_telling_interval(&self) -> Duration {
-        (TELLING_OF_ONE * self.roster.count() as u32).max(LEAST_TELLING_INTERVAL)
+        (TELLING_OF_ONE * self.members.count() as u32).max(LEAST_TELLING_INTERVAL)
     }
 
     /// Tells the counts that have changed.
@@ -255,7 +261,7 @@
             usage.time.borrow_mut().note_reading(core.clock.unix_ms(), now);
         }
         // NB: who was told before may be gone, and with it what it had not passed on.
-        let heard_by = core.above();
+        let heard_by = core.parents();
         if source.as_ref() != Some(&heard_by) {
             source = Some(heard_by);
             usage.meter.borrow_mut().tell_again();
@@ -269,14 +275,14 @@
 }
 
 /// Reports usage where that is this entry's to do, for as long as the process runs.
-pub async fn report_usage(core: Rc<Core>, port: Port, conductor: Rc<Conductor>) {
+pub async fn report_usage(core: Rc<Core>, port: Port, coordinator: Rc<Coordinator>) {
     let (Some(usage), Some(report)) = (&core.usage, &port.report_usage) else { return };
     loop {
         sleep(LOOK_INTERVAL).await;
-        while let Some(step) = next_step(&core, usage, &conductor) {
+        while let Some(step) = next_step(&core, usage, &coordinator) {
             let has_moved = match step {
                 ReporterStep::Write(record, expected) => {
-                    write(&core, usage, &conductor, record, expected).await
+                    write(&core, usage, &coordinator, record, expected).await
                 }
                 ReporterStep::Call(record, until) => {
                     let limit = until.saturating_sub(core.clock.now()).min(CALL_LIMIT);
@@ -292,9 +298,9 @@
 }
 
 /// What this entry is to do now, if anything.
-fn next_step(core: &Core, usage: &Usage, conductor: &Conductor) -> Option<ReporterStep> {
+fn next_step(core: &Core, usage: &Usage, coordinator: &Coordinator) -> Option<ReporterStep> {
     let now = core.clock.now();
-    if !core.hears_all_news() {
+    if !core.receives_all_gossip() {
         usage.informed_since.set(None);
     } else if usage.informed_since.get().is_none() {
         usage.informed_since.set(Some(now));
@@ -310,7 +316,7 @@
     let gathering = usage.part_of_delay(GATHER_PART) + core.usage_telling_interval();
     let windows = usage.due(unix_ms, gathering, now);
     let mut order = ReporterOrder {
-        by_place: conductor.wait_in_order(),
+        by_place: coordinator.wait_in_order(),
         to_holder: usage.part_of_delay(TO_HOLDER_PART),
     };
     let next = usage.first_open(unix_ms);
@@ -326,7 +332,7 @@
 async fn write(
     core: &Core,
     usage: &Usage,
-    conductor: &Conductor,
+    coordinator: &Coordinator,
     record: ReporterRecord,
     expected: Option<u64>,
 ) -> bool {
@@ -336,10 +342,10 @@
     let expect = expected.map_or(Expect::Absent, Expect::Revision);
     let era = usage.reporter.borrow().era();
     let change = Change { key: usage_key(era), value, expect, lease: None };
-    let written = conductor.commit(vec![change], StoreCause::UsageRecord).await;
+    let written = coordinator.commit(vec![change], StoreCause::UsageRecord).await;
     if let Err(error) = &written {
         let (window, error) = (record.window, error.to_string());
-        core.journal.note(Rank::State, &UsageEvent::NotWritten { window, error });
+        core.event_log.record(LogPriority::State, &UsageEvent::NotWritten { window, error });
     }
     let is_done = written.is_ok();
     let end = match written {
@@ -358,7 +364,7 @@
     let before = reporter.record().map(|record| record.fencing_token);
     reporter.written(record, sent, end, core.clock.now());
     if is_done && before != Some(fencing_token) {
-        core.journal.note(Rank::State, &UsageEvent::Taken { fencing_token });
+        core.event_log.record(LogPriority::State, &UsageEvent::Taken { fencing_token });
     }
     is_done
 }
@@ -382,7 +388,7 @@
     let (window, fencing_token) = (record.window, record.fencing_token);
     let end = match &called {
         Ok(()) => CallEnd::Taken,
-        Err(ReportError::Refused) => CallEnd::Refused,
+        Err(ReportError::StaleFencingToken) => CallEnd::Refused,
         Err(_) => CallEnd::Failed,
     };
     usage.reporter.borrow_mut().called(record, end, core.clock.now());
@@ -392,13 +398,13 @@
             let requests = record.counts.values().sum();
             let workspaces = record.counts.len();
             let event = UsageEvent::Reported { window, requests, workspaces, fencing_token };
-            core.journal.note(Rank::State, &event);
+            core.event_log.record(LogPriority::State, &event);
         }
         Err(error) => {
             core.metrics.count(Counter::UsageCallsFailed);
             let error = error.to_string();
             let event = UsageEvent::CallFailed { window, fencing_token, error };
-            core.journal.note(Rank::State, &event);
+            core.event_log.record(LogPriority::State, &event);
         }
     }
     end == CallEnd::Taken
--- a/crates/direct/tests/acts_as_one.rs
+++ b/crates/direct/tests/acts_as_one.rs
@@ -266,7 +266,7 @@
             let entry = net.start_with(&world, 9, &seeds);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, &entry, "k1").await, 200, "it read the store");
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("source_failed") && lines.contains("refused"), "{lines}");
         });
     }
@@ -387,14 +387,14 @@
         world.store.set_weather(Weather::Refused);
         let finder = entries.last().expect("some");
         let mut number = 0;
-        while !finder.gathered_lines().contains("version_tripped") && number < 400 {
+        while !finder.buffered_log_lines().contains("version_tripped") && number < 400 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
             world.ask_at(finder, sent).await;
             number += 1;
         }
         sleep(Duration::from_millis(700)).await;
-        let heard = |entry: &&Entry| entry.gathered_lines().contains("\"what\":\"bad\"");
+        let heard = |entry: &&Entry| entry.buffered_log_lines().contains("\"what\":\"bad\"");
         assert_eq!(entries.iter().filter(heard).count(), entries.len());
     });
 }
@@ -461,7 +461,7 @@
         world.store.remove("server/s1");
         sleep(Duration::from_millis(1_000)).await;
         for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != root) {
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("server_gone"), "entry {n}: {lines}");
             assert!(!lines.contains("server_lapsed"), "entry {n}: the store was never away");
         }
@@ -502,7 +502,11 @@
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(status(&world, &entry, "k1").await, 200, "what was held still is");
-        assert!(entry.gathered_lines().contains("revision 40"), "{}", entry.gathered_lines());
+        assert!(
+            entry.buffered_log_lines().contains("revision 40"),
+            "{}",
+            entry.buffered_log_lines()
+        );
     });
 }
 
@@ -520,7 +524,7 @@
         net.cut.borrow_mut().extend((0..12).map(peer_address));
         net.silence_open_connections();
         sleep(Duration::from_secs(3)).await;
-        assert!(entries[alone].gathered_lines().contains("store_lost"));
+        assert!(entries[alone].buffered_log_lines().contains("store_lost"));
         net.cut.borrow_mut().clear();
         let is_told_again = || entries[alone].state_age() < Some(Duration::from_millis(700));
         let mut waited = 0;
@@ -531,7 +535,7 @@
         assert!(is_told_again(), "others tell it again");
         world.store.remove("server/s1");
         sleep(Duration::from_millis(900)).await;
-        let lines = entries[alone].gathered_lines();
+        let lines = entries[alone].buffered_log_lines();
         assert!(lines.contains("server_gone") && !lines.contains("server_lapsed"), "{lines}");
     });
 }
--- a/crates/direct/tests/changes_reach_all.rs
+++ b/crates/direct/tests/changes_reach_all.rs
@@ -50,7 +50,7 @@
 
 /// When the entry knew, by its own clock.
 fn known_at(entry: &Entry, is_known: fn(&Value) -> bool) -> Option<Duration> {
-    let text = entry.gathered_lines();
+    let text = entry.buffered_log_lines();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     let line = lines.into_iter().find(is_known)?;
     Some(Duration::from_millis(line["at_ms"].as_u64()?))
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -15,13 +15,13 @@
 use pondwalk_config::{DirectSettings, MembershipTimes, RawFile};
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::{
-    Dialect, Entry, Fact, Port, ReportError, UsageReport,
+    Dialect, Entry, Port, ReportError, StoreRecord, UsageReport,
     catalog::{
         BackendServer, Catalog, Engine, Limits, ModelPrice, Route, RouteKind, ServerState, Service,
         Share, Workspace,
     },
-    facts::{Evacuation, Outcome, Progress, ReportFuture, RollOutOrder, UnreadableFact},
-    journal::Journal,
+    event_log::EventLog,
+    port::{Evacuation, Outcome, Progress, ReportFuture, RollOutOrder, UnreadableRecord},
     upstream::{BoxedDuplex, Connect},
 };
 use pondwalk_standin::{
@@ -80,8 +80,8 @@
     let platform = platform.clone();
     Port {
         store: store.port(),
-        read: Rc::new(move |key, value| read(&known.borrow(), key, value)),
-        write_progress: Rc::new(write_progress),
+        decode: Rc::new(move |key, value| read(&known.borrow(), key, value)),
+        encode_progress: Rc::new(write_progress),
         report_usage: Some(Rc::new(move |report, limit| {
             let platform = platform.clone();
             Box::pin(async move { report_to(&platform, report, limit).await }) as ReportFuture
@@ -102,8 +102,8 @@
     };
     match platform.take(call, limit).await {
         ReportAnswer::Taken => Ok(()),
-        ReportAnswer::Refused => Err(ReportError::Refused),
-        ReportAnswer::TooMany => Err(ReportError::NotTaken(429)),
+        ReportAnswer::Refused => Err(ReportError::StaleFencingToken),
+        ReportAnswer::TooMany => Err(ReportError::UnexpectedStatus(429)),
         ReportAnswer::None => Err(ReportError::NoAnswer),
     }
 }
@@ -128,7 +128,7 @@
 
 impl World {
     fn new(settings: DirectSettings) -> Self {
-        let dialect = Dialect::own();
+        let dialect = Dialect::pondwalk();
         let backends = Backends::new(Names {
             request_id: dialect.request_id.to_string(),
             expected_server: dialect.expected_server.to_string(),
@@ -146,10 +146,10 @@
         let connect = Rc::new(move |address| {
             let opened = opened.clone();
             let opening = async move { Ok(Box::new(opened.connect(address)?) as BoxedDuplex) };
-            Box::pin(opening) as pondwalk_direct::upstream::Opening
+            Box::pin(opening) as pondwalk_direct::upstream::Connecting
         });
-        let journal = Journal::silent("e1", 1_000);
-        let entry = Entry::new(settings, dialect, port, connect, journal, 7);
+        let event_log = EventLog::in_memory("e1", 1_000);
+        let entry = Entry::new(settings, dialect, port, connect, event_log, 7);
         World { store, backends, usage_sink, entry, catalogs, ways }
     }
 
@@ -157,12 +157,12 @@
     pub fn entry_with(&self, settings: DirectSettings, connect: Connect) -> Entry {
         let way = self.store.another_way();
         let port = port_of(&way, &self.usage_sink, &self.catalogs);
-        let journal = Journal::silent(&settings.name, 1_000);
+        let event_log = EventLog::in_memory(&settings.name, 1_000);
         let name = settings.name.clone();
         // NB: an entry that starts anew under its name is told apart from its life before.
         let is_anew = self.ways.borrow().contains_key(&name);
         let seed = name.len() as u64 + if is_anew { 1_000 } else { 0 };
-        let entry = Entry::new(settings, Dialect::own(), port, connect, journal, seed);
+        let entry = Entry::new(settings, Dialect::pondwalk(), port, connect, event_log, seed);
         self.ways.borrow_mut().insert(name, way);
         entry
     }
@@ -335,7 +335,7 @@
         kind,
         timeout: Duration::from_secs(8),
         objective: Duration::from_secs(2),
-        event_pause: Some(Duration::from_secs(1)),
+        max_event_gap: Some(Duration::from_secs(1)),
         priority: 0,
         models: models.iter().map(|model| (*model).to_owned()).collect(),
         shares: vec![Share { service: service.into(), weight: 1.0 }],
@@ -381,39 +381,39 @@
     catalogs: &HashMap<u64, Catalog>,
     key: &str,
     value: Option<&[u8]>,
-) -> Result<Fact, UnreadableFact> {
+) -> Result<StoreRecord, UnreadableRecord> {
     let value = value.map(|value| String::from_utf8_lossy(value).into_owned());
-    let bad = |reason: &str| UnreadableFact { key: key.to_owned(), reason: reason.to_owned() };
+    let bad = |reason: &str| UnreadableRecord { key: key.to_owned(), reason: reason.to_owned() };
     if key == "catalog" {
         let version =
             value.and_then(|text| text.trim_end().parse().ok()).ok_or(bad("no number"))?;
         let catalog = catalogs.get(&version).ok_or(bad("no such catalog"))?;
-        return Ok(Fact::Catalog(Box::new(catalog.clone())));
+        return Ok(StoreRecord::Catalog(Box::new(catalog.clone())));
     }
     if let Some(id) = key.strip_prefix("server/") {
         let server = value.map(|text| server(id, &text).ok_or(bad("no server"))).transpose();
         return Ok(match server {
-            Ok(server) => Fact::Server(id.to_owned(), server),
-            Err(error) => Fact::UnreadableServer(id.to_owned(), error),
+            Ok(server) => StoreRecord::Server(id.to_owned(), server),
+            Err(error) => StoreRecord::UnreadableServer(id.to_owned(), error),
         });
     }
     if let Some(data_centre) = key.strip_prefix("evacuate/") {
         let evacuation = match value {
             Some(_) => Evacuation::Ordered,
-            None => Evacuation::TakenBack,
+            None => Evacuation::Cancelled,
         };
-        return Ok(Fact::Evacuation(data_centre.to_owned(), evacuation));
+        return Ok(StoreRecord::Evacuation(data_centre.to_owned(), evacuation));
     }
     if let Some(service) = key.strip_prefix("order/") {
         let order = value.map(|text| order(service, &text).ok_or(bad("no order"))).transpose()?;
-        return Ok(Fact::Order(service.into(), order));
+        return Ok(StoreRecord::Order(service.into(), order));
     }
     if let Some(service) = key.strip_prefix("progress/") {
         let progress =
             value.map(|text| progress(service, &text).ok_or(bad("no progress"))).transpose()?;
-        return Ok(Fact::Progress(service.into(), progress));
+        return Ok(StoreRecord::Progress(service.into(), progress));
     }
-    Ok(Fact::Unrelated)
+    Ok(StoreRecord::Unrelated)
 }
 
 fn server(id: &str, text: &str) -> Option<BackendServer> {
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -14,7 +14,7 @@
 use pondwalk_direct::{
     Entry,
     membership::{FORMAT, Replica, State, StateHead},
-    upstream::{BoxedDuplex, Connect, Opening},
+    upstream::{BoxedDuplex, Connect, Connecting},
 };
 use pondwalk_store::{Fetched, Position};
 use tokio::{
@@ -152,7 +152,7 @@
                 let opened_at = silences.get();
                 Ok(Box::new(Silenceable { inner: near, opened_at, silences }) as BoxedDuplex)
             };
-            Box::pin(opening) as Opening
+            Box::pin(opening) as Connecting
         })
     }
 
--- a/crates/direct/tests/ends_servers.rs
+++ b/crates/direct/tests/ends_servers.rs
@@ -189,7 +189,7 @@
         let entries = start(&world, &net, &again(), 1).await;
         world.ask_at(&entries[0], lethal(&again(), 1)).await;
         world.ask_at(&entries[0], lethal(&again(), 2)).await;
-        let text = entries[0].gathered_lines();
+        let text = entries[0].buffered_log_lines();
         let lines = text.lines().filter(|line| line.contains("\"server_broke\""));
         let read = |line| serde_json::from_str::<serde_json::Value>(line).expect("JSON");
         let lines: Vec<serde_json::Value> = lines.map(read).collect();
--- a/crates/direct/tests/ends_servers_widely.rs
+++ b/crates/direct/tests/ends_servers_widely.rs
@@ -232,7 +232,7 @@
         }
         for e in &entries {
             for l in e
-                .gathered_lines()
+                .buffered_log_lines()
                 .lines()
                 .filter(|l| l.contains("content") || l.contains("news_not"))
             {
--- a/crates/direct/tests/first_states.rs
+++ b/crates/direct/tests/first_states.rs
@@ -52,6 +52,10 @@
         sleep(Duration::from_millis(290)).await;
         assert_eq!(asked.get(), 1);
         sleep(Duration::from_millis(60)).await;
-        assert!(entry.gathered_lines().contains("first_state"), "{}", entry.gathered_lines());
+        assert!(
+            entry.buffered_log_lines().contains("first_state"),
+            "{}",
+            entry.buffered_log_lines()
+        );
     });
 }
--- a/crates/direct/tests/logs_are_bounded.rs
+++ b/crates/direct/tests/logs_are_bounded.rs
@@ -8,7 +8,7 @@
 };
 
 use common::{catalog, play, request};
-use pondwalk_direct::journal::{Journal, Rank};
+use pondwalk_direct::event_log::{EventLog, LogPriority};
 use pondwalk_standin::backends::Act;
 use spdlog::{
     Record,
@@ -21,28 +21,28 @@
     event: &'static str,
 }
 
-fn lines(journal: &Journal, event: &str) -> usize {
-    journal.gathered().lines().filter(|line| line.contains(event)).count()
+fn lines(event_log: &EventLog, event: &str) -> usize {
+    event_log.buffered().lines().filter(|line| line.contains(event)).count()
 }
 
 #[tokio::test(start_paused = true)]
 async fn ten_times_the_load_stays_within_the_lines_allowed() {
-    let journal = Journal::silent("e1", 100);
+    let event_log = EventLog::in_memory("e1", 100);
     for _ in 0..1_000 {
-        journal.note(Rank::Success, &Line { event: "good" });
+        event_log.record(LogPriority::Success, &Line { event: "good" });
     }
     for _ in 0..1_000 {
-        journal.note(Rank::Failure, &Line { event: "bad" });
+        event_log.record(LogPriority::Failure, &Line { event: "bad" });
     }
-    journal.note(Rank::State, &Line { event: "changed" });
-    assert_eq!(lines(&journal, "good"), 50, "successes leave half of the lines to failures");
-    assert_eq!(lines(&journal, "bad"), 50);
-    assert_eq!(lines(&journal, "changed"), 1, "changes of state are always written");
+    event_log.record(LogPriority::State, &Line { event: "changed" });
+    assert_eq!(lines(&event_log, "good"), 50, "successes leave half of the lines to failures");
+    assert_eq!(lines(&event_log, "bad"), 50);
+    assert_eq!(lines(&event_log, "changed"), 1, "changes of state are always written");
     sleep(Duration::from_secs(1)).await;
-    journal.note(Rank::Success, &Line { event: "good" });
-    journal.flush();
-    assert_eq!(lines(&journal, "good"), 51, "a second later there is room again");
-    let text = journal.gathered();
+    event_log.record(LogPriority::Success, &Line { event: "good" });
+    event_log.flush();
+    assert_eq!(lines(&event_log, "good"), 51, "a second later there is room again");
+    let text = event_log.buffered();
     let dropped = text.lines().find(|line| line.contains("lines_dropped")).expect("a line");
     assert!(dropped.contains("\"lines\":1900"), "{dropped}");
 }
@@ -55,7 +55,7 @@
         world.start().await;
         world.ask(request("/once/", "r1")).await;
         world.ask(request("/nowhere/", "r2")).await;
-        let text = world.entry.gathered_lines();
+        let text = world.entry.buffered_log_lines();
         let read = |line| serde_json::from_str::<serde_json::Value>(line).expect("JSON");
         let events: Vec<serde_json::Value> = text.lines().map(read).collect();
         assert!(events.iter().all(|event| event["at_ms"].is_u64() && event["event"].is_string()));
@@ -116,13 +116,13 @@
 #[test]
 fn a_blocked_output_stalls_nothing_and_what_it_lost_is_told() {
     let output = Arc::new(HeldOutput::default());
-    let journal = Journal::to(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
-    let journal = journal.expect("a journal");
+    let event_log = EventLog::to_sink(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
+    let event_log = event_log.expect("a journal");
     let held = output.written.lock().expect("nobody panics with it");
     // NB: more batches than may wait; with a journal that waits, this never ends.
     for _ in 0..30 {
-        journal.note(Rank::State, &Line { event: "changed" });
-        journal.flush();
+        event_log.record(LogPriority::State, &Line { event: "changed" });
+        event_log.flush();
     }
     drop(held);
     let told = || output.written.lock().expect("nobody panics with it").contains("lines_dropped");
@@ -131,7 +131,7 @@
             return;
         }
         std::thread::sleep(Duration::from_millis(1));
-        journal.flush();
+        event_log.flush();
     }
     panic!("what was lost is never told");
 }
--- a/crates/direct/tests/notices_are_seen.rs
+++ b/crates/direct/tests/notices_are_seen.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 fn lines(world: &World, event: &str) -> Vec<Value> {
-    let text = world.entry.gathered_lines();
+    let text = world.entry.buffered_log_lines();
     let lines = text.lines().map(|line| serde_json::from_str::<Value>(line).expect("JSON"));
     lines.filter(|line| line["event"] == event).collect()
 }
--- a/crates/direct/tests/reports_usage.rs
+++ b/crates/direct/tests/reports_usage.rs
@@ -40,7 +40,7 @@
         }
         let started = Instant::now();
         let entries = net.start_many(world, count, USAGE);
-        entries.iter().for_each(|entry| entry.pretend_unix_ms(START_MS));
+        entries.iter().for_each(|entry| entry.simulate_unix_ms(START_MS));
         let deployment = Deployment { world, net, entries, started, asked: BTreeMap::new() };
         sleep(Duration::from_secs(10)).await;
         deployment
@@ -247,14 +247,14 @@
         all.ask_for(Duration::from_secs(12), 40).await;
         // The holder's own clock jumps, and others start anew with clocks that are wrong.
         let holder = all.holder();
-        all.entries[holder].pretend_unix_ms(START_MS + 20_000);
+        all.entries[holder].simulate_unix_ms(START_MS + 20_000);
         for n in 0..3 {
             let later = all.net.start_with(
                 &world,
                 100 + n,
                 &format!("[membership]\nseeds={}\n{USAGE}", common::net::peer_address(0)),
             );
-            later.pretend_unix_ms(START_MS + 8_000);
+            later.simulate_unix_ms(START_MS + 8_000);
         }
         all.ask_for(Duration::from_secs(25), 40).await;
         all.wait_until_due().await;
@@ -277,7 +277,7 @@
         all.net.cut.borrow_mut().clear();
         let at_start = START_MS + all.started.elapsed().as_millis() as u64;
         all.entries = all.net.start_many(&world, 3, USAGE);
-        all.entries.iter().for_each(|entry| entry.pretend_unix_ms(at_start));
+        all.entries.iter().for_each(|entry| entry.simulate_unix_ms(at_start));
         all.asked.clear();
         sleep(Duration::from_millis(WINDOW_MS)).await;
         all.ask_for(Duration::from_secs(15), 40).await;
@@ -298,7 +298,7 @@
         all.ask_for(Duration::from_secs(10), 20).await;
         all.wait_until_due().await;
         assert_eq!(world.usage_sink.calls(), 0);
-        let logged = |entry: &Entry| entry.gathered_lines().contains("usage_record_unreadable");
+        let logged = |entry: &Entry| entry.buffered_log_lines().contains("usage_record_unreadable");
         assert!(total(&all.entries, "pondwalk_requests_total") > 0);
         assert!(all.entries.iter().any(logged));
     });
@@ -367,7 +367,7 @@
             restore(&world, &copy).await;
             all.entries = (10..14).map(|n| all.net.start_with(&world, n, USAGE)).collect();
             let now_ms = START_MS + all.started.elapsed().as_millis() as u64;
-            all.entries.iter().for_each(|entry| entry.pretend_unix_ms(now_ms));
+            all.entries.iter().for_each(|entry| entry.simulate_unix_ms(now_ms));
             sleep(Duration::from_secs(10)).await;
             all.ask_for(Duration::from_secs(15), 20).await;
             all.wait_until_due().await;
--- a/crates/direct/tests/servers_that_back_off.rs
+++ b/crates/direct/tests/servers_that_back_off.rs
@@ -11,7 +11,7 @@
 use std::{rc::Rc, time::Duration};
 
 use common::{Answer, World, address, catalog, play, request, stream, with, with_body};
-use pondwalk_direct::facts::RollOutOrder;
+use pondwalk_direct::port::RollOutOrder;
 use pondwalk_standin::backends::Act;
 use tokio::{
     task::{JoinHandle, spawn_local},
@@ -321,7 +321,7 @@
         asked.push(spawn_local(async move { world.ask(sent).await }));
         sleep(Duration::from_millis(40)).await;
     }
-    let lines = world.entry.gathered_lines();
+    let lines = world.entry.buffered_log_lines();
     assert_eq!(lines.contains("version_turns_away"), matches!(act, Act::NotRun(_)));
     world.store.value("progress/s").expect("it is told")
 }
--- a/crates/direct/tests/servers_that_leave.rs
+++ b/crates/direct/tests/servers_that_leave.rs
@@ -301,7 +301,7 @@
         leave_meanwhile(world, "/open/x", made(), |world| async move {
             spawn_local(async move {
                 sleep(Duration::from_secs(3)).await;
-                world.entry.pretend_suspended(Duration::from_secs(60));
+                world.entry.simulate_suspension(Duration::from_secs(60));
             });
         })
     });
--- a/crates/direct/tests/store_restored.rs
+++ b/crates/direct/tests/store_restored.rs
@@ -494,7 +494,7 @@
         sleep(SETTLED).await;
         assert_eq!(total(&entries, "pondwalk_store_era"), 4);
         for entry in &entries {
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             let told = "\"event\":\"store_restored\",\"before\":{\"era\":0,";
             assert!(lines.contains(told), "{lines}");
         }
--- a/crates/direct/tests/survives_late_answers.rs
+++ b/crates/direct/tests/survives_late_answers.rs
@@ -55,7 +55,7 @@
 
 fn holds(entry: &Entry, version: u64) -> bool {
     let installed = format!("\"configuration_in_force\",\"version\":{version},");
-    entry.gathered_lines().contains(&installed)
+    entry.buffered_log_lines().contains(&installed)
 }
 
 /// Time until all entries have put a configuration in force, up to 30 s.
@@ -217,7 +217,7 @@
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_millis(1_300)).await;
-        assert!(holds(&entry, 1), "{}", entry.gathered_lines());
+        assert!(holds(&entry, 1), "{}", entry.buffered_log_lines());
     });
 }
 
@@ -270,7 +270,7 @@
             sleep(Duration::from_secs(7)).await;
             world.list_server(1, "s", "v1", "draining");
             sleep(answer + world.entry_times().oldest_in_calm() + STEP).await;
-            let knows = |entry: &&Entry| entry.gathered_lines().contains("Draining");
+            let knows = |entry: &&Entry| entry.buffered_log_lines().contains("Draining");
             assert_eq!(entries.iter().filter(knows).count(), entries.len(), "at {answer_ms} ms");
         });
     }
--- a/crates/direct/tests/survives_store_faults.rs
+++ b/crates/direct/tests/survives_store_faults.rs
@@ -267,7 +267,7 @@
         sleep(Duration::from_secs(6)).await;
         let answer = world.ask(request("/once/", "r-17")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        let lines = world.entry.gathered_lines();
+        let lines = world.entry.buffered_log_lines();
         let line = lines.lines().find(|line| line.contains("r-17")).expect("a line");
         for part in ["request_refused", "\"stale\"", "\"freshness_ms\":", "\"configuration\":1"] {
             assert!(line.contains(part), "{part} in {line}");
--- a/crates/direct/tests/suspended.rs
+++ b/crates/direct/tests/suspended.rs
@@ -31,7 +31,7 @@
         // NB: the store says nothing until the first request has come.
         world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
         world.configure(catalog_with_keys(2, &["k1"]));
-        world.entry.pretend_suspended(LONG);
+        world.entry.simulate_suspension(LONG);
         assert_eq!(status(&world, &world.entry, "k2").await, 503);
         assert_eq!(world.backends.runs(), 1);
         assert!(!world.entry.is_ready(), "callers are sent elsewhere until the store has told");
@@ -53,7 +53,7 @@
         let waking = async {
             sleep(Duration::from_millis(300)).await;
             world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
-            world.entry.pretend_suspended(Duration::from_secs(5));
+            world.entry.simulate_suspension(Duration::from_secs(5));
         };
         let (answer, ()) = tokio::join!(asking, waking);
         assert!(answer.status.is_server_error());
@@ -70,7 +70,7 @@
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
-            entry.pretend_suspended(LONG);
+            entry.simulate_suspension(LONG);
             let age = entry.state_age().expect("a state");
             assert!(age >= LONG, "{age:?}");
         }
@@ -91,7 +91,7 @@
         let entries = start(&world, &net, &again(), 5).await;
         come_again(&world, &entries, &again(), QUICK, Duration::from_secs(3)).await;
         for entry in &entries {
-            entry.pretend_suspended(LONG);
+            entry.simulate_suspension(LONG);
         }
         sleep(Duration::from_secs(2)).await;
         come_again(&world, &entries, &again(), QUICK, Duration::from_secs(20)).await;
