--- a/crates/direct/src/conductor.rs
+++ b/crates/direct/src/conductor.rs
@@ -34,7 +34,7 @@
     core::Core,
     facts::{Port, Progress},
     journal::Rank,
-    membership::{MOST_SESSIONS, News},
+    membership::{Gossip, MAX_SESSIONS_PER_ITEM},
     metrics::{Counter, StoreCause, Timer},
 };
 
@@ -138,7 +138,7 @@
         if is_known_to_all && membership.ordered_steps {
             self.wait_in_order()
         } else {
-            SPREAD * self.core.roster.spread(SPREAD_STEPS) as u32 / SPREAD_STEPS as u32
+            SPREAD * self.core.roster.hash_slot(SPREAD_STEPS) as u32 / SPREAD_STEPS as u32
         }
     }
 
@@ -219,17 +219,17 @@
             roll_out.learn_stage(stage, self.core.clock.now());
             self.lost_steps.borrow_mut().remove(service);
             let (service, stage) = (service.to_string(), stage.into());
-            told = Some(News::Stage { service, target: progress.target, stage });
+            told = Some(Gossip::Stage { service, target: progress.target, stage });
         }
         if let Some(news) = told {
-            self.core.tell_news(news);
+            self.core.publish_gossip(news);
         }
     }
 
     /// Tells the other entries of a bad version that the store could not be told of.
     fn tell_bad(&self, service: &ServiceId) {
         let Some(target) = self.target_of(service) else { return };
-        self.core.tell_news(News::Bad { service: service.to_string(), target });
+        self.core.publish_gossip(Gossip::Bad { service: service.to_string(), target });
     }
 
     /// Tells what this entry has seen of the versions on trial.
@@ -240,10 +240,10 @@
         for (service, one) in &mut self.core.state.borrow_mut().roll_outs {
             if let Some(seen) = one.take_seen(now, interval) {
                 let (service, target) = (service.to_string(), one.target().clone());
-                told.push(News::Seen { service, target, seen });
+                told.push(Gossip::Seen { service, target, seen });
             }
         }
-        told.into_iter().for_each(|news| self.core.tell_news(news));
+        told.into_iter().for_each(|news| self.core.publish_gossip(news));
     }
 
     /// Time between two tellings of what this entry has seen. All entries together tell no more
@@ -270,9 +270,9 @@
     /// Tells which sessions that the trial would move run through this entry already.
     fn tell_kept(&self, service: &ServiceId, target: String) {
         let sessions = self.kept(service, &target);
-        for some in sessions.chunks(MOST_SESSIONS) {
+        for some in sessions.chunks(MAX_SESSIONS_PER_ITEM) {
             let (service, sessions) = (service.to_string(), some.to_vec());
-            self.core.tell_news(News::Kept { service, target: target.clone(), sessions });
+            self.core.publish_gossip(Gossip::Kept { service, target: target.clone(), sessions });
         }
         self.teach(service, &target, RollOut::note_kept_told);
     }
--- a/crates/direct/src/conductor/learn.rs
+++ b/crates/direct/src/conductor/learn.rs
@@ -65,7 +65,7 @@
         let within_ms = order.within.as_millis() as u64;
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
         self.core.journal.note(Rank::State, &event);
-        self.core.apply_news_of(service);
+        self.core.reapply_gossip_of(service);
         self.apply_known(service);
     }
 
--- a/crates/direct/src/conductor/listing.rs
+++ b/crates/direct/src/conductor/listing.rs
@@ -7,7 +7,7 @@
 use super::{Conductor, records::RollOutEvent};
 use crate::{
     journal::Rank,
-    membership::{ENTRY_PREFIX, Listing, News, Source},
+    membership::{ChangeSource, ENTRY_PREFIX, Gossip, Listing},
     metrics::StoreCause,
 };
 
@@ -23,7 +23,7 @@
     /// it leaves that to the others.
     pub(super) async fn list_joined(&self, wait: Duration) {
         // NB: while the store is away nobody can be listed, and each try counts as a call.
-        let asks_others = matches!(self.core.source(), Source::Entry { .. });
+        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
         let awaits_word = self.core.clock.now() < self.listed_until.get();
         if asks_others || awaits_word || self.core.outage().is_some() {
             return;
@@ -66,7 +66,7 @@
         let news = self.core.news.borrow();
         let mut unlisted = Vec::new();
         for (age, item) in news.all(now) {
-            let News::Joined { listing } = item.news else { continue };
+            let Gossip::Joined { listing } = item.news else { continue };
             if age >= at_least && !self.core.roster.is_stored(&item.origin, listing) {
                 unlisted.retain(|(name, _)| *name != item.origin);
                 unlisted.push((item.origin.clone(), listing));
--- a/crates/direct/src/conductor/quarantine.rs
+++ b/crates/direct/src/conductor/quarantine.rs
@@ -8,7 +8,7 @@
 use super::Conductor;
 use crate::{
     journal::Rank,
-    membership::Source,
+    membership::ChangeSource,
     metrics::StoreCause,
     quarantine::{MOST_STORED, QUARANTINE_KEY, QuarantineEvent, StoredQuarantine},
 };
@@ -47,7 +47,7 @@
     /// that to the others.
     pub(super) async fn store_quarantine(&self, wait: Duration) {
         let now = self.core.clock.now();
-        let asks_others = matches!(self.core.source(), Source::Entry { .. });
+        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
         let record = self.due_record();
         if asks_others || self.core.outage().is_some() || record.is_none() {
             self.kept.due_since.set(None);
--- a/crates/direct/src/conductor/records.rs
+++ b/crates/direct/src/conductor/records.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::membership::StageWord;
+use crate::membership::WireStage;
 
 /// A stage as it lies in the store.
 #[derive(Debug, Serialize, Deserialize)]
@@ -10,7 +10,7 @@
     /// Version on trial.
     pub target: String,
     /// How far the roll-out has come.
-    pub stage: StageWord,
+    pub stage: WireStage,
 }
 
 /// A change of a roll-out, under the name of the event.
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -16,7 +16,7 @@
     clock::Clock,
     dialect::Dialect,
     journal::Journal,
-    membership::{LEAST_INFORMED, NewsLog, Outbox, Roster, Source, roots},
+    membership::{ChangeSource, GossipLog, MIN_GOSSIP_TARGETS, Members, Outbox, root_count},
     metrics::Metrics,
     permits::PermitState,
     quarantine::{GivenBack, HeldThoughGood, SeenEnds},
@@ -56,15 +56,15 @@
     /// Whether the process is to end.
     pub stopping: Cell<Stopping>,
     /// The entries that are listed.
-    pub roster: Roster,
+    pub roster: Members,
     /// Random number of this life of the process, by which other entries tell it from the next.
     pub incarnation: u64,
     /// Entry that told the first state, as long as no other is known.
     pub told_by: Cell<Option<SocketAddr>>,
     /// News that all entries are to hear.
-    pub news: RefCell<NewsLog>,
+    pub news: RefCell<GossipLog>,
     /// News that only goes up the tree.
-    pub news_for_above: RefCell<NewsLog>,
+    pub news_for_above: RefCell<GossipLog>,
     /// Items of news that this entry has told.
     pub news_told: Cell<u64>,
     /// News to be passed on.
@@ -98,7 +98,7 @@
         seed: u64,
     ) -> Self {
         let state = State::new(&settings, seed);
-        let roster = Roster::new(&settings);
+        let roster = Members::new(&settings);
         let incarnation = SmallRng::seed_from_u64(seed).random();
         let usage = settings.usage.map(|usage| Usage::new(&settings.name, incarnation, usage));
         Core {
@@ -112,8 +112,8 @@
             roster,
             incarnation,
             told_by: Cell::new(None),
-            news: RefCell::new(NewsLog::for_all()),
-            news_for_above: RefCell::new(NewsLog::for_above()),
+            news: RefCell::new(GossipLog::for_all()),
+            news_for_above: RefCell::new(GossipLog::for_roots()),
             news_told: Cell::new(0),
             outbox: Outbox::default(),
             something_new: Notify::new(),
@@ -137,12 +137,14 @@
 
     /// Where this entry learns of changes. While nobody is listed yet, the entry that told the first
     /// state tells the rest, and a seed must expect to be that one.
-    pub fn source(&self) -> Source {
+    pub fn source(&self) -> ChangeSource {
         match (self.roster.source(self.clock.now()), self.told_by.get()) {
-            (Source::StoreAlone, Some(address)) => {
-                Source::Entry { name: address.to_string(), address }
+            (ChangeSource::StoreStandalone, Some(address)) => {
+                ChangeSource::Entry { name: address.to_string(), address }
+            }
+            (ChangeSource::StoreStandalone, None) if self.other_seeds().next().is_some() => {
+                ChangeSource::Store
             }
-            (Source::StoreAlone, None) if self.other_seeds().next().is_some() => Source::Store,
             (source, _) => source,
         }
     }
@@ -157,17 +159,17 @@
     /// nobody is listed yet, the seeds take the place of the roots.
     pub fn above(&self) -> Vec<SocketAddr> {
         match self.source() {
-            Source::Entry { address, .. } => vec![address],
-            Source::Store if self.roster.count() == 0 => self.other_seeds().collect(),
-            Source::Store => self.roster.other_roots(self.clock.now()),
-            Source::StoreAlone => Vec::new(),
+            ChangeSource::Entry { address, .. } => vec![address],
+            ChangeSource::Store if self.roster.count() == 0 => self.other_seeds().collect(),
+            ChangeSource::Store => self.roster.other_roots(self.clock.now()),
+            ChangeSource::StoreStandalone => Vec::new(),
         }
     }
 
     /// Whether all news that goes up reaches this entry: it asks the store, or stands next in order to.
     pub fn hears_all_news(&self) -> bool {
-        let asks_store = !matches!(self.source(), Source::Entry { .. });
-        asks_store || self.roster.rank() < roots(self.roster.count()).max(LEAST_INFORMED)
+        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
+        asks_store || self.roster.rank() < root_count(self.roster.count()).max(MIN_GOSSIP_TARGETS)
     }
 
     /// Age of the last confirmation by the store that the state rests on, if any.
@@ -192,7 +194,7 @@
     /// Counters, histograms, and where this entry stands among the others, one a line.
     pub fn metrics_text(&self) -> String {
         let mut text = self.metrics.text();
-        let asks_store = !matches!(self.source(), Source::Entry { .. });
+        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
         let state = self.state.borrow();
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -103,7 +103,7 @@
         let conductor = Rc::clone(&self.conductor);
         spawn_local(async move { conductor.run().await });
         let conductor = Rc::clone(&self.conductor);
-        spawn_local(membership::pass_on(Rc::clone(&self.core)));
+        spawn_local(membership::forward_gossip(Rc::clone(&self.core)));
         spawn_local(quarantine::speak_for_good_contents(Rc::clone(&self.core)));
         spawn_local(quarantine::give_back_probes(Rc::clone(&self.core)));
         if self.core.usage.is_some() {
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -30,7 +30,7 @@
     core::Core,
     facts::Port,
     journal::Rank,
-    membership::{self, ENTRY_PREFIX, News, PeerClient, Source},
+    membership::{self, ChangeSource, ENTRY_PREFIX, Gossip, PeerClient},
     metrics::{Counter, StoreCause, Timer},
 };
 
@@ -132,18 +132,18 @@
     /// all must be read anew.
     async fn next(&mut self, position: Position) -> Option<Position> {
         match self.core.source() {
-            Source::Entry { name, address } => {
+            ChangeSource::Entry { name, address } => {
                 if self.should_fall_back() {
                     self.fall_back(position);
                 }
                 self.note_source(Some(&name));
                 self.learn_from(&name, address, position).await
             }
-            Source::Store => {
+            ChangeSource::Store => {
                 self.note_source(None);
                 self.confirm_for_others(position).await
             }
-            Source::StoreAlone => {
+            ChangeSource::StoreStandalone => {
                 self.note_source(None);
                 self.watch_alone(position).await
             }
@@ -151,7 +151,7 @@
     }
 
     fn is_alone(&self) -> bool {
-        self.core.source() == Source::StoreAlone
+        self.core.source() == ChangeSource::StoreStandalone
     }
 
     fn note_source(&mut self, entry: Option<&str>) {
@@ -168,14 +168,14 @@
         let Some(address) = self.core.settings.peers else { return };
         let own = membership::Listing { address, link_mbps: self.core.settings.link_mbps };
         let now = self.core.clock.now();
-        if self.core.roster.own_listed() == Some(own) || now < self.list_from {
+        if self.core.roster.own_listing() == Some(own) || now < self.list_from {
             return;
         }
         self.list_from = now + LISTING_TIME + self.core.state.borrow().store_takes;
         if std::mem::replace(&mut self.joined, true) {
             self.conductor.list_itself(own).await;
         } else {
-            self.core.tell_news(News::Joined { listing: own });
+            self.core.publish_gossip(Gossip::Joined { listing: own });
         }
     }
 
@@ -183,7 +183,7 @@
         for event in events {
             self.learn(event);
         }
-        self.core.state.borrow_mut().replica.extend(events, position);
+        self.core.state.borrow_mut().replica.apply_changes(events, position);
     }
 
     fn take_whole(&mut self, entries: &[Fetched], position: Position) {
@@ -192,7 +192,7 @@
             self.note_restored(entries, position);
             self.conductor.forget_stored();
         }
-        self.core.state.borrow_mut().replica.restart(entries, position);
+        self.core.state.borrow_mut().replica.reset(entries, position);
         self.core.learn_usage_era(position.era);
         self.forget_all_but(entries);
         for entry in entries {
@@ -289,7 +289,7 @@
         self.conductor.wake();
         // NB: to an entry that asks the store, the store stays lost while only others can tell of
         // it; it goes on to probe it at long intervals.
-        let asks_others = matches!(self.core.source(), Source::Entry { .. });
+        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
         if heard_from == Heard::FromOthers && !asks_others {
             return;
         }
@@ -320,7 +320,7 @@
         drop(state);
         self.core.journal.note(Rank::State, &Learned::StoreRestored { before, position });
         let listed = entries.iter().filter_map(|entry| entry.key.strip_prefix(ENTRY_PREFIX));
-        self.core.roster.are_stored(&listed.collect());
+        self.core.roster.set_stored(&listed.collect());
         // NB: whoever is not listed any more tells the others, as at its start.
         self.joined = false;
         self.list_from = Duration::ZERO;
--- a/crates/direct/src/follow/first.rs
+++ b/crates/direct/src/follow/first.rs
@@ -15,7 +15,7 @@
 use crate::{
     core::Core,
     journal::Rank,
-    membership::{AskError, Need, PeerClient, Question, Told},
+    membership::{PeerClient, PeerError, StateRequest, StateRequestKind, StateUpdate},
 };
 
 /// Time for which an entry that starts asks others before it reads the store.
@@ -34,7 +34,7 @@
     /// The seed.
     pub from: SocketAddr,
     /// What it told.
-    pub told: Told,
+    pub told: StateUpdate,
     /// Holds the connection to it, and how its clock runs.
     pub client: PeerClient,
 }
@@ -50,12 +50,12 @@
         return None;
     }
     // NB: each entry starts with another one, so that no seed is asked by all.
-    let first = core.roster.spread(seeds.len());
+    let first = core.roster.hash_slot(seeds.len());
     seeds.rotate_left(first);
     // NB: a seed does not wait for the others, which would wait for it.
-    let (need, limit) = match is_seed {
-        true => (Need::FirstStateNow, SEED_TIME_LIMIT),
-        false => (Need::FirstState, TIME_LIMIT),
+    let (kind, limit) = match is_seed {
+        true => (StateRequestKind::FirstStateNow, SEED_TIME_LIMIT),
+        false => (StateRequestKind::FirstState, TIME_LIMIT),
     };
     let end = Instant::now() + limit;
     let mut asking = JoinSet::new();
@@ -64,7 +64,7 @@
         let (core, hearing) = (Rc::clone(core), Rc::clone(&hearing));
         asking.spawn_local(async move {
             sleep(NEXT_SEED * place as u32).await;
-            ask_until(&core, seed, need, end, &hearing).await
+            ask_until(&core, seed, kind, end, &hearing).await
         });
     }
     while let Some(heard) = asking.join_next().await {
@@ -82,24 +82,24 @@
 async fn ask_until(
     core: &Core,
     seed: SocketAddr,
-    need: Need,
+    kind: StateRequestKind,
     end: Instant,
     hearing: &Rc<Cell<usize>>,
 ) -> Option<FirstState> {
-    let client = PeerClient::beside(hearing);
+    let client = PeerClient::with_receiving(hearing);
     let mut last = None;
     while Instant::now() < end || hearing.get() > 0 {
         if hearing.get() > 0 {
             sleep(PAUSE).await;
             continue;
         }
-        let question = Question {
+        let question = StateRequest {
             store: core.settings.store.address,
             after: Position::default(),
-            need,
-            until: end.min(Instant::now() + ANSWER_LIMIT),
+            kind,
+            deadline: end.min(Instant::now() + ANSWER_LIMIT),
         };
-        match client.ask(&core.connect, &core.clock, seed, question).await {
+        match client.request_state(&core.connect, &core.clock, seed, question).await {
             Ok(told) => return Some(FirstState { from: seed, told, client }),
             Err(error) => last = Some(error),
         }
@@ -109,7 +109,7 @@
     None
 }
 
-fn note_failed(core: &Core, seed: SocketAddr, error: Option<AskError>) {
+fn note_failed(core: &Core, seed: SocketAddr, error: Option<PeerError>) {
     let error = error.map_or(String::from("no time was left"), |error| error.to_string());
     let event = Learned::SourceFailed { entry: &seed.to_string(), error };
     core.journal.note(Rank::State, &event);
--- a/crates/direct/src/follow/learn.rs
+++ b/crates/direct/src/follow/learn.rs
@@ -48,7 +48,7 @@
                 None
             }
         };
-        if self.core.roster.learn(name, listing) {
+        if self.core.roster.update(name, listing) {
             self.core.share_bounds();
         }
     }
--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/others.rs
@@ -8,7 +8,7 @@
 use super::{Follower, Heard, report::Learned, watching::NO_WAIT};
 use crate::{
     journal::Rank,
-    membership::{AskError, Need, Question, Told},
+    membership::{PeerError, StateRequest, StateRequestKind, StateUpdate},
     metrics::{Counter, StoreCause},
 };
 
@@ -50,13 +50,14 @@
     /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
     /// among those that are turned away.
     pub(super) async fn ask_around(&mut self, position: Position) -> Position {
-        let others = self.core.roster.others(self.core.clock.now());
+        let others = self.core.roster.reachable_peers(self.core.clock.now());
         for _ in 0..ASKED_AROUND.min(others.len()) {
             self.asked_around = (self.asked_around + 1) % others.len();
             let (name, address) = &others[self.asked_around];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
-            let question = self.question(position, Need::ChangesNow, until);
-            let asking = self.client.ask(&self.core.connect, &self.core.clock, *address, question);
+            let question = self.question(position, StateRequestKind::ChangesNow, until);
+            let asking =
+                self.client.request_state(&self.core.connect, &self.core.clock, *address, question);
             match asking.await {
                 Ok(told) => {
                     let next = told.position.max(position);
@@ -64,9 +65,9 @@
                     return next;
                 }
                 // NB: that others have lost the store too is no news.
-                Err(AskError::Old) => {}
+                Err(PeerError::Stale) => {}
                 Err(error) => {
-                    self.core.roster.note(name, Some(&error), self.core.clock.now());
+                    self.core.roster.record_result(name, Some(&error), self.core.clock.now());
                     return position;
                 }
             }
@@ -82,8 +83,9 @@
         address: SocketAddr,
         position: Position,
     ) -> Option<Position> {
-        let question = self.question(position, Need::Changes, self.give_up_at());
-        let asking = self.client.ask(&self.core.connect, &self.core.clock, address, question);
+        let question = self.question(position, StateRequestKind::Changes, self.give_up_at());
+        let asking =
+            self.client.request_state(&self.core.connect, &self.core.clock, address, question);
         let told = tokio::select! {
             biased;
             answered = self.watching.next() => return self.take_answer(answered, position),
@@ -95,10 +97,10 @@
     fn take_or_leave(
         &mut self,
         name: &str,
-        told: Result<Told, AskError>,
+        told: Result<StateUpdate, PeerError>,
         position: Position,
     ) -> Position {
-        self.core.roster.note(name, told.as_ref().err(), self.core.clock.now());
+        self.core.roster.record_result(name, told.as_ref().err(), self.core.clock.now());
         match told {
             Ok(told) => {
                 self.unreached = 0;
@@ -107,7 +109,7 @@
                 next
             }
             Err(error) => {
-                if error != AskError::Old {
+                if error != PeerError::Stale {
                     self.core.told_by.set(None);
                     self.unreached += 1;
                 }
@@ -132,16 +134,16 @@
         self.core.clock.instant(until)
     }
 
-    fn question(&self, after: Position, need: Need, until: Instant) -> Question {
-        Question { store: self.core.settings.store.address, after, need, until }
+    fn question(&self, after: Position, kind: StateRequestKind, deadline: Instant) -> StateRequest {
+        StateRequest { store: self.core.settings.store.address, after, kind, deadline }
     }
 
     /// Takes in what another entry told, and from when it is; `position` is where that leads.
-    pub(super) fn take_told(&mut self, mut told: Told, position: Position) {
+    pub(super) fn take_told(&mut self, mut told: StateUpdate, position: Position) {
         self.core.metrics.count_many(Counter::PeerBytesHeard, told.bytes);
         if told.position.era != position.era {
             // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
-            self.core.hear_from_above(std::mem::take(&mut told.news));
+            self.core.receive_from_parent(std::mem::take(&mut told.gossip));
             self.conductor.wake();
             return;
         }
@@ -153,7 +155,7 @@
         drop(state);
         self.watching.drop_known(position);
         self.learns_from = Heard::FromOthers;
-        let news = std::mem::take(&mut told.news);
+        let news = std::mem::take(&mut told.gossip);
         if told.whole {
             let entries: Vec<Fetched> =
                 told.into_events().into_iter().filter_map(written).collect();
@@ -161,7 +163,7 @@
         } else {
             self.take_changes(&told.into_events(), position);
         }
-        self.core.hear_from_above(news);
+        self.core.receive_from_parent(news);
         if let Some(confirmed) = confirmed {
             self.confirm(confirmed, position, Heard::FromOthers);
         }
--- a/crates/direct/src/membership.rs
+++ b/crates/direct/src/membership.rs
@@ -11,33 +11,35 @@
 //! store.
 
 mod client;
-mod clocks;
+mod clock_offset;
+mod forward;
+mod gossip;
 mod listing;
+mod members;
 mod message;
-mod news;
 mod replica;
-mod roster;
 mod server;
-mod spread;
 mod tree;
 
-pub use client::{AskError, Need, PeerClient, Question, Told, ask_question};
-pub use clocks::ClockOffset;
-pub use listing::{Listing, UnreadableListing};
-pub use message::{FORMAT, KeyChange, MessageError, State, StateHead, from_message, to_message};
-pub use news::{Item, MOST_SESSIONS, News, NewsLog, StageWord};
+pub use client::{PeerClient, PeerError, StateRequest, StateRequestKind, StateUpdate, query_peer};
+pub use clock_offset::ClockOffset;
+pub use forward::{Outbox, forward_gossip};
+pub use gossip::{Gossip, GossipItem, GossipLog, MAX_SESSIONS_PER_ITEM, WireStage};
+pub use listing::{InvalidListing, Listing};
+pub use members::{ChangeSource, Members};
+pub use message::{
+    FORMAT, KeyChange, MessageError, StateHead, StateMessage, from_message, to_message,
+};
 pub use replica::Replica;
-pub use roster::{Roster, Source};
 pub use server::serve;
-pub use spread::{Outbox, pass_on};
-pub use tree::{FAN_OUT, Place, place, roots};
+pub use tree::{FAN_OUT, TreeRole, root_count, tree_role};
 
 /// Where entries are listed, by name.
 pub const ENTRY_PREFIX: &str = "pondwalk/entries/";
 
 /// Entries that hear all news that goes up, at least. One in eight times all of them are gone with half of the
 /// entries.
-pub const LEAST_INFORMED: usize = 3;
+pub const MIN_GOSSIP_TARGETS: usize = 3;
 
 /// Where an entry is asked for its state.
 const STATE_PATH: &str = "/state";
--- a/crates/direct/src/membership/client.rs
+++ b/crates/direct/src/membership/client.rs
@@ -26,7 +26,7 @@
 };
 
 use super::{
-    ClockOffset, Item, KeyChange, MessageError, NEWS_PATH, STATE_PATH, State,
+    ClockOffset, GossipItem, KeyChange, MessageError, NEWS_PATH, STATE_PATH, StateMessage,
     message::{MAX_MESSAGE_BYTES, from_message, to_message},
 };
 use crate::{clock::Clock, core::Core, metrics::Counter, upstream::Connect};
@@ -45,16 +45,16 @@
 
 /// Why another entry told nothing of use.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum AskError {
+pub enum PeerError {
     /// It did not answer in time.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Failed(String),
     /// It has lost the store itself, or was last confirmed too long ago.
     #[error("its confirmation is old")]
-    Old,
+    Stale,
     /// Its answer is refused.
     #[error("its answer is refused: {0}")]
     Refused(#[from] MessageError),
@@ -62,7 +62,7 @@
 
 /// What an asker needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum StateRequestKind {
     /// What has changed, once the state is confirmed anew or there is news.
     Changes,
     /// What has changed, if the state is young enough to be of use.
@@ -75,20 +75,20 @@
 
 /// What is asked.
 #[derive(Debug, Clone, Copy)]
-pub struct Question {
+pub struct StateRequest {
     /// Store that both are to speak of.
     pub store: SocketAddr,
     /// Place in the store's history up to which the asker knows all.
     pub after: Position,
     /// What the asker needs.
-    pub need: Need,
+    pub kind: StateRequestKind,
     /// When the answer is given up.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// What another entry told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct StateUpdate {
     /// Own time at which its state was confirmed, or before; `None` if before the start of the own
     /// clock.
     pub confirmed: Option<Duration>,
@@ -105,10 +105,10 @@
     /// Keys as they were last changed, in order.
     pub changes: Vec<KeyChange>,
     /// News not heard from it before.
-    pub news: Vec<Item>,
+    pub gossip: Vec<GossipItem>,
 }
 
-impl Told {
+impl StateUpdate {
     /// The changes as the store would have told them.
     pub fn into_events(self) -> Vec<StoreEvent> {
         self.changes.into_iter().map(KeyChange::into_event).collect()
@@ -138,7 +138,7 @@
 
 impl PeerClient {
     /// A client beside others, which sees by `hearing` whether one of them is being told something.
-    pub fn beside(hearing: &Rc<Cell<usize>>) -> Self {
+    pub fn with_receiving(hearing: &Rc<Cell<usize>>) -> Self {
         PeerClient { hearing: Rc::clone(hearing), ..PeerClient::default() }
     }
 
@@ -146,22 +146,22 @@
     ///
     /// A kept connection may have gone silent without a word while new ones work, so silence on one
     /// is followed by a second question on a new one.
-    pub async fn ask(
+    pub async fn request_state(
         &self,
         connect: &Connect,
         clock: &Clock,
         address: SocketAddr,
-        question: Question,
-    ) -> Result<Told, AskError> {
+        question: StateRequest,
+    ) -> Result<StateUpdate, PeerError> {
         let was_kept = self.take_kept(address).map(|sender| (address, sender));
         let is_kept = was_kept.is_some();
         *self.kept.borrow_mut() = was_kept;
         let told = self.ask_once(connect, clock, address, question).await;
-        if !is_kept || !matches!(told, Err(AskError::Silent | AskError::Failed(_))) {
+        if !is_kept || !matches!(told, Err(PeerError::Timeout | PeerError::Failed(_))) {
             return told;
         }
-        let until = question.until.max(Instant::now() + TELL_LIMIT);
-        self.ask_once(connect, clock, address, Question { until, ..question }).await
+        let deadline = question.deadline.max(Instant::now() + TELL_LIMIT);
+        self.ask_once(connect, clock, address, StateRequest { deadline, ..question }).await
     }
 
     async fn ask_once(
@@ -169,11 +169,11 @@
         connect: &Connect,
         clock: &Clock,
         address: SocketAddr,
-        question: Question,
-    ) -> Result<Told, AskError> {
+        question: StateRequest,
+    ) -> Result<StateUpdate, PeerError> {
         let sent = clock.now();
         let bytes = self.exchange(connect, address, question).await?;
-        let state = State::from_bytes(&bytes, question.store)?;
+        let state = StateMessage::from_bytes(&bytes, question.store)?;
         // NB: what changed after an earlier revision does no harm; a whole state would take the place
         // of a newer one.
         if state.head.whole && state.head.position < question.after {
@@ -191,37 +191,37 @@
         &self,
         address: SocketAddr,
         sent: Duration,
-        state: State,
+        state: StateMessage,
         bytes: usize,
-    ) -> Result<Told, AskError> {
+    ) -> Result<StateUpdate, PeerError> {
         let head = state.head;
         let changes = state.changes()?;
         let mut heard = self.heard.borrow_mut();
         if heard.from != Some(address) {
             *heard = Heard { from: Some(address), ..Heard::default() };
         }
-        heard.clock.note(head.incarnation, sent, head.now);
+        heard.clock.record(head.incarnation, sent, head.now);
         heard.incarnation = head.incarnation;
         heard.turn = head.turn;
         heard.news_end = head.news_end;
-        Ok(Told {
-            confirmed: heard.clock.own_time(head.confirmed),
-            store_returned: head.store_returned.and_then(|at| heard.clock.own_time(at)),
+        Ok(StateUpdate {
+            confirmed: heard.clock.local_time(head.confirmed),
+            store_returned: head.store_returned.and_then(|at| heard.clock.local_time(at)),
             store_takes: head.store_takes,
             position: head.position,
             whole: head.whole,
             bytes,
             changes,
-            news: state.news,
+            gossip: state.gossip,
         })
     }
 
     /// Tells the entry at `address` news, as packed for the way.
-    pub async fn tell_news(
+    pub async fn send_gossip(
         connect: &Connect,
         address: SocketAddr,
         body: Bytes,
-    ) -> Result<(), AskError> {
+    ) -> Result<(), PeerError> {
         Self::exchange_once(connect, address, NEWS_PATH, body).await.map(|_| ())
     }
 
@@ -231,7 +231,7 @@
         address: SocketAddr,
         path: &str,
         body: Bytes,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, PeerError> {
         let limit = TELL_LIMIT + TELL_LIMIT_OF_BYTE * u32::try_from(body.len()).unwrap_or(u32::MAX);
         let request = Request::post(path).header(HOST, address.to_string());
         let request = request.body(Full::from(body)).map_err(failed)?;
@@ -240,11 +240,11 @@
             let answer = answer.map_err(failed)?;
             match answer.status() {
                 StatusCode::OK => read_while_moving(answer.into_body()).await,
-                status => Err(AskError::Failed(status.to_string())),
+                status => Err(PeerError::Failed(status.to_string())),
             }
         };
         let until = Instant::now() + limit;
-        timeout_at(until, telling).await.map_err(|_| AskError::Silent)?
+        timeout_at(until, telling).await.map_err(|_| PeerError::Timeout)?
     }
 
     /// The kept connection, if it leads to `address` and is still open.
@@ -254,15 +254,15 @@
         kept.map(|(_, sender)| sender)
     }
 
-    fn path(&self, address: SocketAddr, question: Question) -> String {
+    fn path(&self, address: SocketAddr, question: StateRequest) -> String {
         let Position { era, revision } = question.after;
-        match question.need {
-            Need::Changes | Need::ChangesNow => {}
-            Need::FirstState => return format!("{STATE_PATH}?first=wait"),
-            Need::FirstStateNow => return format!("{STATE_PATH}?first=now"),
+        match question.kind {
+            StateRequestKind::Changes | StateRequestKind::ChangesNow => {}
+            StateRequestKind::FirstState => return format!("{STATE_PATH}?first=wait"),
+            StateRequestKind::FirstStateNow => return format!("{STATE_PATH}?first=now"),
         }
         let heard = self.heard.borrow();
-        let now = if question.need == Need::ChangesNow { "&now=1" } else { "" };
+        let now = if question.kind == StateRequestKind::ChangesNow { "&now=1" } else { "" };
         match heard.from == Some(address) {
             true => format!(
                 "{STATE_PATH}?after={era}.{revision}&heard={:x}.{}.{}{now}",
@@ -276,8 +276,8 @@
         &self,
         connect: &Connect,
         address: SocketAddr,
-        question: Question,
-    ) -> Result<(Sender, Response<Incoming>), AskError> {
+        question: StateRequest,
+    ) -> Result<(Sender, Response<Incoming>), PeerError> {
         let mut sender = match self.take_kept(address) {
             Some(sender) => sender,
             None => open(connect, address).await?,
@@ -292,11 +292,11 @@
         &self,
         connect: &Connect,
         address: SocketAddr,
-        question: Question,
-    ) -> Result<Bytes, AskError> {
+        question: StateRequest,
+    ) -> Result<Bytes, PeerError> {
         let asking = self.ask_for_head(connect, address, question);
-        let answering = timeout_at(question.until, asking).await;
-        let (sender, answer) = answering.map_err(|_| AskError::Silent)??;
+        let answering = timeout_at(question.deadline, asking).await;
+        let (sender, answer) = answering.map_err(|_| PeerError::Timeout)??;
         let status = answer.status();
         let is_told = usize::from(status == StatusCode::OK);
         self.hearing.set(self.hearing.get() + is_told);
@@ -306,19 +306,19 @@
         *self.kept.borrow_mut() = Some((address, sender));
         match status {
             StatusCode::OK => Ok(body),
-            StatusCode::SERVICE_UNAVAILABLE => Err(AskError::Old),
-            status => Err(AskError::Failed(status.to_string())),
+            StatusCode::SERVICE_UNAVAILABLE => Err(PeerError::Stale),
+            status => Err(PeerError::Failed(status.to_string())),
         }
     }
 }
 
 /// Sends another entry a question, on a connection of its own, and reads its answer.
-pub async fn ask_question<Q: Serialize, A: DeserializeOwned>(
+pub async fn query_peer<Q: Serialize, A: DeserializeOwned>(
     core: &Core,
     address: SocketAddr,
     path: &str,
     question: &Q,
-) -> Result<A, AskError> {
+) -> Result<A, PeerError> {
     let store = core.settings.store.address;
     let question = to_message(store, question)?;
     core.metrics.count_many(Counter::PeerBytesTold, question.len());
@@ -328,11 +328,11 @@
 
 /// Reads an answer for as long as it comes. A large state over a narrow link takes longer than any
 /// time in which another entry should begin to answer.
-async fn read_while_moving(body: Incoming) -> Result<Bytes, AskError> {
+async fn read_while_moving(body: Incoming) -> Result<Bytes, PeerError> {
     let mut body = pin!(Limited::new(body, MAX_MESSAGE_BYTES));
     let mut read = BytesMut::new();
     loop {
-        let frame = timeout(BODY_PAUSE, body.frame()).await.map_err(|_| AskError::Silent)?;
+        let frame = timeout(BODY_PAUSE, body.frame()).await.map_err(|_| PeerError::Timeout)?;
         let Some(frame) = frame else { return Ok(read.freeze()) };
         let frame = frame.map_err(|_| MessageError::Unreadable)?;
         if let Ok(data) = frame.into_data() {
@@ -341,15 +341,15 @@
     }
 }
 
-async fn open(connect: &Connect, address: SocketAddr) -> Result<Sender, AskError> {
+async fn open(connect: &Connect, address: SocketAddr) -> Result<Sender, PeerError> {
     let opening = timeout(CONNECT_LIMIT, connect(address)).await;
-    let stream = opening.map_err(|_| AskError::Silent)?.map_err(failed)?;
+    let stream = opening.map_err(|_| PeerError::Timeout)?.map_err(failed)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(failed)?;
     // NB: a failure of the connection reaches the exchange that waits on it.
     spawn_local(async move { connection.await.unwrap_or_default() });
     Ok(sender)
 }
 
-fn failed(error: impl ToString) -> AskError {
-    AskError::Failed(error.to_string())
+fn failed(error: impl ToString) -> PeerError {
+    PeerError::Failed(error.to_string())
 }
--- a/crates/direct/src/membership/clocks.rs
+++ b/crates/direct/src/membership/clock_offset.rs
@@ -30,7 +30,7 @@
 
 impl ClockOffset {
     /// Takes a reading in: the process with this incarnation said `said` after `not_before`.
-    pub fn note(&mut self, incarnation: u64, not_before: Duration, said: Duration) {
+    pub fn record(&mut self, incarnation: u64, not_before: Duration, said: Duration) {
         let fresh = Reading { not_before, said };
         if incarnation != self.incarnation {
             *self = ClockOffset { incarnation, best: Some(fresh) };
@@ -48,7 +48,7 @@
 
     /// Own time that is no later than the other clock's `at`; `None` if it lies before the start of
     /// the own clock, or nothing is known.
-    pub fn own_time(&self, at: Duration) -> Option<Duration> {
+    pub fn local_time(&self, at: Duration) -> Option<Duration> {
         let reading = self.best?;
         (reading.not_before + at).checked_sub(reading.said)
     }
--- a/crates/direct/src/membership/spread.rs
+++ b/crates/direct/src/membership/forward.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use tokio::{sync::Notify, task::spawn_local, time::sleep};
 
-use super::{Item, News, PeerClient, message};
+use super::{Gossip, GossipItem, PeerClient, message};
 use crate::{core::Core, journal::Rank, metrics::Counter};
 
 /// Time for which news is gathered before it is passed on, so that what a hundred entries find at
@@ -20,19 +20,19 @@
 /// News that is to be passed on.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    items: RefCell<Vec<Item>>,
+    items: RefCell<Vec<GossipItem>>,
     filled: Notify,
 }
 
 impl Outbox {
-    fn put(&self, items: Vec<Item>) {
+    fn put(&self, items: Vec<GossipItem>) {
         if !items.is_empty() {
             self.items.borrow_mut().extend(items);
             self.filled.notify_one();
         }
     }
 
-    async fn take(&self) -> Vec<Item> {
+    async fn take(&self) -> Vec<GossipItem> {
         self.filled.notified().await;
         sleep(GATHER_TIME).await;
         self.items.take()
@@ -50,16 +50,16 @@
 
 impl Core {
     /// Tells what this entry has found, to be heard by all.
-    pub fn tell_news(&self, news: News) {
-        let item = self.new_item(news);
-        self.hear_from_below(vec![item]);
+    pub fn publish_gossip(&self, news: Gossip) {
+        let item = self.new_gossip_item(news);
+        self.receive_from_child(vec![item]);
     }
 
     /// A piece of news as this entry tells it now.
-    pub fn new_item(&self, news: News) -> Item {
+    pub fn new_gossip_item(&self, news: Gossip) -> GossipItem {
         let number = self.news_told.get();
         self.news_told.set(number + 1);
-        Item {
+        GossipItem {
             origin: self.settings.name.clone(),
             incarnation: self.incarnation,
             number,
@@ -69,68 +69,68 @@
     }
 
     /// Hears news that comes up the tree, which is passed on upwards too.
-    pub fn hear_from_below(&self, items: Vec<Item>) {
+    pub fn receive_from_child(&self, items: Vec<GossipItem>) {
         self.outbox.put(self.hear(items));
     }
 
     /// Hears news that comes down the tree, which those that ask this entry hear too.
-    pub fn hear_from_above(&self, items: Vec<Item>) {
+    pub fn receive_from_parent(&self, items: Vec<GossipItem>) {
         self.hear(items);
     }
 
     /// Takes news in and returns what was not known yet.
-    fn hear(&self, items: Vec<Item>) -> Vec<Item> {
+    fn hear(&self, items: Vec<GossipItem>) -> Vec<GossipItem> {
         let now = self.clock.now();
-        let is_new = |item: &Item| {
-            let log = if item.only_goes_up() { &self.news_for_above } else { &self.news };
+        let is_new = |item: &GossipItem| {
+            let log = if item.is_for_roots_only() { &self.news_for_above } else { &self.news };
             log.borrow_mut().add(item.clone(), now)
         };
-        let new: Vec<Item> = items.into_iter().filter(is_new).collect();
+        let new: Vec<GossipItem> = items.into_iter().filter(is_new).collect();
         for item in &new {
             self.note_heard(item);
             self.apply(item);
         }
-        if new.iter().any(|item| !item.only_goes_up()) {
+        if new.iter().any(|item| !item.is_for_roots_only()) {
             self.something_new.notify_waiters();
         }
         new
     }
 
     /// Weighs all news about a service again, since a roll-out of it was learned of only now.
-    pub fn apply_news_of(&self, service: &str) {
+    pub fn reapply_gossip_of(&self, service: &str) {
         let news = self.news.borrow();
         let items = news.all(self.clock.now()).map(|(_, item)| item);
         items.filter(|item| item.service() == Some(service)).for_each(|item| self.apply(item));
     }
 
     /// Logs what changes where requests go.
-    fn note_heard(&self, item: &Item) {
+    fn note_heard(&self, item: &GossipItem) {
         let what = match &item.news {
-            News::Stage { stage, .. } => format!("stage, {stage:?}"),
-            News::Bad { .. } => "bad".to_owned(),
-            News::Kept { .. }
-            | News::Seen { .. }
-            | News::Unreached { .. }
-            | News::Limited { .. }
-            | News::Ended { .. }
-            | News::Cleared { .. }
-            | News::Used { .. }
-            | News::Joined { .. } => return,
+            Gossip::Stage { stage, .. } => format!("stage, {stage:?}"),
+            Gossip::Bad { .. } => "bad".to_owned(),
+            Gossip::Kept { .. }
+            | Gossip::Seen { .. }
+            | Gossip::Unreached { .. }
+            | Gossip::Limited { .. }
+            | Gossip::Ended { .. }
+            | Gossip::Cleared { .. }
+            | Gossip::Used { .. }
+            | Gossip::Joined { .. } => return,
         };
         let (service, target) = (item.service(), item.target());
         let event = SpreadEvent::NewsHeard { from: &item.origin, service, target, what };
         self.journal.note(Rank::State, &event);
     }
 
-    fn apply(&self, item: &Item) {
+    fn apply(&self, item: &GossipItem) {
         match &item.news {
-            News::Used { window, counts, unix_ms } => {
+            Gossip::Used { window, counts, unix_ms } => {
                 return self.hear_used(item, *window, counts, *unix_ms);
             }
-            News::Unreached { fleet, server } => return self.hear_unreached(fleet, server, item),
-            News::Limited { .. } => return self.hear_limit(item),
-            News::Ended { ends } => return self.hear_ends(ends, item.age),
-            News::Cleared { content } => {
+            Gossip::Unreached { fleet, server } => return self.hear_unreached(fleet, server, item),
+            Gossip::Limited { .. } => return self.hear_limit(item),
+            Gossip::Ended { ends } => return self.hear_ends(ends, item.age),
+            Gossip::Cleared { content } => {
                 return self.hear_cleared(*content, &item.origin, item.age);
             }
             _ => {}
@@ -141,25 +141,25 @@
         let Some(roll_out) = roll_out.filter(|one| one.target() == target) else { return };
         let is_own = item.origin == self.settings.name && item.incarnation == self.incarnation;
         match &item.news {
-            News::Kept { sessions, .. } => roll_out.learn_kept(sessions.iter().copied()),
+            Gossip::Kept { sessions, .. } => roll_out.learn_kept(sessions.iter().copied()),
             // NB: what this entry has seen itself it weighs already.
-            News::Seen { .. } if is_own => {}
-            News::Seen { seen, .. } => {
+            Gossip::Seen { .. } if is_own => {}
+            Gossip::Seen { seen, .. } => {
                 roll_out.learn_seen(seen.clone(), item.age, self.clock.now());
             }
-            News::Stage { stage, .. } => roll_out.learn_stage((*stage).into(), self.clock.now()),
-            News::Bad { .. } => roll_out.learn_bad(),
-            News::Unreached { .. }
-            | News::Limited { .. }
-            | News::Ended { .. }
-            | News::Cleared { .. }
-            | News::Used { .. }
-            | News::Joined { .. } => {}
+            Gossip::Stage { stage, .. } => roll_out.learn_stage((*stage).into(), self.clock.now()),
+            Gossip::Bad { .. } => roll_out.learn_bad(),
+            Gossip::Unreached { .. }
+            | Gossip::Limited { .. }
+            | Gossip::Ended { .. }
+            | Gossip::Cleared { .. }
+            | Gossip::Used { .. }
+            | Gossip::Joined { .. } => {}
         }
     }
 
     /// Another entry could not reach a server.
-    fn hear_unreached(&self, fleet: &str, server: &str, item: &Item) {
+    fn hear_unreached(&self, fleet: &str, server: &str, item: &GossipItem) {
         let now = self.clock.now();
         let at = now.saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
@@ -173,42 +173,42 @@
     }
 }
 
-impl Item {
+impl GossipItem {
     /// Service whose roll-out it concerns, if any.
     fn service(&self) -> Option<&str> {
         match &self.news {
-            News::Kept { service, .. }
-            | News::Seen { service, .. }
-            | News::Stage { service, .. }
-            | News::Bad { service, .. } => Some(service),
-            News::Unreached { .. }
-            | News::Limited { .. }
-            | News::Ended { .. }
-            | News::Cleared { .. }
-            | News::Used { .. }
-            | News::Joined { .. } => None,
+            Gossip::Kept { service, .. }
+            | Gossip::Seen { service, .. }
+            | Gossip::Stage { service, .. }
+            | Gossip::Bad { service, .. } => Some(service),
+            Gossip::Unreached { .. }
+            | Gossip::Limited { .. }
+            | Gossip::Ended { .. }
+            | Gossip::Cleared { .. }
+            | Gossip::Used { .. }
+            | Gossip::Joined { .. } => None,
         }
     }
 
     /// Version on trial that it concerns, if any.
     fn target(&self) -> Option<&str> {
         match &self.news {
-            News::Kept { target, .. }
-            | News::Seen { target, .. }
-            | News::Stage { target, .. }
-            | News::Bad { target, .. } => Some(target),
-            News::Unreached { .. }
-            | News::Limited { .. }
-            | News::Ended { .. }
-            | News::Cleared { .. }
-            | News::Used { .. }
-            | News::Joined { .. } => None,
+            Gossip::Kept { target, .. }
+            | Gossip::Seen { target, .. }
+            | Gossip::Stage { target, .. }
+            | Gossip::Bad { target, .. } => Some(target),
+            Gossip::Unreached { .. }
+            | Gossip::Limited { .. }
+            | Gossip::Ended { .. }
+            | Gossip::Cleared { .. }
+            | Gossip::Used { .. }
+            | Gossip::Joined { .. } => None,
         }
     }
 }
 
 /// Passes news on for as long as the process runs.
-pub async fn pass_on(core: Rc<Core>) {
+pub async fn forward_gossip(core: Rc<Core>) {
     loop {
         let items = core.outbox.take().await;
         if items.is_empty() {
@@ -219,7 +219,7 @@
     }
 }
 
-async fn pass_on_items(core: Rc<Core>, items: Vec<Item>) {
+async fn pass_on_items(core: Rc<Core>, items: Vec<GossipItem>) {
     let mut told: Vec<SocketAddr> = Vec::new();
     let mut pause = FIRST_PAUSE;
     let mut failed = None;
@@ -248,10 +248,10 @@
     }
 }
 
-async fn pass_on_to(core: &Core, address: SocketAddr, items: &[Item]) -> Result<(), String> {
+async fn pass_on_to(core: &Core, address: SocketAddr, items: &[GossipItem]) -> Result<(), String> {
     let store = core.settings.store.address;
     let bytes = message::to_message(store, &items).map_err(|error| error.to_string())?;
     core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
-    let told = PeerClient::tell_news(&core.connect, address, bytes).await;
+    let told = PeerClient::send_gossip(&core.connect, address, bytes).await;
     told.map_err(|error| error.to_string())
 }
--- a/crates/direct/src/membership/news.rs
+++ b/crates/direct/src/membership/gossip.rs
@@ -26,11 +26,11 @@
 /// Items remembered. Each entry tells a few in a roll-out.
 const MOST_ITEMS: usize = 4_096;
 /// Sessions in one item; an entry with more tells several.
-pub const MOST_SESSIONS: usize = 1_024;
+pub const MAX_SESSIONS_PER_ITEM: usize = 1_024;
 
 /// What an entry has found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Gossip {
     /// Sessions run through it that stay on the old version while `target` is on trial.
     Kept {
         /// Service that moves.
@@ -56,7 +56,7 @@
         /// Version on trial.
         target: String,
         /// How far it has come.
-        stage: StageWord,
+        stage: WireStage,
     },
     /// A version on trial is bad.
     Bad {
@@ -112,7 +112,7 @@
 /// Word for a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum StageWord {
+pub enum WireStage {
     /// On trial.
     Trial,
     /// The share widens.
@@ -123,24 +123,24 @@
     Reverted,
 }
 
-impl From<Stage> for StageWord {
+impl From<Stage> for WireStage {
     fn from(stage: Stage) -> Self {
         match stage {
-            Stage::Trial => StageWord::Trial,
-            Stage::Widening => StageWord::Widening,
-            Stage::Completed => StageWord::Completed,
-            Stage::Reverted => StageWord::Reverted,
+            Stage::Trial => WireStage::Trial,
+            Stage::Widening => WireStage::Widening,
+            Stage::Completed => WireStage::Completed,
+            Stage::Reverted => WireStage::Reverted,
         }
     }
 }
 
-impl From<StageWord> for Stage {
-    fn from(word: StageWord) -> Self {
+impl From<WireStage> for Stage {
+    fn from(word: WireStage) -> Self {
         match word {
-            StageWord::Trial => Stage::Trial,
-            StageWord::Widening => Stage::Widening,
-            StageWord::Completed => Stage::Completed,
-            StageWord::Reverted => Stage::Reverted,
+            WireStage::Trial => Stage::Trial,
+            WireStage::Widening => Stage::Widening,
+            WireStage::Completed => Stage::Completed,
+            WireStage::Reverted => Stage::Reverted,
         }
     }
 }
@@ -150,7 +150,7 @@
 
 /// One piece of news.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct GossipItem {
     /// Name of the entry that found it.
     pub origin: String,
     /// Random number of that life of the entry.
@@ -160,13 +160,13 @@
     /// Time since it was found.
     pub age: Duration,
     /// What was found.
-    pub news: News,
+    pub news: Gossip,
 }
 
-impl Item {
+impl GossipItem {
     /// Whether it only goes up the tree.
-    pub fn only_goes_up(&self) -> bool {
-        matches!(self.news, News::Seen { .. } | News::Used { .. })
+    pub fn is_for_roots_only(&self) -> bool {
+        matches!(self.news, Gossip::Seen { .. } | Gossip::Used { .. })
     }
 
     fn id(&self) -> ItemId {
@@ -176,32 +176,32 @@
 
 /// The news that this entry remembers, in the order in which it heard them.
 #[derive(Debug)]
-pub struct NewsLog {
+pub struct GossipLog {
     life: Duration,
     /// Place of the first item that is still remembered.
     start: u64,
     /// When each was found, by the own clock.
-    items: VecDeque<(Duration, Item)>,
+    items: VecDeque<(Duration, GossipItem)>,
     known: HashSet<ItemId>,
 }
 
-impl NewsLog {
+impl GossipLog {
     /// Remembers news that all are to hear.
     pub fn for_all() -> Self {
         Self::lasting(LIFE)
     }
 
     /// Remembers news that only goes up.
-    pub fn for_above() -> Self {
+    pub fn for_roots() -> Self {
         Self::lasting(LIFE_OF_SEEN)
     }
 
     fn lasting(life: Duration) -> Self {
-        NewsLog { life, start: 0, items: VecDeque::new(), known: HashSet::new() }
+        GossipLog { life, start: 0, items: VecDeque::new(), known: HashSet::new() }
     }
 
     /// Takes an item in; `false` if it is known already, or too old.
-    pub fn add(&mut self, item: Item, now: Duration) -> bool {
+    pub fn add(&mut self, item: GossipItem, now: Duration) -> bool {
         self.forget_old(now);
         if item.age >= self.life || !self.known.insert(item.id()) {
             return false;
@@ -216,10 +216,10 @@
     }
 
     /// The items from a place on.
-    pub fn since(&self, place: u64, now: Duration) -> Vec<Item> {
+    pub fn since(&self, place: u64, now: Duration) -> Vec<GossipItem> {
         let skipped = place.saturating_sub(self.start) as usize;
         let items = self.items.iter().skip(skipped);
-        let aged = |(found, item): &(Duration, Item)| Item {
+        let aged = |(found, item): &(Duration, GossipItem)| GossipItem {
             age: now.saturating_sub(*found),
             ..item.clone()
         };
@@ -227,7 +227,7 @@
     }
 
     /// All items that are remembered, with the time since they were found.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (Duration, &Item)> {
+    pub fn all(&self, now: Duration) -> impl Iterator<Item = (Duration, &GossipItem)> {
         self.items.iter().map(move |(found, item)| (now.saturating_sub(*found), item))
     }
 
--- a/crates/direct/src/membership/listing.rs
+++ b/crates/direct/src/membership/listing.rs
@@ -8,7 +8,7 @@
 /// A listing that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{0}` is no address with the width of a link behind it")]
-pub struct UnreadableListing(String);
+pub struct InvalidListing(String);
 
 /// Where an entry is asked, and over which link: written as `ADDRESS MBPS`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,14 +34,14 @@
 }
 
 impl TryFrom<&[u8]> for Listing {
-    type Error = UnreadableListing;
+    type Error = InvalidListing;
 
-    fn try_from(value: &[u8]) -> Result<Self, UnreadableListing> {
+    fn try_from(value: &[u8]) -> Result<Self, InvalidListing> {
         let text = String::from_utf8_lossy(value);
         let (address, link_mbps) = text.split_once(' ').unwrap_or((&text, "0"));
         match (address.parse(), link_mbps.parse()) {
             (Ok(address), Ok(link_mbps)) => Ok(Listing { address, link_mbps }),
-            _ => Err(UnreadableListing(text.into_owned())),
+            _ => Err(InvalidListing(text.into_owned())),
         }
     }
 }
--- a/crates/direct/src/membership/roster.rs
+++ b/crates/direct/src/membership/members.rs
@@ -11,10 +11,10 @@
 use pondwalk_decide::direct::{granting_order, session_key};
 
 use super::{
-    LEAST_INFORMED,
-    client::AskError,
+    MIN_GOSSIP_TARGETS,
+    client::PeerError,
     listing::Listing,
-    tree::{self, Place},
+    tree::{self, TreeRole},
 };
 
 /// First time for which an entry that did not answer is passed over; doubles with each in a row.
@@ -38,11 +38,11 @@
 
 /// Where to learn of changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Source {
+pub enum ChangeSource {
     /// From the store; others rest on this entry.
     Store,
     /// From the store; nobody rests on this entry.
-    StoreAlone,
+    StoreStandalone,
     /// From another entry.
     Entry {
         /// Its name.
@@ -63,36 +63,36 @@
 
 /// The entries that are listed.
 #[derive(Debug)]
-pub struct Roster {
+pub struct Members {
     own: OrderKey,
     place_among_seeds: Option<usize>,
     in_tree: bool,
     listed: RefCell<BTreeMap<OrderKey, Listed>>,
     /// Place of each entry that is listed, by name.
     places: RefCell<HashMap<String, OrderKey>>,
-    own_listed: Cell<Option<Listing>>,
+    own_listing: Cell<Option<Listing>>,
 }
 
-impl Roster {
+impl Members {
     /// Knows of no entry yet.
     pub fn new(settings: &DirectSettings) -> Self {
         let seeds = &settings.membership.seeds;
         let address = settings.peers.unwrap_or(settings.callers);
         let own = Listing { address, link_mbps: settings.link_mbps };
-        Roster {
+        Members {
             own: order_key(&settings.name, &own),
             place_among_seeds: seeds.iter().position(|seed| Some(*seed) == settings.peers),
             in_tree: settings.membership.tree,
             listed: RefCell::default(),
             places: RefCell::default(),
-            own_listed: Cell::new(None),
+            own_listing: Cell::new(None),
         }
     }
 
     /// Learns of an entry, or that it is no longer listed. Returns whether that changes who is listed.
-    pub fn learn(&self, name: &str, listing: Option<Listing>) -> bool {
+    pub fn update(&self, name: &str, listing: Option<Listing>) -> bool {
         if name == self.own.2 {
-            self.own_listed.set(listing);
+            self.own_listing.set(listing);
         }
         let mut listed = self.listed.borrow_mut();
         let mut places = self.places.borrow_mut();
@@ -114,12 +114,12 @@
     /// The store holds the listings of these entries alone.
     ///
     /// NB: the others keep their places until they are listed again, since those below ask them.
-    pub fn are_stored(&self, names: &HashSet<&str>) {
+    pub fn set_stored(&self, names: &HashSet<&str>) {
         for (key, one) in self.listed.borrow_mut().iter_mut() {
             one.is_stored = names.contains(key.2.as_str());
         }
         if !names.contains(self.own.2.as_str()) {
-            self.own_listed.set(None);
+            self.own_listing.set(None);
         }
     }
 
@@ -132,14 +132,14 @@
     }
 
     /// How this entry is listed.
-    pub fn own_listed(&self) -> Option<Listing> {
-        self.own_listed.get()
+    pub fn own_listing(&self) -> Option<Listing> {
+        self.own_listing.get()
     }
 
     /// Where this entry learns of changes.
     ///
     /// An entry that is not listed yet asks as if it came last, since nobody asks it.
-    pub fn source(&self, now: Duration) -> Source {
+    pub fn source(&self, now: Duration) -> ChangeSource {
         let listed = self.listed.borrow();
         let able: Vec<_> = listed
             .iter()
@@ -148,12 +148,12 @@
         let position = able.iter().position(|(key, _)| **key == self.own);
         let entries = able.len() + usize::from(position.is_none());
         let position = position.unwrap_or(able.len());
-        match tree::place(position, entries, self.in_tree) {
-            Place::Root if entries > 1 => Source::Store,
-            Place::Root => Source::StoreAlone,
-            Place::Below(above) => {
+        match tree::tree_role(position, entries, self.in_tree) {
+            TreeRole::Root if entries > 1 => ChangeSource::Store,
+            TreeRole::Root => ChangeSource::StoreStandalone,
+            TreeRole::ChildOf(above) => {
                 let (key, one) = able[above];
-                Source::Entry { name: key.2.clone(), address: one.listing.address }
+                ChangeSource::Entry { name: key.2.clone(), address: one.listing.address }
             }
         }
     }
@@ -179,12 +179,12 @@
     }
 
     /// A number below `among` that differs from entry to entry.
-    pub fn spread(&self, among: usize) -> usize {
+    pub fn hash_slot(&self, among: usize) -> usize {
         (self.own.1 % among.max(1) as u64) as usize
     }
 
     /// Entries in order other than this one that answered when last asked.
-    pub fn others(&self, now: Duration) -> Vec<(String, SocketAddr)> {
+    pub fn reachable_peers(&self, now: Duration) -> Vec<(String, SocketAddr)> {
         let listed = self.listed.borrow();
         let able =
             listed.iter().filter(|(key, one)| **key != self.own && one.passed_over_until <= now);
@@ -197,7 +197,7 @@
         let listed = self.listed.borrow();
         let able =
             listed.iter().filter(|(key, one)| **key == self.own || one.passed_over_until <= now);
-        let roots = tree::roots(able.clone().count()).max(LEAST_INFORMED);
+        let roots = tree::root_count(able.clone().count()).max(MIN_GOSSIP_TARGETS);
         let others = able.take(roots).filter(|(key, _)| **key != self.own);
         others.map(|(_, one)| one.listing.address).collect()
     }
@@ -228,20 +228,20 @@
     }
 
     /// Position of the name that comes first in the order of entries on like links.
-    pub fn first_of(names: &[&str]) -> usize {
+    pub fn first_in_order(names: &[&str]) -> usize {
         let order = |(_, name): &(usize, &&str)| (session_key(name), name.to_string());
         names.iter().enumerate().min_by_key(order).map_or(0, |(position, _)| position)
     }
 
     /// An entry answered, or failed to; one that failed is passed over for a while.
-    pub fn note(&self, name: &str, error: Option<&AskError>, now: Duration) {
+    pub fn record_result(&self, name: &str, error: Option<&PeerError>, now: Duration) {
         let mut listed = self.listed.borrow_mut();
         let places = self.places.borrow();
         let place = places.get(name);
         let Some(one) = place.and_then(|place| listed.get_mut(place)) else { return };
         match error {
             None => one.failures = 0,
-            Some(AskError::Old) => one.passed_over_until = now + PASS_OVER_WHILE_BEHIND,
+            Some(PeerError::Stale) => one.passed_over_until = now + PASS_OVER_WHILE_BEHIND,
             Some(_) => {
                 let time = FIRST_PASS_OVER * 2u32.pow(one.failures.min(6));
                 one.passed_over_until = now + time.min(LONGEST_PASS_OVER);
--- a/crates/direct/src/membership/message.rs
+++ b/crates/direct/src/membership/message.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-use super::Item;
+use super::GossipItem;
 
 /// Number of this form of the messages; an entry of another one is not listened to.
 pub const FORMAT: u16 = 7;
@@ -100,28 +100,28 @@
 
 /// A state as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct State {
+pub struct StateMessage {
     /// Its head.
     pub head: StateHead,
     /// Its packed body.
     pub body: Bytes,
     /// News that the asker has not heard.
-    pub news: Vec<Item>,
+    pub gossip: Vec<GossipItem>,
 }
 
-impl State {
+impl StateMessage {
     /// The bytes to send: the length of the head, the head, the body, the news.
     pub fn to_bytes(&self) -> Result<Bytes, MessageError> {
         let body_bytes = u32::try_from(self.body.len()).map_err(|_| MessageError::Unreadable)?;
         let head = StateHead { body_bytes, ..self.head };
         let head = postcard::to_stdvec(&head).map_err(|_| MessageError::Unreadable)?;
-        let news = postcard::to_stdvec(&self.news).map_err(|_| MessageError::Unreadable)?;
+        let gossip = postcard::to_stdvec(&self.gossip).map_err(|_| MessageError::Unreadable)?;
         let length = u16::try_from(head.len()).map_err(|_| MessageError::Unreadable)?;
-        let mut bytes = Vec::with_capacity(2 + head.len() + self.body.len() + news.len());
+        let mut bytes = Vec::with_capacity(2 + head.len() + self.body.len() + gossip.len());
         bytes.extend_from_slice(&length.to_be_bytes());
         bytes.extend_from_slice(&head);
         bytes.extend_from_slice(&self.body);
-        bytes.extend_from_slice(&news);
+        bytes.extend_from_slice(&gossip);
         Ok(bytes.into())
     }
 
@@ -140,9 +140,9 @@
         }
         let after_head = bytes.slice(2 + length..);
         let body_bytes = head.body_bytes as usize;
-        let news = after_head.get(body_bytes..).ok_or(MessageError::Unreadable)?;
-        let news = read_all(news)?;
-        Ok(State { head, body: after_head.slice(..body_bytes), news })
+        let gossip = after_head.get(body_bytes..).ok_or(MessageError::Unreadable)?;
+        let gossip = read_all(gossip)?;
+        Ok(StateMessage { head, body: after_head.slice(..body_bytes), gossip })
     }
 
     /// The changes in its body.
--- a/crates/direct/src/membership/replica.rs
+++ b/crates/direct/src/membership/replica.rs
@@ -33,13 +33,13 @@
 
 impl Replica {
     /// Starts anew with everything that was read at `position`.
-    pub fn restart(&mut self, entries: &[Fetched], position: Position) {
+    pub fn reset(&mut self, entries: &[Fetched], position: Position) {
         *self = Replica { start: position.revision, position, ..Replica::default() };
         entries.iter().for_each(|entry| self.hold(entry));
     }
 
     /// Takes changes in that lead to `position`, of the same era.
-    pub fn extend(&mut self, events: &[StoreEvent], position: Position) {
+    pub fn apply_changes(&mut self, events: &[StoreEvent], position: Position) {
         for event in events {
             match event {
                 StoreEvent::Written(entry) => self.hold(entry),
@@ -72,7 +72,7 @@
     ///
     /// Earlier changes of a key are left out: an asker that is behind by ten large configurations
     /// needs only the newest, and a slow link could not carry them all in time.
-    pub fn after(&self, position: Position) -> Option<Vec<KeyChange>> {
+    pub fn changes_after(&self, position: Position) -> Option<Vec<KeyChange>> {
         if position >= self.position {
             return Some(Vec::new());
         }
@@ -96,13 +96,16 @@
 
     /// The changes after `revision` as they are sent; `None` if only the whole state tells. They are
     /// packed once for all that ask for the same: a large configuration takes some 10 ms.
-    pub fn sent_after(&mut self, position: Position) -> Option<Result<Bytes, MessageError>> {
+    pub fn packed_changes_after(
+        &mut self,
+        position: Position,
+    ) -> Option<Result<Bytes, MessageError>> {
         if let Some((from, to, bytes)) = &self.sent
             && (*from, *to) == (position, self.position)
         {
             return Some(Ok(bytes.clone()));
         }
-        let packed = message::pack(&self.after(position)?);
+        let packed = message::pack(&self.changes_after(position)?);
         if let Ok(bytes) = &packed {
             self.sent = Some((position, self.position, bytes.clone()));
         }
@@ -111,7 +114,7 @@
 
     /// The whole state as it is sent. It is built once for each revision, since after a restart of
     /// all entries many ask for the same.
-    pub fn whole(&mut self) -> Result<Bytes, MessageError> {
+    pub fn packed_state(&mut self) -> Result<Bytes, MessageError> {
         if let Some((position, bytes)) = &self.whole
             && *position == self.position
         {
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -16,8 +16,8 @@
 };
 
 use super::{
-    FORMAT, Item, MessageError, NEWS_PATH, Need, PERMIT_PATH, PROBE_PATH, STATE_PATH, State,
-    StateHead, message::from_message,
+    FORMAT, GossipItem, MessageError, NEWS_PATH, PERMIT_PATH, PROBE_PATH, STATE_PATH, StateHead,
+    StateMessage, StateRequestKind, message::from_message,
 };
 use crate::{core::Core, journal::Rank, metrics::Counter};
 
@@ -38,7 +38,7 @@
     after: Position,
     /// What the answer that the asker heard last said of itself.
     heard: Option<Heard>,
-    need: Need,
+    need: StateRequestKind,
 }
 
 /// The life of the process that told it, its turn, and the end of its news.
@@ -62,13 +62,14 @@
 impl Asked {
     /// Reads the query of a question.
     fn parse(query: &str) -> Option<Self> {
-        let mut asked = Asked { after: Position::default(), heard: None, need: Need::Changes };
+        let mut asked =
+            Asked { after: Position::default(), heard: None, need: StateRequestKind::Changes };
         for pair in query.split('&') {
             match pair.split_once('=')? {
                 ("after", text) => asked.after = parse_position(text)?,
-                ("now", "1") => asked.need = Need::ChangesNow,
-                ("first", "wait") => asked.need = Need::FirstState,
-                ("first", "now") => asked.need = Need::FirstStateNow,
+                ("now", "1") => asked.need = StateRequestKind::ChangesNow,
+                ("first", "wait") => asked.need = StateRequestKind::FirstState,
+                ("first", "now") => asked.need = StateRequestKind::FirstStateNow,
                 ("heard", text) => asked.heard = Some(Heard::parse(text)?),
                 _ => return None,
             }
@@ -112,12 +113,12 @@
 async fn hear_news(core: &Core, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let body = Limited::new(request.into_body(), MAX_NEWS_BYTES).collect().await;
     let items = match body {
-        Ok(body) => from_message::<Vec<Item>>(&body.to_bytes(), core.settings.store.address),
+        Ok(body) => from_message::<Vec<GossipItem>>(&body.to_bytes(), core.settings.store.address),
         Err(_) => Err(MessageError::Unreadable),
     };
     match items {
         Ok(items) => {
-            core.hear_from_below(items);
+            core.receive_from_child(items);
             with_status(StatusCode::OK, Bytes::new())
         }
         Err(error) => {
@@ -172,7 +173,7 @@
         if has_news(core, asked) {
             return Some(state_after(core, asked));
         }
-        if matches!(asked.need, Need::ChangesNow | Need::FirstStateNow) {
+        if matches!(asked.need, StateRequestKind::ChangesNow | StateRequestKind::FirstStateNow) {
             return None;
         }
         let too_old_at = too_old_at(core);
@@ -206,9 +207,9 @@
         None => (true, false),
     };
     match asked.need {
-        Need::FirstState | Need::FirstStateNow => true,
+        StateRequestKind::FirstState | StateRequestKind::FirstStateNow => true,
         // NB: changes and news count whatever the age of the state, which is told with them.
-        Need::Changes | Need::ChangesNow => {
+        StateRequestKind::Changes | StateRequestKind::ChangesNow => {
             has_news || has_changes || is_confirmed_anew && is_young
         }
     }
@@ -218,16 +219,19 @@
     let summary = core.summary_of_ends();
     let mut state = core.state.borrow_mut();
     let changes = match asked.need {
-        Need::Changes | Need::ChangesNow => state.replica.sent_after(asked.after),
-        Need::FirstState | Need::FirstStateNow => None,
+        StateRequestKind::Changes | StateRequestKind::ChangesNow => {
+            state.replica.packed_changes_after(asked.after)
+        }
+        StateRequestKind::FirstState | StateRequestKind::FirstStateNow => None,
     };
     let whole = changes.is_none();
     let body = match changes {
         Some(changes) => changes?,
-        None => state.replica.whole()?,
+        None => state.replica.packed_state()?,
     };
     let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
-    let summary = if heard.is_none() { summary.map(|news| core.new_item(news)) } else { None };
+    let summary =
+        if heard.is_none() { summary.map(|news| core.new_gossip_item(news)) } else { None };
     let news = core.news.borrow();
     let mut unheard = news.since(heard.map_or(0, |heard| heard.news_end), core.clock.now());
     unheard.extend(summary);
@@ -247,7 +251,7 @@
         body_bytes: 0,
         news_end: news.end(),
     };
-    State { head, body, news: unheard }.to_bytes()
+    StateMessage { head, body, gossip: unheard }.to_bytes()
 }
 
 fn with_status(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
--- a/crates/direct/src/membership/tree.rs
+++ b/crates/direct/src/membership/tree.rs
@@ -15,15 +15,15 @@
 
 /// Where an entry stands in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum TreeRole {
     /// It asks the store.
     Root,
     /// It asks the entry at this place of the order.
-    Below(usize),
+    ChildOf(usize),
 }
 
 /// Roots among so many entries.
-pub fn roots(entries: usize) -> usize {
+pub fn root_count(entries: usize) -> usize {
     (1 + entries / ENTRIES_PER_ROOT).min(MOST_ROOTS)
 }
 
@@ -35,14 +35,14 @@
 
 /// The place of an entry that is `position`th of `entries`, in a tree, or without one below as
 /// many roots as there are sixteenths of the entries.
-pub fn place(position: usize, entries: usize, in_tree: bool) -> Place {
-    let roots = if in_tree { roots(entries) } else { 1 + entries / ENTRIES_PER_ROOT };
+pub fn tree_role(position: usize, entries: usize, in_tree: bool) -> TreeRole {
+    let roots = if in_tree { root_count(entries) } else { 1 + entries / ENTRIES_PER_ROOT };
     let branches = if in_tree { branches(entries, roots) } else { 0 };
     if position < roots {
-        Place::Root
+        TreeRole::Root
     } else if branches == 0 || position < roots + branches {
-        Place::Below((position - roots) % roots)
+        TreeRole::ChildOf((position - roots) % roots)
     } else {
-        Place::Below(roots + (position - roots - branches) % branches)
+        TreeRole::ChildOf(roots + (position - roots - branches) % branches)
     }
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -19,7 +19,8 @@
     core::Core,
     journal::Rank,
     membership::{
-        AskError, Item, MessageError, News, PERMIT_PATH, ask_question, from_message, to_message,
+        Gossip, GossipItem, MessageError, PERMIT_PATH, PeerError, from_message, query_peer,
+        to_message,
     },
     metrics::Counter,
 };
@@ -141,7 +142,7 @@
     /// It is this entry's turn.
     OwnTurn(Granter),
     /// None of them answered.
-    Unanswered(Option<AskError>),
+    Unanswered(Option<PeerError>),
 }
 
 impl Core {
@@ -198,7 +199,7 @@
     async fn decide_permit(
         &self,
         question: &PermitQuestion,
-    ) -> Result<PermitAnswer, Option<AskError>> {
+    ) -> Result<PermitAnswer, Option<PeerError>> {
         match self.walk_granters(question).await {
             Walk::Decided(answer) => Ok(answer),
             Walk::OwnTurn(granter) => Ok(self.grant_permit(question, granter)),
@@ -210,7 +211,7 @@
     async fn walk_granters(&self, question: &PermitQuestion) -> Walk {
         let order = self.roster.granting_order(u128::from(server_hash(&question.server)));
         // NB: an entry that is not listed yet may not know the others, which may grant the same.
-        let is_listed = self.roster.own_listed().is_some() || self.settings.peers.is_none();
+        let is_listed = self.roster.own_listing().is_some() || self.settings.peers.is_none();
         let mut error = None;
         let mut asked = 0;
         for (place, (_, address)) in order.into_iter().enumerate() {
@@ -245,10 +246,10 @@
         &self,
         address: SocketAddr,
         question: &PermitQuestion,
-    ) -> Result<PermitAnswer, AskError> {
-        let answer = ask_question(self, address, PERMIT_PATH, question);
+    ) -> Result<PermitAnswer, PeerError> {
+        let answer = query_peer(self, address, PERMIT_PATH, question);
         match question.is_passed_on {
-            true => timeout(PASSED_ON_LIMIT, answer).await.map_err(|_| AskError::Silent)?,
+            true => timeout(PASSED_ON_LIMIT, answer).await.map_err(|_| PeerError::Timeout)?,
             false => answer.await,
         }
     }
@@ -300,8 +301,8 @@
     }
 
     /// Another entry has heard of a server's rate limit, or that it names none any more.
-    pub fn hear_limit(&self, item: &Item) {
-        let News::Limited { fleet, server, life, limit } = &item.news else { return };
+    pub fn hear_limit(&self, item: &GossipItem) {
+        let Gossip::Limited { fleet, server, life, limit } = &item.news else { return };
         let at = self.clock.now().saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet.as_str());
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -15,7 +15,7 @@
     catalog::ServiceId,
     core::Core,
     foresight::engine_of,
-    membership::News,
+    membership::Gossip,
     metrics::{Counter, Timer},
     request::Job,
     state::State,
@@ -230,7 +230,7 @@
         if is_news {
             self.core.metrics.count(Counter::ServersDoubted);
             let (fleet, server) = (service.to_string(), self.ticket.server.clone());
-            self.core.tell_news(News::Unreached { fleet, server });
+            self.core.publish_gossip(Gossip::Unreached { fleet, server });
         }
     }
 
@@ -262,7 +262,7 @@
         drop(state);
         if let Some((life, limit)) = news {
             let (fleet, server) = (self.job.service.name.to_string(), self.ticket.server.clone());
-            self.core.tell_news(News::Limited { fleet, server, life, limit });
+            self.core.publish_gossip(Gossip::Limited { fleet, server, life, limit });
         }
         changes
     }
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -24,7 +24,7 @@
     content::content_text,
     core::Core,
     journal::Rank,
-    membership::News,
+    membership::Gossip,
     metrics::Counter,
     request::{Job, Refusal},
 };
@@ -82,9 +82,9 @@
     }
 
     /// What an entry that has heard nothing from this one is to know.
-    pub fn summary_of_ends(&self) -> Option<News> {
+    pub fn summary_of_ends(&self) -> Option<Gossip> {
         let ends = self.state.borrow().quarantine.weightiest(MOST_IN_SUMMARY, self.clock.now());
-        (!ends.is_empty()).then_some(News::Ended { ends })
+        (!ends.is_empty()).then_some(Gossip::Ended { ends })
     }
 
     /// The ends of contents that may not run freely, with the time since each.
--- a/crates/direct/src/quarantine/ask.rs
+++ b/crates/direct/src/quarantine/ask.rs
@@ -11,7 +11,7 @@
     content::content_text,
     core::Core,
     journal::Rank,
-    membership::{AskError, MessageError, PROBE_PATH, ask_question, from_message, to_message},
+    membership::{MessageError, PROBE_PATH, PeerError, from_message, query_peer, to_message},
     metrics::Counter,
     request::Job,
 };
@@ -93,7 +93,7 @@
         address: SocketAddr,
         content: Content,
         lease: Duration,
-    ) -> Result<ProbeAnswer, AskError> {
+    ) -> Result<ProbeAnswer, PeerError> {
         let ends = self.state.borrow().quarantine.ends_of(content, self.clock.now());
         self.exchange(address, &ProbeQuestion::Ask { content, lease, ends }).await
     }
@@ -110,8 +110,8 @@
         &self,
         address: SocketAddr,
         question: &ProbeQuestion,
-    ) -> Result<ProbeAnswer, AskError> {
-        ask_question(self, address, PROBE_PATH, question).await
+    ) -> Result<ProbeAnswer, PeerError> {
+        query_peer(self, address, PROBE_PATH, question).await
     }
 
     /// Answers another entry's question.
--- a/crates/direct/src/quarantine/good.rs
+++ b/crates/direct/src/quarantine/good.rs
@@ -5,7 +5,7 @@
 use pondwalk_decide::direct::{Content, Standing};
 use tokio::{sync::Notify, time::sleep};
 
-use crate::{core::Core, membership::News, request::Job};
+use crate::{core::Core, membership::Gossip, request::Job};
 
 /// Ends of servers from which others are told that a content is cleared of them. A single one holds
 /// nothing; where many servers end it would double the messages, some two hundred on a day with trouble.
@@ -27,7 +27,7 @@
     // NB: many entries may know; the first one's word reaches the others while they wait.
     loop {
         core.held_though_good.filled.notified().await;
-        sleep(SPEAK_INTERVAL * core.roster.spread(SPEAKERS) as u32).await;
+        sleep(SPEAK_INTERVAL * core.roster.hash_slot(SPEAKERS) as u32).await;
         for content in core.held_though_good.contents.take() {
             if core.is_held_though_good(content) {
                 core.clear(content);
@@ -65,7 +65,7 @@
         let ends = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
         if ends >= TOLD_FROM {
             self.note_cleared(content, ends, &self.settings.name);
-            self.tell_news(News::Cleared { content });
+            self.publish_gossip(Gossip::Cleared { content });
         }
     }
 }
--- a/crates/direct/src/quarantine/seen.rs
+++ b/crates/direct/src/quarantine/seen.rs
@@ -16,7 +16,7 @@
 
 use super::{AgedEnd, QuarantineEvent};
 use crate::{
-    catalog::ServiceId, core::Core, journal::Rank, membership::News, metrics::Counter,
+    catalog::ServiceId, core::Core, journal::Rank, membership::Gossip, metrics::Counter,
     placement::Placement, request::Job, state::State,
 };
 
@@ -184,7 +184,7 @@
         self.metrics.count_many(Counter::EndsNotTold, untold);
         told.truncate(MOST_TOLD);
         for ends in told.chunks(MOST_IN_ITEM) {
-            self.tell_news(News::Ended { ends: ends.to_vec() });
+            self.publish_gossip(Gossip::Ended { ends: ends.to_vec() });
         }
     }
 
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -24,7 +24,7 @@
     core::Core,
     facts::{Port, ReportError, UsageReport},
     journal::Rank,
-    membership::{Item, News, Source},
+    membership::{ChangeSource, Gossip, GossipItem},
     metrics::{Counter, StoreCause},
 };
 
@@ -182,7 +182,13 @@
     }
 
     /// An entry told what it has counted.
-    pub fn hear_used(&self, item: &Item, window: WindowId, counts: &UsageCounts, told_ms: u64) {
+    pub fn hear_used(
+        &self,
+        item: &GossipItem,
+        window: WindowId,
+        counts: &UsageCounts,
+        told_ms: u64,
+    ) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut time = usage.time.borrow_mut();
@@ -237,7 +243,7 @@
         let untold = meter.take_untold();
         drop(meter);
         for (window, counts) in untold {
-            self.tell_news(News::Used { window, counts, unix_ms });
+            self.publish_gossip(Gossip::Used { window, counts, unix_ms });
         }
     }
 }
@@ -300,7 +306,7 @@
         usage.informed_since.set(Some(now));
     }
     // NB: an entry that asks others hears too late who was first.
-    if matches!(core.source(), Source::Entry { .. }) || usage.is_foreign.get() {
+    if matches!(core.source(), ChangeSource::Entry { .. }) || usage.is_foreign.get() {
         return None;
     }
     if core.outage().is_some() || core.state.borrow().catalog.is_none() {
--- a/crates/direct/tests/acts_as_one.rs
+++ b/crates/direct/tests/acts_as_one.rs
@@ -13,7 +13,7 @@
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::{
     Entry,
-    membership::{FAN_OUT, Place, Roster, State, place, roots},
+    membership::{FAN_OUT, Members, StateMessage, TreeRole, root_count, tree_role},
 };
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use quickcheck::{Gen, QuickCheck};
@@ -320,7 +320,7 @@
         let mut left: Vec<usize> = (0..entries.len()).collect();
         for _ in 0..20 {
             let among: Vec<&str> = left.iter().map(|n| names[*n]).collect();
-            let first = left.remove(Roster::first_of(&among));
+            let first = left.remove(Members::first_in_order(&among));
             world.cut_store_for(&entries[first], Weather::Refused);
         }
         sleep(Duration::from_secs(6)).await;
@@ -360,7 +360,7 @@
         let entries = net.start_many(&world, 20, "");
         sleep(Duration::from_secs(5)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let first = Roster::first_of(&names);
+        let first = Members::first_in_order(&names);
         world.cut_store_for(&entries[first], Weather::Silent(Duration::from_secs(60)));
         net.end(first as u16);
         sleep(Duration::from_secs(5)).await;
@@ -407,7 +407,7 @@
         for position in 0..entries {
             let mut at = position;
             let mut steps = 0;
-            while let Place::Below(above) = place(at, entries, true) {
+            while let TreeRole::ChildOf(above) = tree_role(at, entries, true) {
                 if steps == 0 {
                     askers[above] += 1;
                 }
@@ -417,12 +417,12 @@
                 at = above;
                 steps += 1;
             }
-            if at >= roots(entries) {
+            if at >= root_count(entries) {
                 return false;
             }
         }
         let most = askers.iter().copied().max().unwrap_or(0);
-        roots(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
+        root_count(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(2_000, 8)).tests(500);
     checks.quickcheck(holds as fn(u16) -> bool);
@@ -455,7 +455,7 @@
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let root = Roster::first_of(&names);
+        let root = Members::first_in_order(&names);
         world.cut_store_for(&entries[root], Weather::Refused);
         sleep(Duration::from_millis(1_100)).await;
         world.store.remove("server/s1");
@@ -469,7 +469,7 @@
 }
 
 /// Answers each question with the next of these states, and all further ones with the last.
-fn telling(states: Vec<State>) -> Impostor {
+fn telling(states: Vec<StateMessage>) -> Impostor {
     Rc::new(move |mut stream| {
         let states = states.clone();
         spawn_local(async move {
@@ -514,7 +514,7 @@
         let entries = net.start_many(&world, 12, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let root = Roster::first_of(&names);
+        let root = Members::first_in_order(&names);
         let alone = if root == 0 { 1 } else { 0 };
         world.cut_store_for(&entries[alone], Weather::Refused);
         net.cut.borrow_mut().extend((0..12).map(peer_address));
--- a/crates/direct/tests/asks_other_entries.rs
+++ b/crates/direct/tests/asks_other_entries.rs
@@ -10,7 +10,7 @@
     net::{Net, peer_address},
     play, request, with,
 };
-use pondwalk_direct::{Entry, membership::Roster};
+use pondwalk_direct::{Entry, membership::Members};
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use tokio::time::sleep;
 
@@ -76,7 +76,7 @@
         play(|world| async move {
             let net = Net::default();
             let entries = with_entries(&world, &net, 4).await;
-            let source = Roster::first_of(&["e0", "e1", "e2", "e3"]);
+            let source = Members::first_in_order(&["e0", "e1", "e2", "e3"]);
             world.cut_store_for(&entries[source], weather);
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(Duration::from_millis(1_900)).await;
@@ -113,7 +113,7 @@
     play(|world| async move {
         let net = Net::default();
         let entries = with_entries(&world, &net, 4).await;
-        let source = Roster::first_of(&["e0", "e1", "e2", "e3"]);
+        let source = Members::first_in_order(&["e0", "e1", "e2", "e3"]);
         net.cut.borrow_mut().push(peer_address(source as u16));
         // NB: kept connections stay open; those that are new hang.
         sleep(Duration::from_secs(10)).await;
@@ -201,7 +201,7 @@
         let net = Net::default();
         let entries = with_entries(&world, &net, 14).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let source = Roster::first_of(&names);
+        let source = Members::first_in_order(&names);
         world.cut_store_for(&entries[source], Weather::Refused);
         net.cut.borrow_mut().extend((0..14).map(peer_address));
         world.configure(catalog_with_keys(2, &["k1"]));
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -13,7 +13,7 @@
 
 use pondwalk_direct::{
     Entry,
-    membership::{FORMAT, Replica, State, StateHead},
+    membership::{FORMAT, Replica, StateHead, StateMessage},
     upstream::{BoxedDuplex, Connect, Opening},
 };
 use pondwalk_store::{Fetched, Position};
@@ -31,7 +31,7 @@
 }
 
 /// A whole state with these keys, all last changed at its revision, as another entry of these tests tells it.
-pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> State {
+pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> StateMessage {
     let entry = |(key, value): &(&str, &str)| Fetched {
         key: (*key).to_owned(),
         value: value.as_bytes().to_vec(),
@@ -39,7 +39,7 @@
     };
     let mut replica = Replica::default();
     let position = Position { era: 0, revision };
-    replica.restart(&keys.iter().map(entry).collect::<Vec<_>>(), position);
+    replica.reset(&keys.iter().map(entry).collect::<Vec<_>>(), position);
     let head = StateHead {
         format: FORMAT,
         store: "127.0.0.1:3".parse().expect("the store of these tests"),
@@ -54,7 +54,7 @@
         body_bytes: 0,
         news_end: 0,
     };
-    State { head, body: replica.whole().expect("it packs"), news: Vec::new() }
+    StateMessage { head, body: replica.packed_state().expect("it packs"), gossip: Vec::new() }
 }
 
 /// Addresses of the first three entries, by which others find them.
--- a/crates/direct/tests/membership_messages.rs
+++ b/crates/direct/tests/membership_messages.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use pondwalk_direct::membership::{
-    ClockOffset, FORMAT, KeyChange, MessageError, Replica, State, StateHead,
+    ClockOffset, FORMAT, KeyChange, MessageError, Replica, StateHead, StateMessage,
 };
 use pondwalk_store::{Fetched, Position, StoreEvent};
 use quickcheck::{Gen, QuickCheck};
@@ -46,22 +46,27 @@
     }
 }
 
-fn whole_state() -> State {
+fn whole_state() -> StateMessage {
     let mut replica = Replica::default();
     let entries: Vec<Fetched> = (0..300).map(|n| fetched(&format!("servers/{n}"), n)).collect();
-    replica.restart(&entries, at(300));
-    State { head: head(300), body: replica.whole().expect("it packs"), news: Vec::new() }
+    replica.reset(&entries, at(300));
+    StateMessage {
+        head: head(300),
+        body: replica.packed_state().expect("it packs"),
+        gossip: Vec::new(),
+    }
 }
 
 #[test]
 fn a_replica_tells_only_the_last_of_many_changes_of_a_key() {
     let mut replica = Replica::default();
-    replica.restart(&[], at(10));
-    replica.extend(&[written("a", 11)], at(11));
-    (12..60)
-        .for_each(|revision| replica.extend(&[written("configuration", revision)], at(revision)));
-    replica.extend(&[written("b", 60), removed("a", 61)], at(61));
-    let changes = replica.after(at(10)).expect("all are remembered");
+    replica.reset(&[], at(10));
+    replica.apply_changes(&[written("a", 11)], at(11));
+    (12..60).for_each(|revision| {
+        replica.apply_changes(&[written("configuration", revision)], at(revision))
+    });
+    replica.apply_changes(&[written("b", 60), removed("a", 61)], at(61));
+    let changes = replica.changes_after(at(10)).expect("all are remembered");
     let told: Vec<_> = changes.iter().map(|change| (&*change.key, change.revision)).collect();
     assert_eq!(told, [("configuration", 59), ("b", 60), ("a", 61)]);
     assert!(changes[2].value.is_none());
@@ -70,11 +75,11 @@
 #[test]
 fn a_replica_tells_all_changes_after_a_revision_or_that_it_cannot() {
     let mut replica = Replica::default();
-    replica.restart(&[fetched("old", 3)], at(10));
-    replica.extend(&[written("a", 11), removed("b", 13)], at(13));
-    replica.extend(&[written("c", 15)], at(15));
+    replica.reset(&[fetched("old", 3)], at(10));
+    replica.apply_changes(&[written("a", 11), removed("b", 13)], at(13));
+    replica.apply_changes(&[written("c", 15)], at(15));
     let keys = |replica: &Replica, after| {
-        let changes = replica.after(at(after))?;
+        let changes = replica.changes_after(at(after))?;
         Some(changes.into_iter().map(|change| change.key).collect::<Vec<_>>())
     };
     assert_eq!(keys(&replica, 9), None, "removals before the start are not known");
@@ -82,7 +87,7 @@
     assert_eq!(keys(&replica, 11).expect("newer"), ["b", "c"]);
     assert_eq!(keys(&replica, 15).expect("none"), Vec::<String>::new());
     for number in 0..2_000 {
-        replica.extend(&[removed(&format!("x{number}"), 16 + number)], at(16 + number));
+        replica.apply_changes(&[removed(&format!("x{number}"), 16 + number)], at(16 + number));
     }
     assert_eq!(keys(&replica, 15), None, "what was pushed out is not told as if it were whole");
     assert_eq!(keys(&replica, 2_000).map(|keys| keys.len()), Some(15));
@@ -91,9 +96,10 @@
 #[test]
 fn a_replica_tells_only_the_whole_state_to_one_of_an_earlier_era() {
     let mut replica = Replica::default();
-    replica.restart(&[fetched("a", 8)], Position { era: 1, revision: 8 });
-    replica.extend(&[written("b", 9)], Position { era: 1, revision: 9 });
-    let after = |era, revision| replica.after(Position { era, revision }).map(|told| told.len());
+    replica.reset(&[fetched("a", 8)], Position { era: 1, revision: 8 });
+    replica.apply_changes(&[written("b", 9)], Position { era: 1, revision: 9 });
+    let after =
+        |era, revision| replica.changes_after(Position { era, revision }).map(|told| told.len());
     for revision in [0, 8, 9, 50] {
         assert_eq!(after(0, revision), None, "revision {revision} of the era before");
         assert_eq!(after(2, revision), Some(0), "revision {revision} of a later era");
@@ -104,9 +110,9 @@
 #[test]
 fn a_key_that_was_removed_and_written_again_is_told_as_written() {
     let mut replica = Replica::default();
-    replica.restart(&[fetched("a", 3)], at(10));
-    replica.extend(&[removed("a", 11), written("a", 12)], at(12));
-    let changes = replica.after(at(10)).expect("all");
+    replica.reset(&[fetched("a", 3)], at(10));
+    replica.apply_changes(&[removed("a", 11), written("a", 12)], at(12));
+    let changes = replica.changes_after(at(10)).expect("all");
     assert_eq!(changes.len(), 1);
     assert!(changes[0].value.is_some());
 }
@@ -123,10 +129,10 @@
                 true => written(&key, revision),
                 false => removed(&key, revision),
             };
-            source.extend(std::slice::from_ref(&event), at(revision));
+            source.apply_changes(std::slice::from_ref(&event), at(revision));
             // NB: the hearer asks now and then only.
             if number % 3 == 0 {
-                let Some(changes) = source.after(hearer.position()) else { return false };
+                let Some(changes) = source.changes_after(hearer.position()) else { return false };
                 let events: Vec<StoreEvent> =
                     changes.into_iter().map(KeyChange::into_event).collect();
                 for event in &events {
@@ -139,8 +145,8 @@
                         }
                     }
                 }
-                hearer.extend(&events, at(revision));
-                let all = source.after(at(0)).expect("nothing was pushed out");
+                hearer.apply_changes(&events, at(revision));
+                let all = source.changes_after(at(0)).expect("nothing was pushed out");
                 let written = all.into_iter().filter(|change| change.value.is_some());
                 let expected: std::collections::BTreeMap<String, u64> =
                     written.map(|change| (change.key, change.revision)).collect();
@@ -160,7 +166,7 @@
     let state = whole_state();
     let bytes = state.to_bytes().expect("it serializes");
     assert!(bytes.len() < 8_000, "300 servers pack to {} bytes", bytes.len());
-    let read = State::from_bytes(&bytes, STORE).expect("it is read");
+    let read = StateMessage::from_bytes(&bytes, STORE).expect("it is read");
     assert_eq!((&read.body, read.head.turn), (&state.body, state.head.turn));
     let changes = read.changes().expect("it unpacks");
     assert_eq!(changes.len(), 300);
@@ -169,32 +175,33 @@
 
 #[test]
 fn states_of_other_formats_and_stores_are_refused() {
-    let foreign = State {
+    let foreign = StateMessage {
         head: StateHead { format: FORMAT + 1, ..head(1) },
         body: Bytes::new(),
-        news: Vec::new(),
+        gossip: Vec::new(),
     };
     let bytes = foreign.to_bytes().expect("it serializes");
-    assert_eq!(State::from_bytes(&bytes, STORE), Err(MessageError::OtherFormat(FORMAT + 1)));
+    assert_eq!(StateMessage::from_bytes(&bytes, STORE), Err(MessageError::OtherFormat(FORMAT + 1)));
     let bytes = whole_state().to_bytes().expect("it serializes");
     let other: SocketAddr = "127.0.0.1:4".parse().expect("an address");
-    assert_eq!(State::from_bytes(&bytes, other), Err(MessageError::OtherStore(STORE)));
+    assert_eq!(StateMessage::from_bytes(&bytes, other), Err(MessageError::OtherStore(STORE)));
 }
 
 #[test]
 fn a_state_confirmed_after_it_was_told_is_refused() {
     let lying = StateHead { confirmed: Duration::from_secs(9), ..head(1) };
-    let bytes = State { head: lying, body: Bytes::new(), news: Vec::new() }
+    let bytes = StateMessage { head: lying, body: Bytes::new(), gossip: Vec::new() }
         .to_bytes()
         .expect("it serializes");
-    assert_eq!(State::from_bytes(&bytes, STORE), Err(MessageError::Contradictory));
+    assert_eq!(StateMessage::from_bytes(&bytes, STORE), Err(MessageError::Contradictory));
 }
 
 #[test]
 fn a_state_that_is_cut_or_altered_anywhere_is_refused_and_never_misread() {
     let whole = whole_state();
     let bytes = whole.to_bytes().expect("it serializes");
-    let read = |bytes: &Bytes| State::from_bytes(bytes, STORE).and_then(|state| state.changes());
+    let read =
+        |bytes: &Bytes| StateMessage::from_bytes(bytes, STORE).and_then(|state| state.changes());
     let expected = whole.changes().expect("it unpacks");
     for length in 0..bytes.len() {
         let cut = bytes.slice(..length);
@@ -213,8 +220,12 @@
 fn a_state_that_unpacks_to_more_than_is_borne_is_refused() {
     let mut replica = Replica::default();
     let large = Fetched { key: "a".to_owned(), value: vec![0; 20 * 1024 * 1024], revision: 1 };
-    replica.restart(&[large], at(1));
-    let state = State { head: head(1), body: replica.whole().expect("it packs"), news: Vec::new() };
+    replica.reset(&[large], at(1));
+    let state = StateMessage {
+        head: head(1),
+        body: replica.packed_state().expect("it packs"),
+        gossip: Vec::new(),
+    };
     assert!(state.body.len() < 100_000);
     assert_eq!(state.changes(), Err(MessageError::Unreadable));
 }
@@ -233,9 +244,9 @@
             let answered = sent + u64::from(there) + u64::from(held);
             // The other clock is behind by the offset.
             let said = answered - offset;
-            clock.note(1, ms(sent), ms(said));
+            clock.record(1, ms(sent), ms(said));
             let confirmed = answered - u64::from(held) / 2;
-            let own = clock.own_time(ms(confirmed - offset)).expect("it was read");
+            let own = clock.local_time(ms(confirmed - offset)).expect("it was read");
             if own > ms(confirmed) {
                 return false;
             }
@@ -251,14 +262,14 @@
 fn held_answers_are_dated_by_the_quickest_exchange_and_a_new_life_starts_anew() {
     let ms = Duration::from_millis;
     let mut clock = ClockOffset::default();
-    clock.note(1, ms(10_000), ms(500));
-    assert_eq!(clock.own_time(ms(500)), Some(ms(10_000)));
+    clock.record(1, ms(10_000), ms(500));
+    assert_eq!(clock.local_time(ms(500)), Some(ms(10_000)));
     // Held for 800 ms; nothing is lost by it.
-    clock.note(1, ms(10_005), ms(1_305));
-    assert_eq!(clock.own_time(ms(1_300)), Some(ms(10_800)));
-    clock.note(2, ms(10_900), ms(40));
-    assert_eq!(clock.own_time(ms(40)), Some(ms(10_900)));
+    clock.record(1, ms(10_005), ms(1_305));
+    assert_eq!(clock.local_time(ms(1_300)), Some(ms(10_800)));
+    clock.record(2, ms(10_900), ms(40));
+    assert_eq!(clock.local_time(ms(40)), Some(ms(10_900)));
     // After a minute, a reading is due again: clocks do not run quite alike.
-    clock.note(2, ms(80_000), ms(70_000));
-    assert_eq!(clock.own_time(ms(70_000)), Some(ms(80_000)));
+    clock.record(2, ms(80_000), ms(70_000));
+    assert_eq!(clock.local_time(ms(70_000)), Some(ms(80_000)));
 }
--- a/crates/direct/tests/store_restored.rs
+++ b/crates/direct/tests/store_restored.rs
@@ -8,7 +8,7 @@
 use common::{
     World, address, catalog, catalog_with_keys, lethal, net::Net, play, request, total, with,
 };
-use pondwalk_direct::{Entry, membership::Roster};
+use pondwalk_direct::{Entry, membership::Members};
 use pondwalk_standin::{
     backends::Act,
     memory_store::{StoreCopy, Weather},
@@ -507,7 +507,7 @@
         let net = Net::default();
         let entries = start(&world, &net, 5).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let root = Roster::first_of(&names);
+        let root = Members::first_in_order(&names);
         let copy = world.store.copy();
         write_what_is_lost(&world);
         sleep(IN_FORCE).await;
