--- a/crates/direct/src/follow/learn.rs
+++ b/crates/direct/src/follow/learn.rs
@@ -48,7 +48,7 @@
                 None
             }
         };
-        if self.core.members.learn(name, listing) {
+        if self.core.members.update(name, listing) {
             self.core.update_bound_shares();
         }
     }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -23,7 +23,7 @@
     coordinator::Coordinator,
     core::Core,
     event_log::LogPriority,
-    membership::{Item, News, Source},
+    membership::{ChangeSource, Gossip, GossipItem},
     metrics::{Counter, StoreCause},
     port::{Port, ReportError, UsageReport},
 };
@@ -184,7 +184,7 @@
     /// An entry told what it has counted.
     pub fn receive_usage_counts(
         &self,
-        item: &Item,
+        item: &GossipItem,
         window: WindowId,
         counts: &UsageCounts,
         told_ms: u64,
@@ -243,7 +243,7 @@
         let untold = meter.take_untold();
         drop(meter);
         for (window, counts) in untold {
-            self.tell_news(News::Used { window, counts, unix_ms });
+            self.publish_gossip(Gossip::Used { window, counts, unix_ms });
         }
     }
 }
@@ -306,7 +306,7 @@
         usage.informed_since.set(Some(now));
     }
     // NB: an entry that asks others hears too late who was first.
-    if matches!(core.source(), Source::Entry { .. }) || usage.is_foreign.get() {
+    if matches!(core.source(), ChangeSource::Entry { .. }) || usage.is_foreign.get() {
         return None;
     }
     if core.outage().is_some() || core.state.borrow().catalog.is_none() {
