--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -185,7 +185,7 @@
                 .map(|spec| spec.state);
             state == Some(VersionState::Withdrawn)
         };
-        let out = lock(&self.queue).withdraw_where(withdrawn);
+        let out = lock(&self.queue).cancel_where(withdrawn);
         drop(runs);
         for run in out {
             let version = lock(&self.runs).remove(&run).map(|waiting| waiting.version());
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use pondwalk_decide::{Admission, Admitted, QueuedWork};
+use pondwalk_decide::{Admission, Dispatch, QueuedWork};
 use pondwalk_threads::lock;
 use pondwalk_types::{Incarnation, LONGEST_BACKOFF, Refusal, VersionId};
 use pondwalk_wire::{FrameKind, RunKey, StartRequest};
@@ -53,7 +53,7 @@
     let stage = lock(&core.runs).take(&run);
     match stage {
         Some(Stage::Waiting(_)) => {
-            lock(&core.queue).withdraw(&run);
+            lock(&core.queue).cancel(&run);
         }
         Some(Stage::Running { task, .. }) => {
             task.abort();
@@ -116,7 +116,7 @@
             core.count("runs.asked_backoff");
             let backoff_ms = asked.as_millis() as u64;
             spdlog::warn!("the backend server asked for a pause", kv: { backoff_ms });
-            lock(&core.queue).pause(core.now(), asked);
+            lock(&core.queue).back_off(core.now(), asked);
             let retry_after_ms = asked.min(LONGEST_BACKOFF).as_millis() as u64;
             FrameKind::NotRun(Refusal::Overloaded { retry_after_ms })
         }
@@ -132,7 +132,7 @@
 fn next(core: &Arc<Core>) {
     let mut admitted = core.admission().finish(core.now());
     loop {
-        let Admitted { start: first, shed } = admitted;
+        let Dispatch { start: first, shed } = admitted;
         for (run, refusal) in shed {
             give_up(core, run, refusal);
         }
@@ -140,13 +140,13 @@
             return;
         };
         start(core, run);
-        admitted = core.admission().admit(core.now());
+        admitted = core.admission().dispatch_next(core.now());
     }
 }
 
 /// Sheds waiting runs whose deadline has passed.
 pub fn shed_late(core: &Arc<Core>) {
-    let admitted = core.admission().admit(core.now());
+    let admitted = core.admission().dispatch_next(core.now());
     for (run, refusal) in admitted.shed {
         give_up(core, run, refusal);
     }
--- a/crates/agent/src/trials.rs
+++ b/crates/agent/src/trials.rs
@@ -35,14 +35,14 @@
         if matches!(trial.stage(), TrialStage::Tripped(_)) {
             return Err(Refusal::VersionWithdrawn(version.clone()));
         }
-        trial.start();
+        trial.record_start();
         Ok(())
     }
 
     /// Takes back a run that was not admitted after all.
     pub fn never_ran(&mut self, version: &VersionId) {
         if let Some((_, trial)) = self.trials.get_mut(version) {
-            trial.never_ran();
+            trial.record_not_run();
         }
     }
 
@@ -50,7 +50,7 @@
     pub fn ended(&mut self, now: Duration, version: &VersionId, failed: bool) {
         const OLD_FAILURE_RATE: f64 = 0.01;
         if let Some((_, trial)) = self.trials.get_mut(version) {
-            trial.ended(now, failed, OLD_FAILURE_RATE);
+            trial.record_end(now, failed, OLD_FAILURE_RATE);
         }
     }
 
@@ -59,10 +59,10 @@
         if let Some((replaces, trial)) = self.trials.get_mut(&report.version) {
             let key = (replaces.clone(), report.task.clone());
             let baseline = self.baselines.get(&key).copied().unwrap_or_default();
-            trial.rate(now, report.quality, baseline.reference());
+            trial.record_rating(now, report.quality, baseline.reference());
         }
         let others = self.trials.iter_mut().filter(|(version, _)| **version != report.version);
-        others.for_each(|(_, (_, trial))| trial.others_rated());
+        others.for_each(|(_, (_, trial))| trial.record_other_rating());
         let key = (report.version.clone(), report.task.clone());
         self.baselines.entry(key).or_default().add(report.quality);
     }
--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -6,7 +6,7 @@
 use std::{hint::black_box, time::Duration};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use pondwalk_decide::{Finished, Request, Router, ServerReport};
+use pondwalk_decide::{FinishedRun, Request, Router, ServerReport};
 use pondwalk_types::{Policy, Price, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -57,7 +57,7 @@
                 slots: 16,
                 load: Some(3),
             };
-            router.server_seen(Duration::ZERO, &report);
+            router.update_server(Duration::ZERO, &report);
         }
         let names = (0..WORKSPACES * TASKS)
             .map(|n| (format!("workspace{}", n % WORKSPACES), format!("task{}", n % TASKS)));
@@ -94,11 +94,15 @@
             self.router.abandon(&mut flight, 0.0);
             return;
         }
-        let service = Duration::from_millis(500);
-        self.router.finished(now, &mut flight, Finished { output_tokens: 100, service });
+        let service_time = Duration::from_millis(500);
+        self.router.on_run_finished(
+            now,
+            &mut flight,
+            FinishedRun { output_tokens: 100, service_time },
+        );
         let quality = (self.next % 100) as f64 / 100.0;
         let rating = Some((quality, Duration::from_millis(100)));
-        self.router.judged(now, &mut self.rng, &mut flight, rating);
+        self.router.on_rating(now, &mut self.rng, &mut flight, rating);
         self.router.abandon(&mut flight, 0.0);
     }
 }
--- a/crates/decide/examples/trial_figures.rs
+++ b/crates/decide/examples/trial_figures.rs
@@ -22,8 +22,8 @@
     let mut trial = Trial::default();
     for count in 1..=RATINGS {
         baseline.add(rating(rng, MEAN));
-        trial.start();
-        trial.rate(Duration::ZERO, rating(rng, mean), baseline.reference());
+        trial.record_start();
+        trial.record_rating(Duration::ZERO, rating(rng, mean), baseline.reference());
         if trial.tripped_at().is_some() {
             return Some(count);
         }
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -46,7 +46,7 @@
 
 /// What happens when a slot becomes free.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Admitted<T> {
+pub struct Dispatch<T> {
     /// The request that takes the slot, if any waits.
     pub start: Option<T>,
     /// Requests that can no longer be on time; they have not run.
@@ -133,7 +133,7 @@
     }
 
     /// The server asked to be sent nothing for a while. A later, shorter word does not shorten an earlier one.
-    pub fn pause(&mut self, now: Duration, asked: Duration) {
+    pub fn back_off(&mut self, now: Duration, asked: Duration) {
         self.paused_until = self.paused_until.max(now + asked.min(LONGEST_BACKOFF));
     }
 
@@ -152,14 +152,14 @@
     }
 
     /// A running request ended; the next one may start.
-    pub fn finish(&mut self, now: Duration) -> Admitted<T> {
+    pub fn finish(&mut self, now: Duration) -> Dispatch<T> {
         self.running = self.running.saturating_sub(1);
-        self.admit(now)
+        self.dispatch_next(now)
     }
 
     /// Starts the next waiting request if a slot is free, and sheds what is late.
-    pub fn admit(&mut self, now: Duration) -> Admitted<T> {
-        let mut admitted = Admitted { start: None, shed: self.shed_late(now) };
+    pub fn dispatch_next(&mut self, now: Duration) -> Dispatch<T> {
+        let mut admitted = Dispatch { start: None, shed: self.shed_late(now) };
         if self.running >= self.slots || now < self.paused_until {
             return admitted;
         }
@@ -174,14 +174,14 @@
     }
 
     /// Takes a waiting request out; true if it was there, so that it has not run.
-    pub fn withdraw(&mut self, ticket: &T) -> bool {
+    pub fn cancel(&mut self, ticket: &T) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.work.ticket != *ticket);
         self.waiting.len() < before
     }
 
     /// Takes out all waiting requests for which `leaves` holds; none of them has run.
-    pub fn withdraw_where(&mut self, leaves: impl Fn(&T) -> bool) -> Vec<T> {
+    pub fn cancel_where(&mut self, leaves: impl Fn(&T) -> bool) -> Vec<T> {
         let (out, stay) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| leaves(&w.work.ticket));
         self.waiting = stay;
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -16,12 +16,12 @@
 
 impl RetryBudget {
     /// Notes a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(RETRY_SAVINGS);
     }
 
     /// Takes one retry out, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/decide/src/flight.rs
+++ b/crates/decide/src/flight.rs
@@ -8,7 +8,7 @@
 
 /// One request under way. The caller keeps it and hands it back with each event.
 #[derive(Debug, Clone)]
-pub struct Flight {
+pub struct InFlightRequest {
     pub(crate) workspace: WorkspaceIx,
     pub(crate) task: TaskIx,
     /// Absent where the task has no quality target, as for plain services.
@@ -31,7 +31,7 @@
     pub(crate) refusals: usize,
     pub(crate) run: Option<Run>,
     /// Whether the newest run started with no answer in hand and nothing to wait for.
-    pub(crate) shown_at_once: bool,
+    pub(crate) is_pass_through: bool,
     pub(crate) answer: Option<Answer>,
     /// The rated answer that was in hand before it.
     pub(crate) former: Option<Answer>,
@@ -62,7 +62,7 @@
 
 /// What is kept of a delivered answer until its rating comes.
 #[derive(Debug, Clone, Copy)]
-pub struct Receipt {
+pub struct DeliveredAnswer {
     pub(crate) workspace: WorkspaceIx,
     pub(crate) task: TaskIx,
     pub(crate) target: Option<TaskPolicy>,
@@ -71,7 +71,7 @@
     pub(crate) rated: bool,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Whether its session had to start anew because its version was withdrawn.
     pub fn session_restarted(&self) -> bool {
         self.session_restarted
@@ -83,17 +83,17 @@
     }
 
     /// Number of runs started.
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.tried.len()
     }
 
     /// Whether the answer in hand came from the first run and was not to be held.
-    pub fn shown_at_once(&self) -> bool {
-        self.shown_at_once
+    pub fn is_pass_through(&self) -> bool {
+        self.is_pass_through
     }
 
     /// Number of the run whose answer is to be delivered, from zero, if one is in hand.
-    pub fn answer_run(&self) -> Option<usize> {
+    pub fn answer_run_index(&self) -> Option<usize> {
         self.answer.map(|answer| answer.run)
     }
 
@@ -106,7 +106,7 @@
     }
 }
 
-impl Receipt {
+impl DeliveredAnswer {
     /// Whether the answer's rating is already known.
     pub fn is_rated(&self) -> bool {
         self.rated
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -27,9 +27,9 @@
 mod trial;
 pub mod tuning;
 
-pub use admission::{Admission, AdmissionQueue, Admitted, QueuedWork};
+pub use admission::{Admission, AdmissionQueue, Dispatch, QueuedWork};
 pub use budget::{RetryBudget, SpendBudget};
-pub use flight::{Flight, Receipt};
-pub use request::{Finished, Next, Request, ServerReport, Step};
+pub use flight::{DeliveredAnswer, InFlightRequest};
+pub use request::{FinishedRun, NextAction, PlannedRun, Request, ServerReport};
 pub use router::{Router, RouterCounters};
-pub use trial::{Baseline, Reference, Trial, TrialStage, Trip};
+pub use trial::{Baseline, Reference, Trial, TrialStage, TripCause};
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::{
     account::{Account, SlackLevel},
     estimate::Estimates,
-    flight::Flight,
+    flight::InFlightRequest,
     intern::{TaskIx, VersionIx},
     tuning::{DELIVERY_MARGIN, FIRST_TOKEN_BOUND, FRONTIER_LIMIT, HOLD_PENALTY, LATE_PENALTY},
 };
@@ -102,7 +102,7 @@
 
 impl Planner<'_> {
     /// The best first run of a request that is not bound to a version.
-    pub fn first(&self, flight: &Flight, now: Duration) -> Option<Choice> {
+    pub fn first(&self, flight: &InFlightRequest, now: Duration) -> Option<Choice> {
         let stakes = self.stakes(flight);
         let mut frontier = self.frontier(flight, now, &flight.tried);
         if frontier.is_empty() {
@@ -120,7 +120,7 @@
     }
 
     /// The run worth making after an answer that missed its target, if any is.
-    pub fn rescue(&self, flight: &Flight, now: Duration) -> Option<Choice> {
+    pub fn rescue(&self, flight: &InFlightRequest, now: Duration) -> Option<Choice> {
         let poor = flight.answer?.version;
         let target = flight.target?;
         let stakes = self.stakes(flight);
@@ -133,7 +133,7 @@
     /// The version for a new session, given what its workspace's sessions ask for.
     ///
     /// `mix` yields each task that has a target.
-    pub fn session<I>(&self, flight: &Flight, now: Duration, mix: I) -> Option<Choice>
+    pub fn session<I>(&self, flight: &InFlightRequest, now: Duration, mix: I) -> Option<Choice>
     where
         I: Iterator<Item = SessionTask> + Clone,
     {
@@ -159,12 +159,17 @@
     }
 
     /// Assesses the only version that may run.
-    pub fn only(&self, flight: &Flight, now: Duration, candidate: Candidate) -> Choice {
+    pub fn only(&self, flight: &InFlightRequest, now: Duration, candidate: Candidate) -> Choice {
         direct(&self.assess(flight, now, candidate), self.stakes(flight))
     }
 
     /// Versions that are not among those tried and that no other one beats in cost, quality and time, cheapest first.
-    fn frontier(&self, flight: &Flight, now: Duration, tried: &[VersionIx]) -> Vec<Assessed> {
+    fn frontier(
+        &self,
+        flight: &InFlightRequest,
+        now: Duration,
+        tried: &[VersionIx],
+    ) -> Vec<Assessed> {
         let untried = self.candidates.iter().filter(|c| !tried.contains(&c.version));
         let mut all: Vec<Assessed> =
             untried.map(|candidate| self.assess(flight, now, *candidate)).collect();
@@ -183,7 +188,7 @@
         kept
     }
 
-    fn assess(&self, flight: &Flight, now: Duration, candidate: Candidate) -> Assessed {
+    fn assess(&self, flight: &InFlightRequest, now: Duration, candidate: Candidate) -> Assessed {
         let Candidate { version, wait_ms } = candidate;
         let left = flight.time_left(now).saturating_sub(from_ms(wait_ms));
         let meets = flight.target.map_or(1.0, |target| {
@@ -201,7 +206,7 @@
     /// A run with its answer held for a rating, and further runs where it is poor.
     fn held(
         &self,
-        flight: &Flight,
+        flight: &InFlightRequest,
         now: Duration,
         first: &Assessed,
         stakes: Stakes,
@@ -231,7 +236,7 @@
     /// The best further run after a poor answer, valued with what it leaves behind.
     fn best_rescue(
         &self,
-        flight: &Flight,
+        flight: &InFlightRequest,
         target: TaskPolicy,
         poor: VersionIx,
         left: Duration,
@@ -263,7 +268,7 @@
     /// One further run after a poor answer, with nothing after it.
     fn rescue_by(
         &self,
-        flight: &Flight,
+        flight: &InFlightRequest,
         target: TaskPolicy,
         poor: VersionIx,
         second: &Assessed,
@@ -280,12 +285,12 @@
     }
 
     /// A caller that streams is promised its first token within a bound.
-    fn may_hold(&self, flight: &Flight, first: &Assessed) -> bool {
+    fn may_hold(&self, flight: &InFlightRequest, first: &Assessed) -> bool {
         let shown_after = from_ms(first.candidate.wait_ms + first.service_ms) + self.rating.delay;
         !flight.streaming || shown_after <= FIRST_TOKEN_BOUND
     }
 
-    fn stakes(&self, flight: &Flight) -> Stakes {
+    fn stakes(&self, flight: &InFlightRequest) -> Stakes {
         let reference = self.reference_cost(flight.task, flight.prompt_tokens);
         let penalty = |met| {
             flight
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -50,37 +50,37 @@
 
 /// A run to start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
+pub struct PlannedRun {
     /// The version, or service, to run.
     pub version: VersionId,
     /// The server to run it on.
     pub server: ServerId,
     /// If set, the answer is held until it is rated, at most for this long.
-    pub hold: Option<Duration>,
+    pub rating_timeout: Option<Duration>,
     /// Whether the version is on trial, so that its answer should always be rated.
     pub on_trial: bool,
     /// If set, deliver the answer in hand when this time comes and the run has not ended.
-    pub deliver_held_at: Option<Duration>,
+    pub fallback_deadline: Option<Duration>,
 }
 
 /// A run that ended whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finished {
+pub struct FinishedRun {
     /// Tokens generated.
     pub output_tokens: u64,
     /// Time the server worked on it, without queueing.
-    pub service: Duration,
+    pub service_time: Duration,
 }
 
 /// What to do next with a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Next {
+pub enum NextAction {
     /// Deliver the answer in hand.
     Deliver,
     /// Wait for the rating of the answer in hand, at most this long.
     AwaitRating(Duration),
     /// Start another run.
-    Run(Step),
+    Run(PlannedRun),
     /// Give up.
     Refuse(Refusal),
 }
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -20,7 +20,7 @@
     plan::RatingOutlook,
     servers::Servers,
     session::Sessions,
-    trial::{Trial, TrialStage, Trip},
+    trial::{Trial, TrialStage, TripCause},
     tuning::{RATING_MISSES_LIMIT, RATING_PROBE_EVERY, RATING_WAIT_PRIOR},
 };
 
@@ -117,7 +117,7 @@
     }
 
     /// What a workspace may still spend of its slice at this process; `None` means without limit.
-    pub fn spend_left(&self, workspace: &str) -> Option<f64> {
+    pub fn remaining_spend(&self, workspace: &str) -> Option<f64> {
         self.workspace_names.find(workspace).and_then(|ix| self.workspace(ix)?.spend.left())
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Takes over a trip that an agent reported; no effect on versions that are not on trial.
-    pub fn trip(&mut self, now: Duration, version: &str, cause: Trip) {
+    pub fn trip(&mut self, now: Duration, version: &str, cause: TripCause) {
         let version = self.versions.find(version);
         if let Some(roll_out) = version.and_then(|version| self.roll_out_mut(version)) {
             roll_out.trial.trip(now, cause);
@@ -144,7 +144,7 @@
     }
 
     /// Versions that have tripped, with the cause.
-    pub fn trips(&self) -> Vec<(VersionId, Trip)> {
+    pub fn tripped_versions(&self) -> Vec<(VersionId, TripCause)> {
         let tripped = self.roll_outs.iter().filter_map(|roll_out| match roll_out.trial.stage() {
             TrialStage::Tripped(cause) => {
                 Some((self.versions.name(roll_out.version).to_owned(), cause))
--- a/crates/decide/src/router/admit.rs
+++ b/crates/decide/src/router/admit.rs
@@ -6,7 +6,7 @@
 
 use super::Router;
 use crate::{
-    flight::Flight,
+    flight::InFlightRequest,
     intern::{VersionIx, WorkspaceIx},
     request::Request,
     tuning::SESSION_REQUESTS,
@@ -18,7 +18,7 @@
         &mut self,
         now: Duration,
         request: &Request<'_>,
-    ) -> Result<Flight, Refusal> {
+    ) -> Result<InFlightRequest, Refusal> {
         if self.generation == 0 {
             return Err(Refusal::NoConfiguration);
         }
@@ -26,7 +26,7 @@
         let workspace =
             workspace.filter(|ix| self.workspace(*ix).is_some()).ok_or(Refusal::UnknownCaller)?;
         let task = self.tasks.intern(request.task);
-        let mut flight = Flight {
+        let mut flight = InFlightRequest {
             workspace,
             task,
             target: None,
@@ -43,7 +43,7 @@
             avoid: Vec::new(),
             refusals: 0,
             run: None,
-            shown_at_once: false,
+            is_pass_through: false,
             answer: None,
             former: None,
             booked: None,
@@ -73,7 +73,7 @@
         &mut self,
         now: Duration,
         request: &Request<'_>,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
     ) -> Result<(), Refusal> {
         flight.target = self.target(flight.workspace, flight.task);
         self.estimates.add_deadline(flight.task, flight.time_left(flight.arrived));
@@ -122,7 +122,7 @@
     fn apply_pin(
         &mut self,
         now: Duration,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
         pin: VersionIx,
     ) -> Result<(), Refusal> {
         if flight.only.is_some_and(|insisted| insisted != pin) && self.may_go_on(flight, pin) {
@@ -140,7 +140,7 @@
     pub(super) fn check_binding(
         &mut self,
         now: Duration,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
     ) -> Result<(), Refusal> {
         // NB: another request of the session may have started it anew while this one waited.
         let session = flight.session.as_deref();
@@ -164,7 +164,12 @@
     }
 
     /// Pins the request's session, if it has one, to the version chosen.
-    pub(super) fn bind_session(&mut self, now: Duration, flight: &mut Flight, version: VersionIx) {
+    pub(super) fn bind_session(
+        &mut self,
+        now: Duration,
+        flight: &mut InFlightRequest,
+        version: VersionIx,
+    ) {
         let Some(session) = flight.session.as_deref() else {
             return;
         };
@@ -174,7 +179,7 @@
         }
     }
 
-    fn may_go_on(&self, flight: &Flight, version: VersionIx) -> bool {
+    fn may_go_on(&self, flight: &InFlightRequest, version: VersionIx) -> bool {
         let allowed =
             self.workspace(flight.workspace).is_some_and(|w| w.allowed.contains(&version));
         allowed && self.serves_sessions(version)
--- a/crates/decide/src/router/choose.rs
+++ b/crates/decide/src/router/choose.rs
@@ -8,7 +8,7 @@
 use super::{RollOutTrial, Router};
 use crate::{
     estimate::reference_cost,
-    flight::Flight,
+    flight::InFlightRequest,
     intern::{ServerIx, VersionIx},
     plan::{Candidate, Choice, Planner, SessionTask},
     servers::Wanted,
@@ -21,7 +21,7 @@
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &Flight,
+        flight: &InFlightRequest,
     ) -> Result<(Choice, ServerIx), Refusal> {
         let mut candidates = self.candidates(now, flight)?;
         while !candidates.is_empty() {
@@ -44,7 +44,7 @@
     fn choose_version(
         &self,
         now: Duration,
-        flight: &Flight,
+        flight: &InFlightRequest,
         candidates: &[Candidate],
     ) -> Option<Choice> {
         let planner = self.planner(flight, candidates);
@@ -69,7 +69,7 @@
 
     pub(super) fn planner<'a>(
         &'a self,
-        flight: &Flight,
+        flight: &InFlightRequest,
         candidates: &'a [Candidate],
     ) -> Planner<'a> {
         Planner {
@@ -85,7 +85,7 @@
     pub(super) fn candidates(
         &self,
         now: Duration,
-        flight: &Flight,
+        flight: &InFlightRequest,
     ) -> Result<Vec<Candidate>, Refusal> {
         let candidate = |version: VersionIx| {
             let service_ms = self.estimates.service_ms(version);
@@ -128,7 +128,7 @@
     /// The share is counted in runs of the old version, those of sessions included, and given out
     /// to requests that can be judged and repeated. Where too few of them would use the old
     /// version anyway, some that would use a cheaper one go to the new version as well.
-    pub(super) fn on_trial_instead(&self, flight: &Flight, choice: Choice) -> Choice {
+    pub(super) fn on_trial_instead(&self, flight: &InFlightRequest, choice: Choice) -> Choice {
         let new = self.roll_outs.iter().find(|roll_out| self.takes_over(flight, choice, roll_out));
         match new {
             Some(roll_out) => Choice {
@@ -140,7 +140,12 @@
         }
     }
 
-    fn takes_over(&self, flight: &Flight, choice: Choice, roll_out: &RollOutTrial) -> bool {
+    fn takes_over(
+        &self,
+        flight: &InFlightRequest,
+        choice: Choice,
+        roll_out: &RollOutTrial,
+    ) -> bool {
         let RollOutTrial { version: new, replaces: old, ref trial, credit } = *roll_out;
         if flight.only.is_some() || flight.tried.contains(&new) || trial.share() == 0.0 {
             return false;
@@ -150,7 +155,7 @@
             return false;
         }
         if flight.session.is_some() || !flight.repeatable {
-            return choice.version == old && trial.takes_sessions() && credit >= 1.0;
+            return choice.version == old && trial.allows_new_sessions() && credit >= 1.0;
         }
         let cheaper = || {
             let cost = |version| reference_cost(&self.estimates.price(version));
@@ -161,7 +166,7 @@
     }
 
     /// Whether an answer of a version on trial should be rated before it is shown.
-    fn may_judge(&self, flight: &Flight) -> bool {
+    fn may_judge(&self, flight: &InFlightRequest) -> bool {
         flight.repeatable
             && !flight.streaming
             && flight.target.is_some()
@@ -172,7 +177,7 @@
         &self,
         now: Duration,
         rng: &mut R,
-        flight: &Flight,
+        flight: &InFlightRequest,
         version: VersionIx,
     ) -> Option<ServerIx> {
         let wanted = Wanted {
@@ -185,7 +190,7 @@
     }
 
     /// Whether a rating could still change what is delivered.
-    pub(super) fn worth_holding(&self, now: Duration, flight: &Flight) -> bool {
+    pub(super) fn worth_holding(&self, now: Duration, flight: &InFlightRequest) -> bool {
         let Ok(candidates) = self.candidates(now, flight) else {
             return false;
         };
--- a/crates/decide/src/router/learn.rs
+++ b/crates/decide/src/router/learn.rs
@@ -7,7 +7,7 @@
 use super::Router;
 use crate::{
     account::SlackLevel,
-    flight::{Flight, Receipt},
+    flight::{DeliveredAnswer, InFlightRequest},
     intern::{TaskIx, VersionIx},
     trial::Reference,
     tuning::RATING_MISSES_LIMIT,
@@ -15,7 +15,11 @@
 
 impl Router {
     /// An answer has been delivered; returns what a later rating needs.
-    pub fn delivered(&mut self, now: Duration, flight: &mut Flight) -> Option<Receipt> {
+    pub fn on_delivered(
+        &mut self,
+        now: Duration,
+        flight: &mut InFlightRequest,
+    ) -> Option<DeliveredAnswer> {
         let answer = flight.answer?;
         let late = now > flight.deadline;
         self.estimates.of_mut(answer.version, flight.task).late.add(late);
@@ -23,7 +27,7 @@
         self.book(flight, answer.meets);
         flight.booked = None;
         self.observe_level(flight);
-        Some(Receipt {
+        Some(DeliveredAnswer {
             workspace: flight.workspace,
             task: flight.task,
             target: flight.target,
@@ -34,7 +38,13 @@
     }
 
     /// A rating came for an answer that was delivered before.
-    pub fn rated(&mut self, now: Duration, receipt: &Receipt, delay: Duration, quality: f64) {
+    pub fn on_late_rating(
+        &mut self,
+        now: Duration,
+        receipt: &DeliveredAnswer,
+        delay: Duration,
+        quality: f64,
+    ) {
         if receipt.rated {
             return;
         }
@@ -51,7 +61,7 @@
 
     /// Expects an answer to meet its target with probability `meets`, in place of what was
     /// expected of the request before.
-    pub(super) fn book(&mut self, flight: &mut Flight, meets: f64) {
+    pub(super) fn book(&mut self, flight: &mut InFlightRequest, meets: f64) {
         let Some(target) = flight.target else {
             return;
         };
@@ -64,7 +74,7 @@
         }
     }
 
-    fn observe_level(&mut self, flight: &Flight) {
+    fn observe_level(&mut self, flight: &InFlightRequest) {
         if flight.target.is_none() {
             return;
         }
@@ -76,7 +86,7 @@
     }
 
     /// Takes back what was expected of a request that gets no answer.
-    pub(super) fn unbook(&mut self, flight: &mut Flight) {
+    pub(super) fn unbook(&mut self, flight: &mut InFlightRequest) {
         let (Some(target), Some(before)) = (flight.target, flight.booked.take()) else {
             return;
         };
@@ -93,11 +103,11 @@
         quality: f64,
     ) {
         let others = self.roll_outs.iter_mut().filter(|roll_out| roll_out.version != version);
-        others.for_each(|roll_out| roll_out.trial.others_rated());
+        others.for_each(|roll_out| roll_out.trial.record_other_rating());
         if let Some(replaces) = self.roll_out(version).map(|roll_out| roll_out.replaces) {
             let reference = self.reference(replaces, task);
             if let Some(roll_out) = self.roll_out_mut(version) {
-                roll_out.trial.rate(now, quality, reference);
+                roll_out.trial.record_rating(now, quality, reference);
             }
         }
         self.estimates.of_mut(version, task).quality.add(quality);
@@ -120,7 +130,7 @@
         };
         let old_rate = self.estimates.of(replaces, task).failures.with_prior(0.0, 20.0);
         if let Some(roll_out) = self.roll_out_mut(version) {
-            roll_out.trial.ended(now, failed, old_rate);
+            roll_out.trial.record_end(now, failed, old_rate);
         }
     }
 
@@ -149,7 +159,7 @@
         };
         let old_rate = self.estimates.of(replaces, task).late.with_prior(0.0, 20.0);
         if let Some(roll_out) = self.roll_out_mut(version) {
-            roll_out.trial.answered(now, late, old_rate);
+            roll_out.trial.record_delivery(now, late, old_rate);
         }
     }
 
--- a/crates/decide/src/router/members.rs
+++ b/crates/decide/src/router/members.rs
@@ -7,7 +7,7 @@
 
 impl Router {
     /// Takes in what a server, or the instance list, says of a server that is live.
-    pub fn server_seen(&mut self, now: Duration, report: &ServerReport) {
+    pub fn update_server(&mut self, now: Duration, report: &ServerReport) {
         let ix = self.server_names.intern(&report.server);
         let versions: Vec<_> =
             report.versions.iter().map(|name| self.versions.intern(name)).collect();
@@ -26,14 +26,14 @@
     }
 
     /// Takes in the load that a server carried back on a reply.
-    pub fn server_load(&mut self, now: Duration, server: &str, load: u32) {
+    pub fn update_server_load(&mut self, now: Duration, server: &str, load: u32) {
         if let Some(ix) = self.server_names.find(server) {
             self.servers.report(ix, now, load);
         }
     }
 
     /// A server is leaving or gone: it gets no new work from now on.
-    pub fn server_leaving(&mut self, server: &str) {
+    pub fn deactivate_server(&mut self, server: &str) {
         if let Some(ix) = self.server_names.find(server) {
             self.servers.close(ix);
         }
--- a/crates/decide/src/router/steps.rs
+++ b/crates/decide/src/router/steps.rs
@@ -7,10 +7,10 @@
 
 use super::Router;
 use crate::{
-    flight::{Answer, Flight, Run},
+    flight::{Answer, InFlightRequest, Run},
     intern::{ServerIx, VersionIx},
     plan::{Choice, from_ms},
-    request::{Finished, Next, Request, Step},
+    request::{FinishedRun, NextAction, PlannedRun, Request},
     tuning::{
         DELIVERY_MARGIN, RATING_WAIT_PRIOR, REFUSALS_PER_REQUEST, RUNS_PER_REQUEST, TRIAL_CREDIT,
     },
@@ -23,29 +23,29 @@
         now: Duration,
         rng: &mut R,
         request: &Request<'_>,
-    ) -> Result<(Flight, Step), Refusal> {
+    ) -> Result<(InFlightRequest, PlannedRun), Refusal> {
         self.requests += 1;
         let mut flight = self.admit(now, request)?;
-        self.retries.earn();
+        self.retries.deposit();
         let step = self.plan_run(now, rng, &mut flight)?;
         Ok((flight, step))
     }
 
     /// The agent refused the run before it started.
-    pub fn refused<R: Rng + ?Sized>(
+    pub fn on_run_refused<R: Rng + ?Sized>(
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
         refusal: Refusal,
-    ) -> Next {
+    ) -> NextAction {
         self.counters.refusals += 1;
         let Some(run) = self.release(flight, 0.0) else {
-            return Next::Refuse(refusal);
+            return NextAction::Refuse(refusal);
         };
         flight.tried.pop();
         if let Some(roll_out) = self.roll_out_mut(run.version) {
-            roll_out.trial.never_ran();
+            roll_out.trial.record_not_run();
         }
         flight.avoid.push(run.server);
         flight.refusals += 1;
@@ -54,46 +54,51 @@
             return self.give_up(flight, refusal);
         }
         match self.plan_run(now, rng, flight) {
-            Ok(step) => Next::Run(step),
+            Ok(step) => NextAction::Run(step),
             Err(_) => self.give_up(flight, refusal),
         }
     }
 
     /// The run failed or was cut. `ran` tells whether a server may have acted on it.
-    pub fn failed<R: Rng + ?Sized>(
+    pub fn on_run_failed<R: Rng + ?Sized>(
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
         ran: Ran,
         spent: f64,
         refusal: Refusal,
-    ) -> Next {
+    ) -> NextAction {
         let Some(run) = self.release(flight, spent) else {
-            return Next::Refuse(refusal);
+            return NextAction::Refuse(refusal);
         };
         self.servers.failed(run.server, now);
         self.learn_failure(now, run.version, flight.task);
         flight.avoid.push(run.server);
         if flight.answer.is_some() {
-            return Next::Deliver;
+            return NextAction::Deliver;
         }
         let repeat = flight.repeatable || ran == Ran::No;
-        let room = flight.runs() < RUNS_PER_REQUEST && now < flight.deadline;
-        if !repeat || !room || !self.retries.take() {
+        let room = flight.run_count() < RUNS_PER_REQUEST && now < flight.deadline;
+        if !repeat || !room || !self.retries.withdraw() {
             return self.give_up(flight, refusal);
         }
         self.counters.retries += 1;
         match self.plan_run(now, rng, flight) {
-            Ok(step) => Next::Run(step),
+            Ok(step) => NextAction::Run(step),
             Err(_) => self.give_up(flight, refusal),
         }
     }
 
     /// The run ended whole.
-    pub fn finished(&mut self, now: Duration, flight: &mut Flight, done: Finished) -> Next {
+    pub fn on_run_finished(
+        &mut self,
+        now: Duration,
+        flight: &mut InFlightRequest,
+        done: FinishedRun,
+    ) -> NextAction {
         let Some(run) = flight.run else {
-            return Next::Deliver;
+            return NextAction::Deliver;
         };
         let usage = pondwalk_types::TokenUsage {
             prompt_tokens: flight.prompt_tokens,
@@ -102,7 +107,7 @@
         let cost = self.estimates.price(run.version).cost(usage);
         self.release(flight, cost);
         self.servers.succeeded(run.server);
-        self.estimates.add_run(run.version, flight.task, done.output_tokens, done.service);
+        self.estimates.add_run(run.version, flight.task, done.output_tokens, done.service_time);
         self.count_end(now, run.version, flight.task, false);
         let held = flight.answer;
         let meets = match (held, flight.target) {
@@ -115,31 +120,32 @@
             _ => self.meets(run.version, flight.task, flight.target),
         };
         flight.former = held;
-        let answer = Answer { run: flight.runs() - 1, version: run.version, rating: None, meets };
+        let answer =
+            Answer { run: flight.run_count() - 1, version: run.version, rating: None, meets };
         flight.answer = Some(answer);
         self.unbook(flight);
         let hold = run.hold && self.worth_holding(now, flight);
         self.book(flight, meets);
         if !hold {
-            return Next::Deliver;
+            return NextAction::Deliver;
         }
-        Next::AwaitRating(self.rating_wait(now, flight))
+        NextAction::AwaitRating(self.rating_wait(now, flight))
     }
 
     /// The answer in hand was rated after `delay`, or no rating came in time.
-    pub fn judged<R: Rng + ?Sized>(
+    pub fn on_rating<R: Rng + ?Sized>(
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
         rating: Option<(f64, Duration)>,
-    ) -> Next {
+    ) -> NextAction {
         let (Some(answer), Some(target)) = (flight.answer, flight.target) else {
-            return Next::Deliver;
+            return NextAction::Deliver;
         };
         let Some((quality, delay)) = rating else {
             self.note_rating_missed();
-            return Next::Deliver;
+            return NextAction::Deliver;
         };
         self.note_rating_delay(delay);
         self.learn_quality(now, answer.version, flight.task, quality);
@@ -151,19 +157,19 @@
         flight.answer = Some(better.unwrap_or(rated));
         // NB: a further run is valued against the balance without this request.
         self.unbook(flight);
-        if met || flight.runs() >= RUNS_PER_REQUEST {
-            return Next::Deliver;
+        if met || flight.run_count() >= RUNS_PER_REQUEST {
+            return NextAction::Deliver;
         }
         match self.rescue(now, rng, flight) {
-            Some(step) => Next::Run(step),
-            None => Next::Deliver,
+            Some(step) => NextAction::Run(step),
+            None => NextAction::Deliver,
         }
     }
 
     /// The run under way is dropped because the answer in hand is due.
     ///
     /// `spent` is what the run had cost by then.
-    pub fn cut_short(&mut self, now: Duration, flight: &mut Flight, spent: f64) {
+    pub fn cancel_run(&mut self, now: Duration, flight: &mut InFlightRequest, spent: f64) {
         if let Some(run) = flight.run {
             // NB: left out, long runs would never be counted, and all would seem short.
             let at_least = now.saturating_sub(run.started);
@@ -175,7 +181,7 @@
     /// The caller went away.
     ///
     /// `spent` is what the run under way had cost by then.
-    pub fn abandon(&mut self, flight: &mut Flight, spent: f64) {
+    pub fn abandon(&mut self, flight: &mut InFlightRequest, spent: f64) {
         self.release(flight, spent);
         if flight.answer.is_none() {
             self.unbook(flight);
@@ -187,8 +193,8 @@
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &mut Flight,
-    ) -> Result<Step, Refusal> {
+        flight: &mut InFlightRequest,
+    ) -> Result<PlannedRun, Refusal> {
         self.check_binding(now, flight)?;
         let (choice, server) = self.choose(now, rng, flight)?;
         self.bind_session(now, flight, choice.version);
@@ -199,8 +205,8 @@
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &mut Flight,
-    ) -> Option<Step> {
+        flight: &mut InFlightRequest,
+    ) -> Option<PlannedRun> {
         let candidates = self.candidates(now, flight).ok()?;
         let choice = self.planner(flight, &candidates).rescue(flight, now)?;
         let choice = self.on_trial_instead(flight, choice);
@@ -214,11 +220,11 @@
     fn start(
         &mut self,
         now: Duration,
-        flight: &mut Flight,
+        flight: &mut InFlightRequest,
         choice: Choice,
         server: ServerIx,
-        deliver_held_at: Option<Duration>,
-    ) -> Step {
+        fallback_deadline: Option<Duration>,
+    ) -> PlannedRun {
         let version = choice.version;
         self.servers.start(server);
         let on_trial = self.count_on_trial(version);
@@ -226,16 +232,16 @@
             workspace.spend.reserve(choice.cost);
         }
         flight.tried.push(version);
-        flight.shown_at_once = !choice.hold && flight.answer.is_none();
+        flight.is_pass_through = !choice.hold && flight.answer.is_none();
         let (reserved, hold) = (choice.cost, choice.hold);
         flight.run = Some(Run { version, server, started: now, reserved, hold });
         self.book(flight, choice.meets);
-        Step {
+        PlannedRun {
             version: self.versions.name(version).to_owned(),
             server: self.server_names.name(server).to_owned(),
-            hold: choice.hold.then(|| self.rating_patience()),
+            rating_timeout: choice.hold.then(|| self.rating_patience()),
             on_trial,
-            deliver_held_at,
+            fallback_deadline,
         }
     }
 
@@ -244,7 +250,7 @@
         let mut on_trial = false;
         for roll_out in &mut self.roll_outs {
             if roll_out.version == version {
-                roll_out.trial.start();
+                roll_out.trial.record_start();
                 roll_out.credit = (roll_out.credit - 1.0).max(0.0);
                 on_trial = true;
             }
@@ -256,7 +262,7 @@
     }
 
     /// Closes the run under way, whatever came of it.
-    fn release(&mut self, flight: &mut Flight, spent: f64) -> Option<Run> {
+    fn release(&mut self, flight: &mut InFlightRequest, spent: f64) -> Option<Run> {
         let run = flight.run.take()?;
         self.servers.end(run.server);
         flight.spent += spent;
@@ -266,12 +272,12 @@
         Some(run)
     }
 
-    fn give_up(&mut self, flight: &mut Flight, refusal: Refusal) -> Next {
+    fn give_up(&mut self, flight: &mut InFlightRequest, refusal: Refusal) -> NextAction {
         if flight.answer.is_some() {
-            return Next::Deliver;
+            return NextAction::Deliver;
         }
         self.unbook(flight);
-        Next::Refuse(refusal)
+        NextAction::Refuse(refusal)
     }
 
     /// Longest wait for a rating: a few times the usual delay.
@@ -279,13 +285,13 @@
         (self.rating_outlook().delay * 3).max(RATING_WAIT_PRIOR)
     }
 
-    fn rating_wait(&self, now: Duration, flight: &Flight) -> Duration {
+    fn rating_wait(&self, now: Duration, flight: &InFlightRequest) -> Duration {
         let left = flight.time_left(now).saturating_sub(DELIVERY_MARGIN);
         self.rating_patience().min(left).max(from_ms(1.0))
     }
 
     /// Learns how often a second version does well where the one before it did poorly.
-    fn learn_rescue(&mut self, flight: &Flight, version: VersionIx, met: bool) {
+    fn learn_rescue(&mut self, flight: &InFlightRequest, version: VersionIx, met: bool) {
         let runs = flight.tried.len();
         if runs >= 2 && flight.tried[runs - 1] == version {
             let first = flight.tried[runs - 2];
--- a/crates/decide/src/trial.rs
+++ b/crates/decide/src/trial.rs
@@ -17,7 +17,7 @@
 
 /// What made a trial trip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trip {
+pub enum TripCause {
     /// Ratings dropped far.
     QualityDrop,
     /// Ratings dropped a little and stayed down.
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialStage {
     /// Still being tried; the number counts from zero.
-    Trying(usize),
+    Testing(usize),
     /// Passed: takes over whatever the old version did, new sessions included.
     Passed,
     /// Stopped for good.
-    Tripped(Trip),
+    Tripped(TripCause),
 }
 
 /// The old version's ratings on the task at hand.
@@ -100,7 +100,7 @@
     stage_ratings: u32,
     unrated: u32,
     others_rated: u32,
-    exposed: u64,
+    exposed_runs: u64,
     quick: f64,
     slow: f64,
     failures: f64,
@@ -111,11 +111,11 @@
 impl Default for Trial {
     fn default() -> Self {
         Trial {
-            stage: TrialStage::Trying(0),
+            stage: TrialStage::Testing(0),
             stage_ratings: 0,
             unrated: 0,
             others_rated: 0,
-            exposed: 0,
+            exposed_runs: 0,
             quick: 0.0,
             slow: 0.0,
             failures: 0.0,
@@ -137,8 +137,8 @@
     }
 
     /// Runs started on the version.
-    pub fn exposed(&self) -> u64 {
-        self.exposed
+    pub fn exposed_runs(&self) -> u64 {
+        self.exposed_runs
     }
 
     /// Share of the old version's runs that the new one may have now, from 0 to 1.
@@ -147,31 +147,31 @@
             return 0.0;
         }
         match self.stage {
-            TrialStage::Trying(stage) => TRIAL_SHARES[stage],
+            TrialStage::Testing(stage) => TRIAL_SHARES[stage],
             TrialStage::Passed => 1.0,
             TrialStage::Tripped(_) => 0.0,
         }
     }
 
     /// Whether new sessions may start on it.
-    pub fn takes_sessions(&self) -> bool {
+    pub fn allows_new_sessions(&self) -> bool {
         self.stage == TrialStage::Passed && self.unrated < TRIAL_UNRATED
     }
 
     /// Notes that a run started.
-    pub fn start(&mut self) {
-        self.exposed += 1;
+    pub fn record_start(&mut self) {
+        self.exposed_runs += 1;
         self.unrated = self.unrated.saturating_add(1);
     }
 
     /// Notes that a run was refused before it started.
-    pub fn never_ran(&mut self) {
-        self.exposed = self.exposed.saturating_sub(1);
+    pub fn record_not_run(&mut self) {
+        self.exposed_runs = self.exposed_runs.saturating_sub(1);
         self.unrated = self.unrated.saturating_sub(1);
     }
 
     /// Notes that another version was rated: ratings come, so old ones still missing are lost.
-    pub fn others_rated(&mut self) {
+    pub fn record_other_rating(&mut self) {
         self.others_rated += 1;
         if self.others_rated.is_multiple_of(TRIAL_FORGIVE_EVERY) {
             self.unrated = self.unrated.saturating_sub(1);
@@ -179,7 +179,7 @@
     }
 
     /// Takes in a rating.
-    pub fn rate(&mut self, now: Duration, quality: f64, reference: Reference) {
+    pub fn record_rating(&mut self, now: Duration, quality: f64, reference: Reference) {
         self.unrated = self.unrated.saturating_sub(1);
         if reference.ratings < TRIAL_REFERENCE_RATINGS {
             return;
@@ -189,16 +189,16 @@
         self.quick = (self.quick + drop - TRIAL_QUICK_DRIFT).max(0.0);
         self.slow = (self.slow + drop - TRIAL_SLOW_DRIFT).max(0.0);
         if self.quick > TRIAL_QUICK_LIMIT {
-            self.trip(now, Trip::QualityDrop);
+            self.trip(now, TripCause::QualityDrop);
         }
         if self.slow > TRIAL_SLOW_LIMIT {
-            self.trip(now, Trip::QualityDrift);
+            self.trip(now, TripCause::QualityDrift);
         }
         self.advance();
     }
 
     /// Takes in whether a run failed, and how often the old version's runs do.
-    pub fn ended(&mut self, now: Duration, failed: bool, old_rate: f64) {
+    pub fn record_end(&mut self, now: Duration, failed: bool, old_rate: f64) {
         if failed {
             self.unrated = self.unrated.saturating_sub(1);
         }
@@ -206,22 +206,22 @@
         self.failures += event_score(failed, base, TRIAL_FAILURE_BAD.max(3.0 * base));
         self.failures = self.failures.max(0.0);
         if self.failures > TRIAL_EVENT_LIMIT {
-            self.trip(now, Trip::Failures);
+            self.trip(now, TripCause::Failures);
         }
     }
 
     /// Takes in whether an answer was late, and how often the old version's answers are.
-    pub fn answered(&mut self, now: Duration, late: bool, old_rate: f64) {
+    pub fn record_delivery(&mut self, now: Duration, late: bool, old_rate: f64) {
         let base = old_rate.max(TRIAL_LATE_FLOOR);
         self.lateness += event_score(late, base, TRIAL_LATE_BAD.max(2.0 * base));
         self.lateness = self.lateness.max(0.0);
         if self.lateness > TRIAL_EVENT_LIMIT {
-            self.trip(now, Trip::Lateness);
+            self.trip(now, TripCause::Lateness);
         }
     }
 
     fn advance(&mut self) {
-        let TrialStage::Trying(stage) = self.stage else {
+        let TrialStage::Testing(stage) = self.stage else {
             return;
         };
         self.stage_ratings += 1;
@@ -229,13 +229,13 @@
             return;
         }
         self.stage = match stage + 1 {
-            next if next < TRIAL_SHARES.len() => TrialStage::Trying(next),
+            next if next < TRIAL_SHARES.len() => TrialStage::Testing(next),
             _ => TrialStage::Passed,
         };
     }
 
     /// Stops the version for good, unless it is stopped already.
-    pub fn trip(&mut self, now: Duration, cause: Trip) {
+    pub fn trip(&mut self, now: Duration, cause: TripCause) {
         if !matches!(self.stage, TrialStage::Tripped(_)) {
             self.stage = TrialStage::Tripped(cause);
             self.tripped_at = Some(now);
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -94,8 +94,8 @@
     assert_eq!(queue.offer(Duration::ZERO, work(0, "one", 5)), Admission::Start);
     assert_eq!(queue.offer(Duration::ZERO, work(1, "one", 5)), Admission::Start);
     queue.offer(Duration::ZERO, work(2, "one", 5));
-    queue.pause(Duration::ZERO, SECOND * 4);
-    queue.pause(Duration::ZERO, SECOND);
+    queue.back_off(Duration::ZERO, SECOND * 4);
+    queue.back_off(Duration::ZERO, SECOND);
     assert_eq!(queue.finish(SECOND).start, None, "what waits goes on waiting");
     let refused = queue.offer(SECOND, work(3, "one", 5));
     assert_eq!(
@@ -103,7 +103,7 @@
         Admission::Refused(Refusal::Overloaded { retry_after_ms: 3_000 }),
         "the shorter word does not shorten the longer one"
     );
-    assert_eq!(queue.admit(SECOND * 4).start, Some(2));
+    assert_eq!(queue.dispatch_next(SECOND * 4).start, Some(2));
 }
 
 #[test]
--- a/crates/decide/tests/keeps_promises.rs
+++ b/crates/decide/tests/keeps_promises.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use pondwalk_decide::{Finished, Flight, Next, Request, Router, ServerReport, Step};
+use pondwalk_decide::{
+    FinishedRun, InFlightRequest, NextAction, PlannedRun, Request, Router, ServerReport,
+};
 use pondwalk_types::{
     Policy, Price, Ran, Refusal, RollOut, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy,
 };
@@ -52,8 +54,8 @@
 
 /// A request under way, with what it is known to have done.
 struct Open {
-    flight: Flight,
-    step: Step,
+    flight: InFlightRequest,
+    step: PlannedRun,
     workspace: usize,
     session: Option<u8>,
     repeatable: bool,
@@ -123,7 +125,7 @@
             slots: 2,
             load: None,
         };
-        self.router.server_seen(self.now, &report);
+        self.router.update_server(self.now, &report);
         self.hosts.insert(name, (version, true));
     }
 
@@ -135,7 +137,7 @@
             Op::Server { server, version } => self.server(server, version),
             Op::Leaving { server } => {
                 let name = format!("s{server}");
-                self.router.server_leaving(&name);
+                self.router.deactivate_server(&name);
                 self.hosts.entry(name).and_modify(|host| host.1 = false);
             }
             Op::Withdraw { version } => {
@@ -204,7 +206,7 @@
 
     /// A step just decided keeps all promises.
     fn check(&mut self, open: &Open) {
-        let Step { version, server, .. } = &open.step;
+        let PlannedRun { version, server, .. } = &open.step;
         let rights = &self.policy.workspaces[WORKSPACES[open.workspace]];
         assert!(rights.allowed_versions.contains(version), "{version} is not allowed");
         let state = self.policy.versions[version].state;
@@ -232,46 +234,50 @@
         let mut open = self.open.swap_remove(usize::from(flight) % self.open.len());
         let next = self.next(&mut open, how);
         match next {
-            Next::Run(step) => {
+            NextAction::Run(step) => {
                 open.step = step;
                 open.awaiting = false;
                 self.check(&open);
                 self.open.push(open);
             }
-            Next::AwaitRating(_) => {
+            NextAction::AwaitRating(_) => {
                 open.awaiting = true;
                 self.open.push(open);
             }
-            Next::Deliver => {
-                assert!(self.router.delivered(self.now, &mut open.flight).is_some());
+            NextAction::Deliver => {
+                assert!(self.router.on_delivered(self.now, &mut open.flight).is_some());
             }
-            Next::Refuse(_) => {}
+            NextAction::Refuse(_) => {}
         }
     }
 
-    fn next(&mut self, open: &mut Open, how: u8) -> Next {
+    fn next(&mut self, open: &mut Open, how: u8) -> NextAction {
         let (now, rng, flight) = (self.now, &mut self.rng, &mut open.flight);
         if open.awaiting {
             let rating = match how % 3 {
                 0 => None,
                 quality => Some((f64::from(quality) * 0.4, Duration::from_millis(100))),
             };
-            return self.router.judged(now, rng, flight, rating);
+            return self.router.on_rating(now, rng, flight, rating);
         }
         match how {
-            0 => self.router.refused(now, rng, flight, Refusal::Draining),
+            0 => self.router.on_run_refused(now, rng, flight, Refusal::Draining),
             1 => {
                 open.may_have_run = true;
-                self.router.failed(now, rng, flight, Ran::Unknown, 0.0, Refusal::ContactLost)
+                self.router.on_run_failed(now, rng, flight, Ran::Unknown, 0.0, Refusal::ContactLost)
             }
             2 => {
                 open.may_have_run = true;
-                self.router.failed(now, rng, flight, Ran::Yes, 0.0, Refusal::BackendFailed)
+                self.router.on_run_failed(now, rng, flight, Ran::Yes, 0.0, Refusal::BackendFailed)
             }
             _ => {
                 open.may_have_run = true;
-                let service = Duration::from_millis(200 * u64::from(how));
-                self.router.finished(now, flight, Finished { output_tokens: 50, service })
+                let service_time = Duration::from_millis(200 * u64::from(how));
+                self.router.on_run_finished(
+                    now,
+                    flight,
+                    FinishedRun { output_tokens: 50, service_time },
+                )
             }
         }
     }
--- a/crates/decide/tests/trials.rs
+++ b/crates/decide/tests/trials.rs
@@ -28,8 +28,8 @@
     let mut trial = Trial::default();
     for count in 1..=most {
         baseline.add(rating(rng, MEAN));
-        trial.start();
-        trial.rate(NOW, rating(rng, mean), baseline.reference());
+        trial.record_start();
+        trial.record_rating(NOW, rating(rng, mean), baseline.reference());
         if trial.tripped_at().is_some() {
             return Some(count);
         }
@@ -66,11 +66,11 @@
     let mut trial = Trial::default();
     let mut exposed = 0;
     while trial.share() > 0.0 {
-        trial.start();
+        trial.record_start();
         exposed += 1;
         assert!(exposed < 50, "exposure must end by itself");
     }
-    assert_eq!(trial.stage(), TrialStage::Trying(0));
+    assert_eq!(trial.stage(), TrialStage::Testing(0));
 }
 
 #[test]
@@ -78,8 +78,8 @@
     let mut trial = Trial::default();
     let mut count = 0;
     while trial.tripped_at().is_none() {
-        trial.start();
-        trial.ended(NOW, true, 0.01);
+        trial.record_start();
+        trial.record_end(NOW, true, 0.01);
         count += 1;
         assert!(count < 10, "failures in a row must trip soon");
     }
--- a/crates/demo/examples/capacity.rs
+++ b/crates/demo/examples/capacity.rs
@@ -10,7 +10,7 @@
 };
 
 use cap::Cap;
-use pondwalk_decide::{Finished, Request, Router, ServerReport};
+use pondwalk_decide::{FinishedRun, Request, Router, ServerReport};
 use pondwalk_demo::{
     bench::{self, BenchPlan},
     deployment::{Deployment, Plan, ServerPlan},
@@ -74,7 +74,7 @@
             slots: 16,
             load: Some(3),
         };
-        router.server_seen(Duration::ZERO, &report);
+        router.update_server(Duration::ZERO, &report);
     }
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for n in 0..sessions.max(versions * TASKS * 4) {
@@ -111,9 +111,9 @@
         streaming: false,
     };
     if let Ok((mut flight, _)) = router.begin(now, rng, &request) {
-        let service = Duration::from_millis(500);
-        router.finished(now, &mut flight, Finished { output_tokens: 100, service });
-        router.delivered(now, &mut flight);
+        let service_time = Duration::from_millis(500);
+        router.on_run_finished(now, &mut flight, FinishedRun { output_tokens: 100, service_time });
+        router.on_delivered(now, &mut flight);
     }
 }
 
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -92,7 +92,7 @@
         listed.insert(agent.instance.clone());
         core.fleet.open(core, &agent.instance, agent.address);
         if agent.state == InstanceState::Leaving {
-            lock(&core.router).server_leaving(&agent.instance);
+            lock(&core.router).deactivate_server(&agent.instance);
         }
     }
     core.fleet.close_unlisted(&listed);
@@ -104,7 +104,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let trips = lock(&core.router).trips();
+        let trips = lock(&core.router).tripped_versions();
         if !trips.is_empty() {
             // NB: all entries hear of a trip at about the same time, and one of them is enough.
             let spread = core.fleet.entries() as u64 * TRIP_SPREAD_MS;
--- a/crates/entry/src/http/health.rs
+++ b/crates/entry/src/http/health.rs
@@ -41,7 +41,7 @@
         .collect();
     let counters = lock(&core.router).counters();
     let trips: Vec<_> =
-        lock(&core.router).trips().into_iter().map(|(version, _)| version).collect();
+        lock(&core.router).tripped_versions().into_iter().map(|(version, _)| version).collect();
     let body = json!({
         "instance": core.settings.instance,
         "data_centre": core.settings.data_centre,
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use pondwalk_decide::{ServerReport, Trip};
+use pondwalk_decide::{ServerReport, TripCause};
 use pondwalk_threads::lock;
 use pondwalk_types::{AttemptId, Generation, Incarnation, Refusal, ServerId, VersionId};
 use pondwalk_wire::{
@@ -213,7 +213,7 @@
             load: Some(status.news.load),
         };
         let now = core.now();
-        lock(&core.router).server_seen(now, &report);
+        lock(&core.router).update_server(now, &report);
         self.absorb(&status.news);
     }
 
@@ -278,12 +278,12 @@
         };
         let now = core.now();
         let mut router = lock(&core.router);
-        router.server_load(now, &self.server, news.load);
+        router.update_server_load(now, &self.server, news.load);
         if news.draining {
-            router.server_leaving(&self.server);
+            router.deactivate_server(&self.server);
         }
         for version in &news.tripped {
-            router.trip(now, version, Trip::Agent);
+            router.trip(now, version, TripCause::Agent);
         }
     }
 
@@ -293,7 +293,7 @@
             if state.client.take().is_some() {
                 spdlog::warn!("agent lost", kv: { server = self.server.as_str() });
                 if let Some(core) = self.core.upgrade() {
-                    lock(&core.router).server_leaving(&self.server);
+                    lock(&core.router).deactivate_server(&self.server);
                 }
             }
             let since = *state.lost_since.get_or_insert_with(Instant::now);
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use pondwalk_decide::{Flight, Next, Receipt, Request, Step};
+use pondwalk_decide::{DeliveredAnswer, InFlightRequest, NextAction, PlannedRun, Request};
 use pondwalk_ledger::{Bill, BillItem, ClaimTicket};
 use pondwalk_threads::lock;
 use pondwalk_types::{Ran, Refusal};
@@ -124,7 +124,7 @@
         }
     }
 
-    fn begin(&self) -> Result<(Flight, Step), Refusal> {
+    fn begin(&self) -> Result<(InFlightRequest, PlannedRun), Refusal> {
         let incoming = &self.incoming;
         let request = Request {
             workspace: &incoming.workspace,
@@ -144,8 +144,8 @@
         lock(&self.core.router).begin(now, &mut rand::rng(), &request)
     }
 
-    async fn run_step(&self, flight: &Flight, step: &Step) -> StepEnd {
-        let may_show = step.hold.is_none() && self.answers.iter().all(Option::is_none);
+    async fn run_step(&self, flight: &InFlightRequest, step: &PlannedRun) -> StepEnd {
+        let may_show = step.rating_timeout.is_none() && self.answers.iter().all(Option::is_none);
         let wants = self.incoming.streaming || self.incoming.service.is_some();
         let opening = self.opening(flight, &step.version);
         let run = StepRun {
@@ -160,7 +160,7 @@
     }
 
     /// What the caller is told when an answer of a version starts.
-    fn opening(&self, flight: &Flight, version: &str) -> Opening {
+    fn opening(&self, flight: &InFlightRequest, version: &str) -> Opening {
         let session = self.incoming.session.as_ref().filter(|_| self.incoming.service.is_none());
         let pin = session.map(|session| {
             self.core.pins.sign(&Pin {
@@ -178,22 +178,26 @@
     }
 
     /// Tells the router how a run ended; an error ends the request.
-    fn take_in(&mut self, flight: &mut Flight, end: StepEnd) -> Result<Next, Outcome> {
+    fn take_in(
+        &mut self,
+        flight: &mut InFlightRequest,
+        end: StepEnd,
+    ) -> Result<NextAction, Outcome> {
         let now = self.core.now();
         let mut router = lock(&self.core.router);
         let mut rng = rand::rng();
         match end {
             StepEnd::Whole(answer, done) => {
-                let next = router.finished(now, flight, done);
+                let next = router.on_run_finished(now, flight, done);
                 self.began = Ran::Yes;
-                self.answers.resize(flight.runs().saturating_sub(1), None);
+                self.answers.resize(flight.run_count().saturating_sub(1), None);
                 self.answers.push(Some(answer));
                 Ok(next)
             }
-            StepEnd::NotRun(refusal) => Ok(router.refused(now, &mut rng, flight, refusal)),
+            StepEnd::NotRun(refusal) => Ok(router.on_run_refused(now, &mut rng, flight, refusal)),
             StepEnd::Broken { refusal, ran, shown } => {
                 self.began = if self.began == Ran::Yes { Ran::Yes } else { ran };
-                let next = router.failed(now, &mut rng, flight, ran, 0.0, refusal.clone());
+                let next = router.on_run_failed(now, &mut rng, flight, ran, 0.0, refusal.clone());
                 if shown {
                     // NB: the caller has part of the answer, so another run cannot continue it.
                     router.abandon(flight, 0.0);
@@ -202,8 +206,8 @@
                 Ok(next)
             }
             StepEnd::HeldDue => {
-                router.cut_short(now, flight, 0.0);
-                Ok(Next::Deliver)
+                router.cancel_run(now, flight, 0.0);
+                Ok(NextAction::Deliver)
             }
             StepEnd::CallerGone => {
                 self.began = Ran::Unknown;
@@ -214,20 +218,24 @@
     }
 
     /// Does what the router wants next, up to the next run.
-    async fn after(&mut self, flight: &mut Flight, next: Next) -> Result<Step, Outcome> {
+    async fn after(
+        &mut self,
+        flight: &mut InFlightRequest,
+        next: NextAction,
+    ) -> Result<PlannedRun, Outcome> {
         let mut next = next;
         loop {
             match next {
-                Next::Run(step) => return Ok(step),
-                Next::Deliver => return Err(self.deliver(flight).await),
-                Next::Refuse(refusal) => {
+                NextAction::Run(step) => return Ok(step),
+                NextAction::Deliver => return Err(self.deliver(flight).await),
+                NextAction::Refuse(refusal) => {
                     return Err(Outcome::Failed(Failure { refusal, ran: self.began }));
                 }
-                Next::AwaitRating(wait) => {
+                NextAction::AwaitRating(wait) => {
                     let rating = self.rate_held(wait).await;
                     let now = self.core.now();
                     let mut router = lock(&self.core.router);
-                    next = router.judged(now, &mut rand::rng(), flight, rating);
+                    next = router.on_rating(now, &mut rand::rng(), flight, rating);
                 }
             }
         }
@@ -252,8 +260,8 @@
     }
 
     /// Bills the answer in hand and hands it to the caller.
-    async fn deliver(&mut self, flight: &mut Flight) -> Outcome {
-        let number = flight.answer_run();
+    async fn deliver(&mut self, flight: &mut InFlightRequest) -> Outcome {
+        let number = flight.answer_run_index();
         let answer = number.and_then(|number| self.answers.get_mut(number)?.take());
         let Some(answer) = answer else {
             let refusal = Refusal::Cut;
@@ -264,7 +272,7 @@
         if bills.hold(bill, &answer.server, *incarnation, fleet, store).await == Copies::One {
             self.core.count("bills.single_copy");
         }
-        let receipt = lock(&self.core.router).delivered(self.core.now(), flight);
+        let receipt = lock(&self.core.router).on_delivered(self.core.now(), flight);
         let shown = self.was_shown(flight, &answer);
         if !shown {
             let opening = self.opening(flight, &answer.version);
@@ -280,9 +288,9 @@
     }
 
     /// Whether the answer's pieces went out while it ran: then it was the only one, and not held.
-    fn was_shown(&self, flight: &Flight, answer: &Answer) -> bool {
+    fn was_shown(&self, flight: &InFlightRequest, answer: &Answer) -> bool {
         let wants = self.incoming.streaming || self.incoming.service.is_some();
-        wants && flight.shown_at_once() && !answer.parts.is_empty()
+        wants && flight.is_pass_through() && !answer.parts.is_empty()
     }
 
     fn bill(&self, delivered: &Answer) -> Bill {
@@ -305,7 +313,7 @@
     }
 
     /// Has a delivered answer rated in the background, if it was not rated before.
-    fn rate_later(&self, answer: Answer, receipt: Option<Receipt>) {
+    fn rate_later(&self, answer: Answer, receipt: Option<DeliveredAnswer>) {
         let Some(receipt) = receipt.filter(|receipt| !receipt.is_rated()) else {
             return;
         };
@@ -324,7 +332,7 @@
                 return core.count("ratings.missed");
             };
             let now = core.now();
-            lock(&core.router).rated(now, &receipt, now.saturating_sub(asked), quality);
+            lock(&core.router).on_late_rating(now, &receipt, now.saturating_sub(asked), quality);
             report_rating(&core, &answer, &task, quality);
         });
     }
--- a/crates/entry/src/spend.rs
+++ b/crates/entry/src/spend.rs
@@ -43,7 +43,7 @@
         store: &Store,
     ) -> Result<(), StoreError> {
         let enough = || {
-            let left = lock(router).spend_left(workspace);
+            let left = lock(router).remaining_spend(workspace);
             left.is_some_and(|left| left >= cap / SLICES / 2.0)
         };
         if enough() {
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use pondwalk_decide::{Finished, Step};
+use pondwalk_decide::{FinishedRun, PlannedRun};
 use pondwalk_types::{Ran, Refusal, Work};
 use pondwalk_wire::{FrameKind, RunKey, StartRequest};
 use tokio::sync::mpsc;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub enum StepEnd {
     /// The answer is whole.
-    Whole(Answer, Finished),
+    Whole(Answer, FinishedRun),
     /// The agent refused it; it has truly not run.
     NotRun(Refusal),
     /// It failed or broke off.
@@ -44,7 +44,7 @@
     /// The request.
     pub incoming: &'a Incoming,
     /// What to run where.
-    pub step: &'a Step,
+    pub step: &'a PlannedRun,
     /// When the request arrived, by the entry's clock.
     pub arrived: Duration,
     /// Where the answer's pieces go as they come, if they may be shown at once.
@@ -74,7 +74,7 @@
     }
 
     async fn held_due(&self) {
-        match self.step.deliver_held_at {
+        match self.step.fallback_deadline {
             Some(at) => tokio::time::sleep(at.saturating_sub(self.core.now())).await,
             None => std::future::pending().await,
         }
@@ -162,7 +162,8 @@
                 }
                 FrameKind::Ended { usage, service } => {
                     answer.usage = usage;
-                    let done = Finished { output_tokens: usage.output_tokens, service };
+                    let done =
+                        FinishedRun { output_tokens: usage.output_tokens, service_time: service };
                     return StepEnd::Whole(answer, done);
                 }
                 FrameKind::Failed(refusal) => {
--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use pondwalk_decide::{Next, Step};
+use pondwalk_decide::{NextAction, PlannedRun};
 use pondwalk_types::{Policy, Refusal, ServerId, VersionId, VersionState, WorkspacePolicy};
 
 use crate::trace::{RecordedRequest, Trace};
@@ -91,7 +91,10 @@
     }
 
     /// Plans a request.
-    pub fn begin(&mut self, request: &RecordedRequest) -> Result<(BaselineFlight, Step), Refusal> {
+    pub fn begin(
+        &mut self,
+        request: &RecordedRequest,
+    ) -> Result<(BaselineFlight, PlannedRun), Refusal> {
         let workspace =
             self.policy.workspaces.get(&request.workspace).ok_or(Refusal::UnknownCaller)?;
         let versions = match &request.service {
@@ -109,32 +112,37 @@
     }
 
     /// The agent refused the run.
-    pub fn refused(&mut self, flight: &mut BaselineFlight, server: &str, refusal: Refusal) -> Next {
+    pub fn refused(
+        &mut self,
+        flight: &mut BaselineFlight,
+        server: &str,
+        refusal: Refusal,
+    ) -> NextAction {
         flight.avoid.push(server.to_owned());
         flight.next -= 1;
         match self.step(flight) {
-            Ok(step) => Next::Run(step),
-            Err(_) => Next::Refuse(refusal),
+            Ok(step) => NextAction::Run(step),
+            Err(_) => NextAction::Refuse(refusal),
         }
     }
 
     /// The run ended whole.
-    pub fn finished(&self, flight: &mut BaselineFlight) -> Next {
+    pub fn finished(&self, flight: &mut BaselineFlight) -> NextAction {
         flight.run = flight.next - 1;
         if flight.next < flight.versions.len() {
-            return Next::AwaitRating(CASCADE_PATIENCE);
+            return NextAction::AwaitRating(CASCADE_PATIENCE);
         }
-        Next::Deliver
+        NextAction::Deliver
     }
 
     /// The answer in hand was rated, or no rating came.
-    pub fn judged(&mut self, flight: &mut BaselineFlight, rating: Option<f64>) -> Next {
+    pub fn judged(&mut self, flight: &mut BaselineFlight, rating: Option<f64>) -> NextAction {
         if rating.is_none_or(|quality| quality >= CASCADE_THRESHOLD) {
-            return Next::Deliver;
+            return NextAction::Deliver;
         }
         match self.step(flight) {
-            Ok(step) => Next::Run(step),
-            Err(_) => Next::Deliver,
+            Ok(step) => NextAction::Run(step),
+            Err(_) => NextAction::Deliver,
         }
     }
 
@@ -176,7 +184,7 @@
         self.policy.price_of(version).unwrap_or_default().cost(usage)
     }
 
-    fn step(&mut self, flight: &mut BaselineFlight) -> Result<Step, Refusal> {
+    fn step(&mut self, flight: &mut BaselineFlight) -> Result<PlannedRun, Refusal> {
         let version = flight.versions.get(flight.next).ok_or(Refusal::NoServer)?.clone();
         let hosts = self.hosts.get(&version).map(Vec::as_slice).unwrap_or_default();
         let open: Vec<&ServerId> = hosts.iter().filter(|h| !flight.avoid.contains(h)).collect();
@@ -187,6 +195,12 @@
         self.turn += 1;
         flight.next += 1;
         let hold = (flight.next < flight.versions.len()).then_some(CASCADE_PATIENCE);
-        Ok(Step { version, server, hold, on_trial: false, deliver_held_at: None })
+        Ok(PlannedRun {
+            version,
+            server,
+            rating_timeout: hold,
+            on_trial: false,
+            fallback_deadline: None,
+        })
     }
 }
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -2,7 +2,10 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::{Finished, Flight, Next, Receipt, Request, Router, ServerReport, Step};
+use pondwalk_decide::{
+    DeliveredAnswer, FinishedRun, InFlightRequest, NextAction, PlannedRun, Request, Router,
+    ServerReport,
+};
 use pondwalk_types::{Generation, Policy, Ran, Refusal, VersionId};
 use rand_pcg::Pcg64Mcg;
 
@@ -68,7 +71,7 @@
 #[derive(Debug)]
 pub enum DriverFlight {
     /// With pondwalk's router.
-    Pondwalk(Box<Flight>),
+    Pondwalk(Box<InFlightRequest>),
     /// With a baseline.
     Baseline(BaselineFlight),
 }
@@ -111,7 +114,7 @@
     /// A server starts, or hosts other versions.
     pub fn server_seen(&mut self, now: Duration, report: &ServerReport) {
         match &mut self.chosen {
-            Chosen::Pondwalk(router) => router.server_seen(now, report),
+            Chosen::Pondwalk(router) => router.update_server(now, report),
             Chosen::Baseline(baseline) => baseline.server_seen(&report.server, &report.versions),
         }
     }
@@ -119,7 +122,7 @@
     /// A server gets no new work.
     pub fn server_leaving(&mut self, server: &str) {
         match &mut self.chosen {
-            Chosen::Pondwalk(router) => router.server_leaving(server),
+            Chosen::Pondwalk(router) => router.deactivate_server(server),
             Chosen::Baseline(baseline) => baseline.server_leaving(server),
         }
     }
@@ -129,7 +132,7 @@
         &mut self,
         now: Duration,
         request: &RecordedRequest,
-    ) -> Result<(DriverFlight, Step), Refusal> {
+    ) -> Result<(DriverFlight, PlannedRun), Refusal> {
         match &mut self.chosen {
             Chosen::Pondwalk(router) => {
                 let facts = facts(now, request);
@@ -150,15 +153,15 @@
         flight: &mut DriverFlight,
         server: &str,
         refusal: Refusal,
-    ) -> Next {
+    ) -> NextAction {
         match (&mut self.chosen, flight) {
             (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.refused(now, &mut self.rng, flight, refusal)
+                router.on_run_refused(now, &mut self.rng, flight, refusal)
             }
             (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
                 baseline.refused(flight, server, refusal)
             }
-            _ => Next::Refuse(refusal),
+            _ => NextAction::Refuse(refusal),
         }
     }
 
@@ -170,25 +173,30 @@
         ran: Ran,
         spent: f64,
         refusal: Refusal,
-    ) -> Next {
+    ) -> NextAction {
         match (&mut self.chosen, flight) {
             (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.failed(now, &mut self.rng, flight, ran, spent, refusal)
+                router.on_run_failed(now, &mut self.rng, flight, ran, spent, refusal)
             }
-            _ => Next::Refuse(refusal),
+            _ => NextAction::Refuse(refusal),
         }
     }
 
     /// A run ended whole.
-    pub fn finished(&mut self, now: Duration, flight: &mut DriverFlight, done: Finished) -> Next {
+    pub fn finished(
+        &mut self,
+        now: Duration,
+        flight: &mut DriverFlight,
+        done: FinishedRun,
+    ) -> NextAction {
         match (&mut self.chosen, flight) {
             (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.finished(now, flight, done)
+                router.on_run_finished(now, flight, done)
             }
             (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
                 baseline.finished(flight)
             }
-            _ => Next::Deliver,
+            _ => NextAction::Deliver,
         }
     }
 
@@ -198,15 +206,15 @@
         now: Duration,
         flight: &mut DriverFlight,
         rating: Option<(f64, Duration)>,
-    ) -> Next {
+    ) -> NextAction {
         match (&mut self.chosen, flight) {
             (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.judged(now, &mut self.rng, flight, rating)
+                router.on_rating(now, &mut self.rng, flight, rating)
             }
             (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
                 baseline.judged(flight, rating.map(|(quality, _)| quality))
             }
-            _ => Next::Deliver,
+            _ => NextAction::Deliver,
         }
     }
 
@@ -215,7 +223,7 @@
         if let (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) =
             (&mut self.chosen, flight)
         {
-            router.cut_short(now, flight, spent);
+            router.cancel_run(now, flight, spent);
         }
     }
 
@@ -224,10 +232,10 @@
         &mut self,
         now: Duration,
         flight: &mut DriverFlight,
-    ) -> (Option<usize>, Option<Receipt>) {
+    ) -> (Option<usize>, Option<DeliveredAnswer>) {
         match (&mut self.chosen, flight) {
             (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                (flight.answer_run(), router.delivered(now, flight))
+                (flight.answer_run_index(), router.on_delivered(now, flight))
             }
             (_, DriverFlight::Baseline(flight)) => (Some(flight.answer_run()), None),
             _ => (None, None),
@@ -235,9 +243,15 @@
     }
 
     /// A rating came for an answer delivered before.
-    pub fn rated(&mut self, now: Duration, receipt: &Receipt, delay: Duration, quality: f64) {
+    pub fn rated(
+        &mut self,
+        now: Duration,
+        receipt: &DeliveredAnswer,
+        delay: Duration,
+        quality: f64,
+    ) {
         if let Chosen::Pondwalk(router) = &mut self.chosen {
-            router.rated(now, receipt, delay, quality);
+            router.on_late_rating(now, receipt, delay, quality);
         }
     }
 
--- a/crates/replay/src/simulation/book.rs
+++ b/crates/replay/src/simulation/book.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use pondwalk_decide::Receipt;
+use pondwalk_decide::DeliveredAnswer;
 use pondwalk_types::{VersionId, VersionState};
 
 use super::Simulation;
@@ -26,7 +26,7 @@
     pub has_answer: bool,
     pub awaiting: Option<RunIx>,
     pub delivered: Option<RunIx>,
-    pub receipt: Option<Receipt>,
+    pub receipt: Option<DeliveredAnswer>,
     pub bills: u32,
 }
 
--- a/crates/replay/src/simulation/changes.rs
+++ b/crates/replay/src/simulation/changes.rs
@@ -28,7 +28,7 @@
         for server in 0..self.fleet.len() {
             let runs = &self.runs;
             let queue = &mut self.fleet.get_mut(server).queue;
-            for run in queue.withdraw_where(|run| runs[*run].version == *version) {
+            for run in queue.cancel_where(|run| runs[*run].version == *version) {
                 self.refused(now, run, Refusal::VersionWithdrawn(version.clone()));
             }
         }
@@ -40,7 +40,7 @@
         }
         let name = self.fleet.get_mut(server).name.clone();
         self.driver.server_leaving(&name);
-        for run in self.fleet.get_mut(server).queue.withdraw_where(|_| true) {
+        for run in self.fleet.get_mut(server).queue.cancel_where(|_| true) {
             self.refused(now, run, Refusal::Draining);
         }
     }
--- a/crates/replay/src/simulation/requests.rs
+++ b/crates/replay/src/simulation/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::Next;
+use pondwalk_decide::NextAction;
 use pondwalk_types::Refusal;
 
 use super::{
@@ -50,23 +50,23 @@
     }
 
     /// Does what the policy wants next.
-    pub(super) fn act(&mut self, now: Duration, request: RequestIx, next: Next) {
+    pub(super) fn act(&mut self, now: Duration, request: RequestIx, next: NextAction) {
         match next {
-            Next::Deliver => self.deliver(now, request),
-            Next::AwaitRating(wait) => {
+            NextAction::Deliver => self.deliver(now, request),
+            NextAction::AwaitRating(wait) => {
                 let run = self.requests[request].runs.last().copied();
                 self.requests[request].awaiting = run;
                 if let Some(run) = run {
                     self.events.push(now + wait, Event::RatingOverdue(run));
                 }
             }
-            Next::Run(step) => {
+            NextAction::Run(step) => {
                 if self.requests[request].has_answer {
                     self.count(request, |tally| tally.escalations += 1);
                 }
                 self.submit(now, request, step);
             }
-            Next::Refuse(_) => self.end_unanswered(request),
+            NextAction::Refuse(_) => self.end_unanswered(request),
         }
     }
 
@@ -119,7 +119,7 @@
         if was_running {
             self.free_slot(now, server);
         } else {
-            self.fleet.get_mut(server).queue.withdraw(&run);
+            self.fleet.get_mut(server).queue.cancel(&run);
         }
         let request = self.runs[run].request;
         if let Some(flight) = &mut self.requests[request].flight {
--- a/crates/replay/src/simulation/runs.rs
+++ b/crates/replay/src/simulation/runs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::{Admission, Admitted, Finished, Step};
+use pondwalk_decide::{Admission, Dispatch, FinishedRun, PlannedRun};
 use pondwalk_types::{Ran, Refusal, TokenUsage, VersionState};
 use rand::Rng;
 
@@ -14,7 +14,7 @@
 
 impl Simulation<'_> {
     /// Hands a run to its server's agent.
-    pub(super) fn submit(&mut self, now: Duration, request: RequestIx, step: Step) {
+    pub(super) fn submit(&mut self, now: Duration, request: RequestIx, step: PlannedRun) {
         let recorded = self.requests[request].recorded;
         let Some(server) = self.fleet.find(&step.server) else {
             return;
@@ -23,7 +23,7 @@
         self.runs.push(Run::new(request, step.version, server, recorded));
         self.requests[request].runs.push(run);
         self.count_session(request, run);
-        if let Some(at) = step.deliver_held_at {
+        if let Some(at) = step.fallback_deadline {
             self.events.push(at, Event::DeliverHeld(run));
         }
         let work = self.fleet.work(run, &self.runs[run], &self.requests[request], &self.policy);
@@ -106,7 +106,8 @@
             self.events.push(now + self.settings.rating_delay, Event::Rating(run));
         }
         let outcome = &self.runs[run].outcome;
-        let done = Finished { output_tokens: outcome.output_tokens, service: outcome.service };
+        let done =
+            FinishedRun { output_tokens: outcome.output_tokens, service_time: outcome.service };
         self.requests[request].has_answer = true;
         let Some(mut flight) = self.requests[request].flight.take() else {
             return;
@@ -157,7 +158,7 @@
     pub(super) fn free_slot(&mut self, now: Duration, server: usize) {
         let mut admitted = self.fleet.get_mut(server).queue.finish(now);
         loop {
-            let Admitted { start, shed } = admitted;
+            let Dispatch { start, shed } = admitted;
             if let Some(run) = start {
                 self.start(now, run);
             }
@@ -167,7 +168,7 @@
             if start.is_none() {
                 return;
             }
-            admitted = self.fleet.get_mut(server).queue.admit(now);
+            admitted = self.fleet.get_mut(server).queue.dispatch_next(now);
         }
     }
 }
