--- a/crates/config/src/agent.rs
+++ b/crates/config/src/agent.rs
@@ -13,12 +13,12 @@
 const SECTION: &str = "agent";
 const BACKEND: &str = "backend_server";
 
-/// Whether the backend server checks who gives it orders.
+/// How the backend server checks the authority of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderCheck {
-    /// It refuses an order whose fence is lower than one it has seen.
+    /// It rejects an order whose fencing token is lower than the highest received.
     Fence,
-    /// It obeys whoever asks.
+    /// It accepts every order.
     None,
 }
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// What the agent's backend server is.
+/// Kind of the agent's backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendKind {
     /// A model engine that speaks chat completions.
     Engine,
-    /// A plain service whose calls are passed through.
+    /// A plain service, to which calls are forwarded unchanged.
     Service,
 }
 
@@ -58,35 +58,35 @@
 /// Checked settings of an agent process.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// The backend server it stands beside.
+    /// Id of the agent's backend server.
     pub server: ServerId,
-    /// Where it runs.
+    /// Data centre that the agent runs in.
     pub data_centre: DataCentreId,
-    /// Where entries connect.
+    /// Address on which entries connect.
     pub listen: SocketAddr,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: usize,
-    /// The backend server's address.
+    /// Address of the backend server.
     pub backend: SocketAddr,
-    /// What the backend server is.
+    /// Kind of the backend server.
     pub kind: BackendKind,
-    /// Versions, or the one service, that it hosts at the start.
+    /// Versions, or the single service, that the server hosts at the start.
     pub versions: Vec<VersionId>,
-    /// Requests it runs at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Requests that may wait for a slot.
+    /// Number of requests that may wait for a slot.
     pub queue: u32,
-    /// Longest silence of the backend server within an answer.
+    /// Longest pause of the backend server within a response.
     pub idle_timeout: Duration,
-    /// Whether the backend server checks orders.
+    /// How the backend server checks orders.
     pub order_check: OrderCheck,
-    /// Longest time a planned stop waits for work in flight.
+    /// Longest time that a planned stop waits for requests in flight.
     pub drain: Duration,
-    /// How long an answer that no entry fetches is kept.
+    /// Time for which a response that no entry fetches is kept.
     pub retain: Duration,
-    /// The platform's key-value service.
+    /// The platform's key-value store.
     pub store: StoreSettings,
-    /// Counters, spans and logs.
+    /// Metrics, traces and logs.
     pub telemetry: TelemetrySettings,
 }
 
@@ -104,14 +104,14 @@
     let server = file.required(SECTION, "server", "a name");
     let data_centre = file.required(SECTION, "data_centre", "a name");
     let listen = file.required(SECTION, "listen", ADDRESS);
-    let threads = file.within(SECTION, "threads", "a whole number from 1 to 256", (1, 256), 1);
+    let threads = file.bounded(SECTION, "threads", "a whole number from 1 to 256", (1, 256), 1);
     let backend = file.required(BACKEND, "address", ADDRESS);
-    let kind = file.or(BACKEND, "kind", "engine or service", BackendKind::Engine);
-    let versions = versions(file);
-    let slots = file.within(BACKEND, "slots", count, (1, 100_000), 8);
-    let queue = file.within(BACKEND, "queue", count, (1, 100_000), 16);
+    let kind = file.value_or(BACKEND, "kind", "engine or service", BackendKind::Engine);
+    let versions = read_versions(file);
+    let slots = file.bounded(BACKEND, "slots", count, (1, 100_000), 8);
+    let queue = file.bounded(BACKEND, "queue", count, (1, 100_000), 16);
     let idle_timeout = file.millis(BACKEND, "idle_timeout_ms", 30_000);
-    let order_check = file.or(BACKEND, "order_check", "fence or none", OrderCheck::None);
+    let order_check = file.value_or(BACKEND, "order_check", "fence or none", OrderCheck::None);
     let drain = file.millis(SECTION, "drain_ms", 120_000);
     let retain = file.millis(SECTION, "retain_ms", 30_000);
     let store = StoreSettings::read(file);
@@ -135,12 +135,12 @@
     })
 }
 
-fn versions(file: &mut RawFile) -> Option<Vec<VersionId>> {
+fn read_versions(file: &mut RawFile) -> Option<Vec<VersionId>> {
     let expected = "at least one version or service name";
     let text: String = file.required(BACKEND, "versions", expected)?;
-    let versions = RawFile::items(&text);
+    let versions = RawFile::split_list(&text);
     if versions.is_empty() {
-        file.fault(BACKEND, "versions", Problem::Invalid { found: text, expected });
+        file.add_fault(BACKEND, "versions", Problem::Invalid { found: text, expected });
         return None;
     }
     Some(versions)
--- a/crates/config/src/direct.rs
+++ b/crates/config/src/direct.rs
@@ -11,79 +11,79 @@
     shared::{ADDRESS, StoreSettings},
 };
 
-/// Share of the key bound that is kept back for the way from this process to a backend server.
+/// Share of the key bound that is reserved for the transit of a request to a backend server.
 const KEY_BOUND_MARGIN: f64 = 0.1;
 
-/// Longest time for which a key is honoured without a confirmation, in milliseconds, where the
-/// deployment puts service before strictness. Outages of the store that last minutes are rarer
-/// than those of seconds, and a key taken away because it leaked must not outlive one by long.
-const LENIENT_KEY_BOUND_MS: u64 = 60_000;
+/// Default of the longest time, in milliseconds, for which a key is accepted without a confirmation if the
+/// deployment prefers availability to strictness. Store outages of minutes are rarer than those of
+/// seconds, and a key revoked after a leak must not stay valid for long.
+const DEFAULT_LENIENT_KEY_BOUND_MS: u64 = 60_000;
 
-/// Time between two words of a server on itself where nothing is told, in milliseconds: what all
-/// deployments of the users have.
+/// Default time between two updates of a server's own record, in milliseconds; the value of all known
+/// deployments.
 const DEFAULT_HEARTBEAT_MS: f64 = 1_200.0;
 
-/// Time for which the reporter of usage is not passed over where nothing is told, in milliseconds.
+/// Default lease time of the usage reporter, in milliseconds.
 const DEFAULT_REPORTER_LEASE_MS: u64 = 3_000;
-/// Length of the windows of usage where nothing is told, in seconds.
+/// Default length of a usage window, in seconds.
 const DEFAULT_REPORT_INTERVAL_S: f64 = 5.0;
-/// Time after a window's end by which its report is due where nothing is told, in seconds.
+/// Default time from a window's end until its report is due, in seconds.
 const DEFAULT_USAGE_DELAY_S: f64 = 10.0;
-/// Shortest such time: counts take a second to be gathered, and two calls must fit in behind.
-const SHORTEST_USAGE_DELAY: Duration = Duration::from_secs(2);
+/// Shortest accepted `usage_delay_s`: gathering the counts takes a second, and two calls must follow.
+const MIN_USAGE_DELAY: Duration = Duration::from_secs(2);
 
-/// Time in which a data centre must be left where that cannot be read, in milliseconds.
+/// Evacuation time assumed if the setting is invalid, in milliseconds.
 const DEFAULT_EVACUATION_MS: u64 = 5_000;
 
-/// Everything a direct entry learns from its file.
+/// Checked settings of an entry that reaches backend servers directly.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
     /// Name of this process in logs.
     pub name: String,
-    /// Data centre it runs in.
+    /// Data centre that the entry runs in.
     pub data_centre: String,
-    /// Region of each data centre, as far as it is told.
+    /// Region of each data centre; data centres without a known region are absent.
     pub regions: BTreeMap<DataCentreId, RegionId>,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this process is ready.
+    /// Address on which the load balancer checks readiness.
     pub readiness: SocketAddr,
-    /// Where counters are told, if anywhere.
+    /// Address that serves the metrics, if any.
     pub metrics: Option<SocketAddr>,
-    /// Where other entries ask for changes; without it, this entry watches the store itself.
+    /// Address on which other entries ask for changes; without it, this entry watches the store itself.
     pub peers: Option<SocketAddr>,
-    /// Megabits a second that the machine's link carries; 0 if that is not known.
+    /// Bandwidth of the machine's link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// How it learns from other entries.
+    /// How the entry exchanges state with other entries.
     pub membership: MembershipSettings,
     /// The platform's store.
     pub store: StoreSettings,
-    /// Time after the last confirmation by the store for which the state counts as its own.
+    /// Time after the last confirmation by the store for which the state counts as current.
     pub state_bound: Duration,
-    /// Longest time a key may be honoured after the last confirmation by the store.
+    /// Longest time for which a key is accepted after the last confirmation by the store.
     pub key_bound: Duration,
-    /// Limits on what is sent to a second backend server.
+    /// Limits on sends to further backend servers.
     pub retries: RetrySettings,
-    /// Mechanisms of the decision that an operator may switch off.
+    /// Mechanisms of the decision that an operator can switch off.
     pub policy: PolicySettings,
-    /// How new versions are brought in.
+    /// Limits of roll-outs.
     pub roll_out: RollOutSettings,
-    /// What servers that are cold may get; without it none is held back.
+    /// Request limits of cold servers; `None` for no limits.
     pub warm_up: Option<WarmUpSettings>,
-    /// Calls to the platform that one entry makes for all; without it there are none.
+    /// Usage reports, sent by one entry on behalf of all; `None` for no reports.
     pub usage: Option<UsageSettings>,
-    /// Time from the signal to stop until the process is ended from outside.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// Time after its last request for which a session lasts.
+    /// Time for which a session lasts after its last request.
     pub session_ttl: Duration,
-    /// Lines that may be logged in a second.
+    /// Limit on log lines per second.
     pub log_lines_per_s: u32,
 }
 
-/// Widest link that is told apart, in megabits a second; a machine's own carry up to a hundredth.
-const WIDEST_LINK_MBPS: f64 = 1_000_000.0;
+/// Largest accepted bandwidth in Mbit/s, a hundred times that of the fastest links of machines.
+const MAX_LINK_MBPS: f64 = 1_000_000.0;
 
-/// `[retries]`: sends beyond each request's first.
+/// `[retries]`: limits on sends beyond the first of each request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
     /// Further sends as a share of the requests in the window.
@@ -94,28 +94,28 @@
     pub window: Duration,
 }
 
-/// `[policy]`: mechanisms of the decision, all on unless switched off.
+/// `[policy]`: mechanisms of the decision; all are on by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// Requests that share a part of their prompt go to the server that hashing names for it.
+    /// Requests with a common part of their prompt prefer the server that the part hashes to.
     pub named_servers: bool,
-    /// A server whose answers came late costs as much more for a while.
+    /// The cost of a server is raised for a while by the delay of its recent responses.
     pub delays: bool,
-    /// A server's own word on its load counts.
+    /// The load that a server reports is taken into account.
     pub told_loads: bool,
-    /// Times of engines are learned from answers.
+    /// Service times of engines are estimated from responses.
     pub learned_engines: bool,
-    /// What a larger model's confidence adds to a smaller one's is learned.
+    /// The confidence gained by escalating to a larger model is estimated from responses.
     pub learned_lifts: bool,
-    /// Servers' time has a price under strain.
+    /// Server time has a price under load.
     pub time_price: bool,
-    /// Servers are told the rank of a request, shortest first.
+    /// Requests carry a priority rank to the server, shortest first.
     pub ranks: bool,
-    /// A repeatable request is tried elsewhere while its server is silent.
+    /// A repeatable request is sent to another server while the first does not respond.
     pub tries_elsewhere: bool,
-    /// A stream that pauses too long is resumed elsewhere.
+    /// A stream that pauses for too long is resumed on another server.
     pub leaves_silent_streams: bool,
-    /// Calls that must be over in time are taken late in a planned stop.
+    /// Calls with a time limit are still accepted late in a planned stop.
     pub late_calls: bool,
 }
 
@@ -126,27 +126,27 @@
     pub exposure: f64,
 }
 
-/// `[warm_up]`: requests that a server may get while it is cold, from all entries together.
+/// `[warm_up]`: requests that a cold server may receive from all entries together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUpSettings {
-    /// Factor on the requests a second that the configuration says it bears.
+    /// Factor on the configured requests per second of a cold server.
     pub overshoot: f64,
-    /// Requests in a second on top of that.
+    /// Requests per second allowed in addition.
     pub tolerance: f64,
-    /// Time between two words of a server on itself.
+    /// Time between two updates of a server's own record.
     pub heartbeat: Duration,
 }
 
-/// `[usage]`: calls to the platform that one entry makes for all.
+/// `[usage]`: usage reports, sent to the platform by one entry on behalf of all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsageSettings {
-    /// Where the platform takes them.
+    /// Address of the platform's metering service.
     pub address: SocketAddr,
-    /// Time for which a holder is not passed over.
+    /// Time after which another entry may replace a silent reporter.
     pub lease: Duration,
     /// Length of the windows in which usage is counted.
     pub report_interval: Duration,
-    /// Time after a window's end by which its report is due.
+    /// Time from a window's end until its report is due.
     pub usage_delay: Duration,
 }
 
@@ -159,14 +159,14 @@
     }
 }
 
-/// The width of the link; a template may leave it blank, or tell it with a fraction.
+/// Reads the link's bandwidth; a template may leave it blank or give a fraction.
 fn read_link(file: &mut RawFile) -> u32 {
     match file.text("direct", "link_mbps") {
         Some(text) if !text.trim().is_empty() => {
-            let expected = "megabits a second from 0 to 1000000";
-            let range = (0.0, WIDEST_LINK_MBPS);
-            // NB: within the range every whole part fits.
-            file.within("direct", "link_mbps", expected, range, 0.0) as u32
+            let expected = "megabits per second from 0 to 1000000";
+            let range = (0.0, MAX_LINK_MBPS);
+            // NB: every value in the range fits into a `u32`.
+            file.bounded("direct", "link_mbps", expected, range, 0.0) as u32
         }
         _ => 0,
     }
@@ -185,11 +185,11 @@
     let grace = file.seconds("direct", "grace_s", 8.0);
     let session_ttl = file.seconds("direct", "session_ttl_s", 5.0);
     let lines = "a number of lines from 1 to 100000";
-    let log_lines_per_s = file.within("direct", "log_lines_per_s", lines, (1, 100_000), 200);
+    let log_lines_per_s = file.bounded("direct", "log_lines_per_s", lines, (1, 100_000), 200);
     let retries = read_retries(file);
     let policy = read_policy(file);
     let share = "a share from 0 to 1";
-    let exposure = file.within("roll_out", "exposure", share, (0.0, 1.0), 0.1);
+    let exposure = file.bounded("roll_out", "exposure", share, (0.0, 1.0), 0.1);
     let warm_up = read_warm_up(file);
     let usage = read_usage(file);
     let membership = MembershipSettings::read(file, state_bound);
@@ -219,38 +219,38 @@
     })
 }
 
-/// Region of each data centre, as `DATA CENTRE:REGION` by commas. A template may leave it blank, or fill it in
-/// as a table in JSON, which has the same pairs in quotes and braces.
+/// Reads the region of each data centre: comma-separated pairs `DATA CENTRE:REGION`. A template may leave the value
+/// blank, or fill in a flat JSON object, which has the same pairs in quotes and braces.
 fn read_regions(file: &mut RawFile) -> BTreeMap<DataCentreId, RegionId> {
     let text = file.text("direct", "regions").unwrap_or_default();
     let bare = text.trim().trim_start_matches('{').trim_end_matches('}');
     let mut regions = BTreeMap::new();
-    for pair in RawFile::items(bare) {
+    for pair in RawFile::split_list(bare) {
         let unquoted = |name: &str| name.trim().trim_matches('"').to_owned();
         match pair.split_once(':') {
             Some((data_centre, region)) => {
                 regions.insert(unquoted(data_centre), unquoted(region));
             }
             None => {
-                let expected = "pairs of a data centre and its region, as DATA CENTRE:REGION";
-                file.fault("direct", "regions", Problem::Invalid { found: pair, expected });
+                let expected = "comma-separated pairs DATA CENTRE:REGION";
+                file.add_fault("direct", "regions", Problem::Invalid { found: pair, expected });
             }
         }
     }
     regions
 }
 
-/// Bounds of the state's age and of the age at which keys are still honoured.
+/// Reads the state bound and the key bound.
 fn read_bounds(file: &mut RawFile) -> (Duration, Duration) {
     let strict = file.millis("direct", "key_bound_ms", 5_000).mul_f64(1.0 - KEY_BOUND_MARGIN);
-    let is_strict = file.or_if_blank("direct", "strict_keys", "true or false", true);
-    let lenient = file.millis("direct", "lenient_key_bound_ms", LENIENT_KEY_BOUND_MS);
+    let is_strict = file.value_or_if_blank("direct", "strict_keys", "true or false", true);
+    let lenient = file.millis("direct", "lenient_key_bound_ms", DEFAULT_LENIENT_KEY_BOUND_MS);
     let key_bound = if is_strict { strict } else { lenient.max(strict) };
     (strict, key_bound)
 }
 
 fn read_policy(file: &mut RawFile) -> PolicySettings {
-    let mut is_on = |key| file.or("policy", key, "true or false", true);
+    let mut is_on = |key| file.value_or("policy", key, "true or false", true);
     PolicySettings {
         named_servers: is_on("named_servers"),
         delays: is_on("delays"),
@@ -265,20 +265,21 @@
     }
 }
 
-/// The bounds of cold servers; a template leaves them blank where there are none.
+/// Reads the request limits of cold servers; a template leaves them blank for no limits.
 fn read_warm_up(file: &mut RawFile) -> Option<WarmUpSettings> {
-    let overshoot = read_if_told(file, "overshoot", "a factor from 0 to 100", (0.0, 100.0));
-    let tolerance = read_if_told(file, "tolerance", "a number from 0 to 1000000", (0.0, 1e6));
+    let overshoot = read_optional_number(file, "overshoot", "a factor from 0 to 100", (0.0, 100.0));
+    let tolerance =
+        read_optional_number(file, "tolerance", "a number from 0 to 1000000", (0.0, 1e6));
     let expected = "milliseconds from 1 to 60000";
-    let heartbeat_ms = read_if_told(file, "heartbeat_ms", expected, (1.0, 60_000.0));
+    let heartbeat_ms = read_optional_number(file, "heartbeat_ms", expected, (1.0, 60_000.0));
     let (overshoot, tolerance) = match (overshoot, tolerance) {
         (Some(overshoot), Some(tolerance)) => (overshoot, tolerance),
         (None, None) => return None,
-        // NB: half a bound would be no bound, or one that lets nothing through.
+        // NB: with a default for the missing value, there would be no limit, or one that admits nothing.
         (overshoot, _) => {
             let missing = if overshoot.is_none() { "overshoot" } else { "tolerance" };
-            let expected = "a number, since the other half of the bound is told";
-            file.fault("warm_up", missing, Problem::Missing { expected });
+            let expected = "a number, since overshoot and tolerance must be set together";
+            file.add_fault("warm_up", missing, Problem::Missing { expected });
             return None;
         }
     };
@@ -287,19 +288,19 @@
     Some(WarmUpSettings { overshoot, tolerance, heartbeat })
 }
 
-/// A number of `[warm_up]`, if the deployment tells it.
-fn read_if_told(
+/// Reads a number of `[warm_up]`; `None` if it is absent or blank.
+fn read_optional_number(
     file: &mut RawFile,
     key: &str,
     expected: &'static str,
     bounds: (f64, f64),
 ) -> Option<f64> {
     let text = file.text("warm_up", key)?;
-    let is_told = !text.trim().is_empty();
-    is_told.then(|| file.within("warm_up", key, expected, bounds, bounds.0))
+    let is_set = !text.trim().is_empty();
+    is_set.then(|| file.bounded("warm_up", key, expected, bounds, bounds.0))
 }
 
-/// Checks that a data centre is left in time: evacuations travel as configurations do.
+/// Checks that an evacuation order can propagate within its bound: orders propagate like configurations.
 fn check_evacuation(file: &mut RawFile, membership: &MembershipSettings) {
     let found = file.text("membership", "evacuation_ms").unwrap_or_default();
     if found.trim().is_empty() {
@@ -307,30 +308,30 @@
     }
     let bound = file.millis("membership", "evacuation_ms", DEFAULT_EVACUATION_MS);
     if membership.times.worst_case_propagation() > bound {
-        let expected = "a time that the ways of a change fit into, as for propagation_ms";
-        file.fault("membership", "evacuation_ms", Problem::Invalid { found, expected });
+        let expected = "a time long enough for a change to propagate, as for propagation_ms";
+        file.add_fault("membership", "evacuation_ms", Problem::Invalid { found, expected });
     }
 }
 
-/// Tasks among `tasks` that this entry takes part in.
+/// The only item of `tasks` that entries perform.
 const USAGE_TASK: &str = "metering";
 
-/// The calls that the platform asks for; a template leaves them blank where there are none.
+/// Reads the settings of usage reports; a template leaves them blank for no reports.
 fn read_usage(file: &mut RawFile) -> Option<UsageSettings> {
     let tasks = file.text("usage", "tasks").unwrap_or_default();
-    let lease = millis_if_told(file, "lease_ms", DEFAULT_REPORTER_LEASE_MS);
-    let report_interval = seconds_if_told(file, "report_interval_s", DEFAULT_REPORT_INTERVAL_S);
-    let usage_delay = seconds_if_told(file, "usage_delay_s", DEFAULT_USAGE_DELAY_S);
-    let is_asked = RawFile::items(&tasks).iter().any(|task| task == USAGE_TASK);
-    if !is_asked {
+    let lease = millis_or_default(file, "lease_ms", DEFAULT_REPORTER_LEASE_MS);
+    let report_interval = seconds_or_default(file, "report_interval_s", DEFAULT_REPORT_INTERVAL_S);
+    let usage_delay = seconds_or_default(file, "usage_delay_s", DEFAULT_USAGE_DELAY_S);
+    let is_enabled = RawFile::split_list(&tasks).iter().any(|task| task == USAGE_TASK);
+    if !is_enabled {
         file.mark_used("usage", "address");
         return None;
     }
     let address = file.required("usage", "address", ADDRESS)?;
-    if usage_delay < SHORTEST_USAGE_DELAY {
+    if usage_delay < MIN_USAGE_DELAY {
         let found = file.text("usage", "usage_delay_s").unwrap_or_default();
-        let expected = "a time in which counts can be gathered, 2 seconds or more";
-        file.fault("usage", "usage_delay_s", Problem::Invalid { found, expected });
+        let expected = "at least 2 seconds, the time to gather and send the counts";
+        file.add_fault("usage", "usage_delay_s", Problem::Invalid { found, expected });
     }
     Some(UsageSettings { address, lease, report_interval, usage_delay })
 }
@@ -339,14 +340,14 @@
     file.text("usage", key).unwrap_or_default().trim().is_empty()
 }
 
-fn millis_if_told(file: &mut RawFile, key: &str, default_ms: u64) -> Duration {
+fn millis_or_default(file: &mut RawFile, key: &str, default_ms: u64) -> Duration {
     if is_blank(file, key) {
         return Duration::from_millis(default_ms);
     }
     file.millis("usage", key, default_ms)
 }
 
-fn seconds_if_told(file: &mut RawFile, key: &str, default_s: f64) -> Duration {
+fn seconds_or_default(file: &mut RawFile, key: &str, default_s: f64) -> Duration {
     if is_blank(file, key) {
         return Duration::from_secs_f64(default_s);
     }
@@ -357,8 +358,8 @@
     let share = "a share from 0 to 10";
     let number = "a number from 0 to 1000000";
     RetrySettings {
-        ratio: file.within("retries", "ratio", share, (0.0, 10.0), 0.1),
-        extra: file.within("retries", "extra", number, (0.0, 1e6), 10.0),
+        ratio: file.bounded("retries", "ratio", share, (0.0, 10.0), 0.1),
+        extra: file.bounded("retries", "extra", number, (0.0, 1e6), 10.0),
         window: file.seconds("retries", "window_s", 10.0),
     }
 }
--- a/crates/config/src/entry.rs
+++ b/crates/config/src/entry.rs
@@ -12,43 +12,43 @@
 };
 
 const SECTION: &str = "entry";
-/// Fewest characters of a key that signs session pins.
+/// Shortest accepted key for signing session pins, in bytes.
 const MIN_SIGNING_KEY_LEN: usize = 16;
 
 /// Checked settings of an entry process.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// This process's name.
+    /// Name of this process.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// Data centre that the entry runs in.
     pub data_centre: DataCentreId,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: usize,
     /// Key that signs session pins; the same for all entries.
     pub signing_key: String,
-    /// Former key whose pins are still honoured.
+    /// Previous signing key, whose pins are still accepted.
     pub former_signing_key: Option<String>,
-    /// The platform's key-value service.
+    /// The platform's key-value store.
     pub store: StoreSettings,
-    /// The platform's list of live and leaving instances.
+    /// Address of the platform's list of live and draining instances.
     pub instances: SocketAddr,
-    /// How often the list is read.
+    /// Interval at which the list is read.
     pub instances_every: Duration,
-    /// The service that rates answers, if there is one.
+    /// Address of the service that rates answers, if any.
     pub rating: Option<SocketAddr>,
-    /// Share of answers sent to it, from 0 to 1.
+    /// Share of answers that are rated, from 0 to 1.
     pub rating_share: f64,
-    /// How long the entry is unready before it stops accepting, on a planned stop.
+    /// Time for which the entry is unready before it stops accepting connections, on a planned stop.
     pub unready_notice: Duration,
-    /// How often an agent that carried no traffic is asked for its load.
+    /// Interval at which the load of an agent without traffic is polled.
     pub heartbeat: Duration,
-    /// How long the last confirmed configuration may be acted on; without limit if absent.
+    /// Longest time for which the last confirmed configuration is used; `None` for no limit.
     pub config_bound: Option<Duration>,
-    /// Limits towards callers.
+    /// Limits on callers.
     pub limits: Limits,
-    /// Counters, spans and logs.
+    /// Metrics, traces and logs.
     pub telemetry: TelemetrySettings,
 }
 
@@ -66,18 +66,18 @@
     let instance = file.required(SECTION, "instance", "a name");
     let data_centre = file.required(SECTION, "data_centre", "a name");
     let listen = file.required(SECTION, "listen", ADDRESS);
-    let threads = file.within(SECTION, "threads", "a whole number from 1 to 256", (1, 256), 2);
-    let signing_key = signing_key(file, "signing_key");
+    let threads = file.bounded(SECTION, "threads", "a whole number from 1 to 256", (1, 256), 2);
+    let signing_key = read_signing_key(file, "signing_key");
     if signing_key.is_none() && file.text("sessions", "signing_key").is_none() {
         let expected = "at least 16 characters";
-        file.fault("sessions", "signing_key", Problem::Missing { expected });
+        file.add_fault("sessions", "signing_key", Problem::Missing { expected });
     }
-    let former_signing_key = signing_key_optional(file);
+    let former_signing_key = read_former_signing_key(file);
     let store = StoreSettings::read(file);
     let instances = file.required("instances", "address", ADDRESS);
     let instances_every = file.millis("instances", "every_ms", 2_000);
     let rating = file.optional("rating", "address", ADDRESS);
-    let rating_share = file.within("rating", "share", "a number from 0 to 1", (0.0, 1.0), 1.0);
+    let rating_share = file.bounded("rating", "share", "a number from 0 to 1", (0.0, 1.0), 1.0);
     let unready_notice = file.millis(SECTION, "unready_notice_ms", 2_000);
     let heartbeat = file.millis(SECTION, "heartbeat_ms", 1_000);
     let config_bound = file.optional_millis(SECTION, "config_bound_ms");
@@ -103,16 +103,16 @@
     })
 }
 
-fn signing_key(file: &mut RawFile, key: &str) -> Option<String> {
+fn read_signing_key(file: &mut RawFile, key: &str) -> Option<String> {
     let text = file.text("sessions", key)?;
     if text.len() >= MIN_SIGNING_KEY_LEN {
         return Some(text);
     }
     let expected = "at least 16 characters";
-    file.fault("sessions", key, Problem::Invalid { found: "a shorter key".into(), expected });
+    file.add_fault("sessions", key, Problem::Invalid { found: "a shorter key".into(), expected });
     None
 }
 
-fn signing_key_optional(file: &mut RawFile) -> Option<String> {
-    signing_key(file, "former_signing_key")
+fn read_former_signing_key(file: &mut RawFile) -> Option<String> {
+    read_signing_key(file, "former_signing_key")
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,28 +1,28 @@
-//! Faults found in a file, each with its place and what was expected.
+//! Faults found in a file, each with its section, its key and the expected value.
 
 use std::{fmt, path::PathBuf};
 
 use thiserror::Error;
 
-/// What is wrong at one place.
+/// What is wrong with one key or section.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("is missing; expected {expected}")]
     Missing {
-        /// What should stand there.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A value cannot be read or is out of range.
+    /// A value cannot be parsed or is out of range.
     #[error("is `{found}`; expected {expected}")]
     Invalid {
         /// The text found.
         found: String,
-        /// What should stand there.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A key or section that nothing reads.
-    #[error("is not known here")]
+    /// A key that no setting uses.
+    #[error("is not a known setting")]
     Unknown,
     /// A name refers to something that is not defined.
     #[error("refers to `{name}`, which no section defines")]
@@ -30,8 +30,8 @@
         /// The name that is not defined.
         name: String,
     },
-    /// A template uses a parameter that the workspace does not give.
-    #[error("needs the parameter `{name}`, which the workspace does not give")]
+    /// A template uses a parameter that the workspace does not define.
+    #[error("needs the parameter `{name}`, which the workspace does not define")]
     NoParameter {
         /// The parameter.
         name: String,
@@ -41,9 +41,9 @@
 /// One fault with its section and key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Section name, empty for the part above all sections.
+    /// Section name; empty for keys before the first section.
     pub section: String,
-    /// Key name, empty for the section itself.
+    /// Key name; empty for the section itself.
     pub key: String,
     /// What is wrong.
     pub problem: Problem,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Why a file was refused.
+/// Why a file was rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -70,8 +70,8 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The text is not INI.
-    #[error("{}:{line}: is not INI: {reason}", path.display())]
+    /// The text is not valid INI.
+    #[error("{}:{line}: invalid INI: {reason}", path.display())]
     NotIni {
         /// The file.
         path: PathBuf,
@@ -80,12 +80,12 @@
         /// The parser's reason.
         reason: String,
     },
-    /// The content has faults.
+    /// Keys or values have faults.
     #[error("{}", list(path, faults))]
     Faults {
         /// The file.
         path: PathBuf,
-        /// All faults found.
+        /// All faults, in the order found.
         faults: Vec<Fault>,
     },
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings and policy files: INI text to checked types.
+//! Parsing and validation of settings and policy files in INI format.
 //!
-//! Every file is read into [`raw::RawFile`], which keeps track of the keys that were used, and
-//! then converted with `TryFrom` into one checked type. All faults of a file are reported.
+//! Every file is read into a [`raw::RawFile`], which tracks the keys that were used, and then
+//! converted with `TryFrom` into one checked type. All faults of a file are reported together.
 
 pub mod agent;
 pub mod direct;
@@ -27,7 +27,7 @@
 
 use std::path::Path;
 
-/// What kind of file a name or content points to.
+/// Kind of a file, as detected from its sections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FileKind {
     /// Settings of an entry process.
@@ -36,16 +36,16 @@
     Agent,
     /// Settings of an entry that reaches backend servers directly.
     Direct,
-    /// Settings of a replay, which hold a policy too.
+    /// Settings of a replay, which include a policy.
     Replay,
-    /// Stated outcomes of a replay.
+    /// Expected outcomes of a replay.
     Outcomes,
     /// Templates, workspaces and versions.
     Policy,
 }
 
-/// Tells from its sections what a file is for.
-pub fn kind_of(file: &RawFile) -> FileKind {
+/// Detects the kind of a file from its sections.
+pub fn detect_kind(file: &RawFile) -> FileKind {
     if file.has_section("entry") {
         FileKind::Entry
     } else if file.has_section("agent") {
@@ -61,10 +61,14 @@
     }
 }
 
-/// Reads a file and checks it as what it appears to be.
+/// Reads a file and checks it as the kind detected from its sections.
+///
+/// # Errors
+///
+/// Returns an error if the file cannot be read, is not INI or has faults.
 pub fn check_file(path: &Path) -> Result<FileKind, ConfigError> {
     let file = RawFile::load(path)?;
-    let kind = kind_of(&file);
+    let kind = detect_kind(&file);
     match kind {
         FileKind::Entry => EntrySettings::try_from(file).map(drop)?,
         FileKind::Agent => AgentSettings::try_from(file).map(drop)?,
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,7 +1,7 @@
 //! Policy files: versions, services, roll-outs, templates and workspaces.
 //!
-//! A template holds a workspace's keys with `${NAME}` where a parameter goes; a workspace names
-//! its template, gives `param.NAME` values, and may state any of the template's keys itself.
+//! A template contains keys of a workspace, with `${NAME}` as placeholders for parameters. A workspace names
+//! its template, defines the parameters as `param.NAME`, and may override any key of the template.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,32 +16,36 @@
 };
 
 const PARAMETER_PREFIX: &str = "param.";
-/// Ends a section name that prices all versions of a model.
+/// Suffix of a section name that sets the price of all versions of a model.
 const ANY_VERSION: &str = "/*";
 const TASK_PREFIX: &str = "task.";
 
-/// Reads a file that holds nothing but a policy.
+/// Reads a file that contains only a policy.
+///
+/// # Errors
+///
+/// Returns all faults of the file.
 pub fn policy_from_ini(mut file: RawFile) -> Result<Policy, ConfigError> {
     let policy = read_policy(&mut file);
     file.finish(Some(policy))
 }
 
-/// Reads the policy's sections out of a file that may hold others too.
+/// Reads the policy's sections from a file that may have other sections.
 pub fn read_policy(file: &mut RawFile) -> Policy {
     let mut policy = Policy::default();
-    for name in file.names_of("version") {
+    for name in file.section_names("version") {
         let spec = read_version(file, &format!("version {name}"));
         match name.strip_suffix(ANY_VERSION) {
             Some(model) => drop(policy.model_prices.insert(model.to_owned(), spec.price)),
             None => drop(policy.versions.insert(name, spec)),
         }
     }
-    policy.services = file.names_of("service").into_iter().collect();
-    for name in file.names_of("roll_out") {
+    policy.services = file.section_names("service").into_iter().collect();
+    for name in file.section_names("roll_out") {
         read_roll_out(file, name, &mut policy);
     }
     check_templates(file);
-    for name in file.names_of("workspace") {
+    for name in file.section_names("workspace") {
         let workspace = read_workspace(file, &name, &policy);
         policy.workspaces.insert(name, workspace);
     }
@@ -52,7 +56,7 @@
     policy
 }
 
-/// Adds the versions that workspaces name and only their model prices.
+/// Adds the versions that workspaces allow and that have no section of their own but a price by their model.
 fn add_allowed_versions(policy: &mut Policy) {
     let workspaces = policy.workspaces.values();
     let named: BTreeSet<String> =
@@ -66,9 +70,9 @@
     let expected = "a price of zero or more per thousand tokens";
     let bounds = (0.0, 1e9);
     let prompt_per_1k_tokens =
-        file.within(section, "prompt_price_per_1k_tokens", expected, bounds, 0.0);
+        file.bounded(section, "prompt_price_per_1k_tokens", expected, bounds, 0.0);
     let output_per_1k_tokens =
-        file.within(section, "output_price_per_1k_tokens", expected, bounds, 0.0);
+        file.bounded(section, "output_price_per_1k_tokens", expected, bounds, 0.0);
     let found = file.text(section, "state").unwrap_or_else(|| "live".into());
     let state = match found.as_str() {
         "live" => VersionState::Live,
@@ -76,7 +80,7 @@
         "withdrawn" => VersionState::Withdrawn,
         _ => {
             let expected = "live, retiring or withdrawn";
-            file.fault(section, "state", Problem::Invalid { found, expected });
+            file.add_fault(section, "state", Problem::Invalid { found, expected });
             VersionState::Live
         }
     };
@@ -91,15 +95,15 @@
     };
     for name in [&version, &replaces] {
         if !policy.add_version(name) {
-            file.fault(&section, "replaces", Problem::Undefined { name: name.clone() });
+            file.add_fault(&section, "replaces", Problem::Undefined { name: name.clone() });
         }
     }
     policy.roll_outs.push(RollOut { version, replaces });
 }
 
-/// Marks the keys of templates as used; their values are checked where workspaces use them.
+/// Marks the keys of templates as used; their values are checked when workspaces use them.
 fn check_templates(file: &mut RawFile) {
-    for name in file.names_of("template") {
+    for name in file.section_names("template") {
         let section = format!("template {name}");
         for (key, _) in file.pairs(&section) {
             if is_workspace_key(&key) {
@@ -129,13 +133,13 @@
     matches!(field, "quality_target" | "target_share").then_some((task, field))
 }
 
-/// A workspace's keys after its template and parameters are filled in, with their origin.
-struct Filled {
+/// A workspace's section after expansion of its template and parameters.
+struct ExpandedWorkspace {
     section: String,
     values: BTreeMap<String, String>,
 }
 
-impl Filled {
+impl ExpandedWorkspace {
     fn number(
         &self,
         file: &mut RawFile,
@@ -147,7 +151,11 @@
         match found.trim().parse::<f64>() {
             Ok(value) if value >= bounds.0 && value <= bounds.1 => Some(value),
             _ => {
-                file.fault(&self.section, key, Problem::Invalid { found: found.clone(), expected });
+                file.add_fault(
+                    &self.section,
+                    key,
+                    Problem::Invalid { found: found.clone(), expected },
+                );
                 None
             }
         }
@@ -155,37 +163,37 @@
 
     fn names(&self, key: &str) -> BTreeSet<String> {
         let text = self.values.get(key).map(String::as_str).unwrap_or_default();
-        RawFile::items(text).into_iter().collect()
+        RawFile::split_list(text).into_iter().collect()
     }
 }
 
 fn read_workspace(file: &mut RawFile, name: &str, policy: &Policy) -> WorkspacePolicy {
-    let filled = fill(file, format!("workspace {name}"));
+    let expanded = expand_template(file, format!("workspace {name}"));
     let mut workspace = WorkspacePolicy {
-        allowed_versions: filled.names("allowed_versions"),
-        allowed_services: filled.names("allowed_services"),
-        tasks: read_tasks(file, &filled),
-        keys_sha256: filled.names("keys_sha256"),
+        allowed_versions: expanded.names("allowed_versions"),
+        allowed_services: expanded.names("allowed_services"),
+        tasks: read_tasks(file, &expanded),
+        keys_sha256: expanded.names("keys_sha256"),
         ..WorkspacePolicy::default()
     };
-    check_names(file, &filled, &workspace, policy);
+    check_names(file, &expanded, &workspace, policy);
     workspace.spend_cap =
-        filled.number(file, "spend_cap", "an amount of zero or more", (0.0, 1e12));
+        expanded.number(file, "spend_cap", "an amount of zero or more", (0.0, 1e12));
     if let Some(priority) =
-        filled.number(file, "priority", "a whole number from 0 to 9", (0.0, 9.0))
+        expanded.number(file, "priority", "a whole number from 0 to 9", (0.0, 9.0))
     {
         workspace.priority = priority as u8;
     }
     if let Some(weight) =
-        filled.number(file, "share_weight", "a number from 0.01 to 1000", (0.01, 1000.0))
+        expanded.number(file, "share_weight", "a number from 0.01 to 1000", (0.01, 1000.0))
     {
         workspace.share_weight = weight;
     }
     workspace.only_listed_tasks =
-        choice(file, &filled, "only_listed_tasks", "true or false", |t| t.parse().ok())
+        choice(file, &expanded, "only_listed_tasks", "true or false", |t| t.parse().ok())
             .unwrap_or(false);
     workspace.on_withdrawal =
-        choice(file, &filled, "on_withdrawal", "restart or refuse", |t| match t {
+        choice(file, &expanded, "on_withdrawal", "restart or refuse", |t| match t {
             "restart" => Some(WithdrawalPolicy::Restart),
             "refuse" => Some(WithdrawalPolicy::Refuse),
             _ => None,
@@ -196,26 +204,26 @@
 
 fn choice<T>(
     file: &mut RawFile,
-    filled: &Filled,
+    expanded: &ExpandedWorkspace,
     key: &str,
     expected: &'static str,
     read: impl Fn(&str) -> Option<T>,
 ) -> Option<T> {
-    let found = filled.values.get(key)?;
+    let found = expanded.values.get(key)?;
     let value = read(found.trim());
     if value.is_none() {
-        file.fault(&filled.section, key, Problem::Invalid { found: found.clone(), expected });
+        file.add_fault(&expanded.section, key, Problem::Invalid { found: found.clone(), expected });
     }
     value
 }
 
-/// Merges the template's keys with the workspace's own and fills in parameters.
-fn fill(file: &mut RawFile, section: String) -> Filled {
+/// Merges the template's keys with the workspace's own and substitutes the parameters.
+fn expand_template(file: &mut RawFile, section: String) -> ExpandedWorkspace {
     let mut values = BTreeMap::new();
     if let Some(template) = file.text(&section, "template") {
         let template_section = format!("template {template}");
         if !file.has_section(&template_section) {
-            file.fault(&section, "template", Problem::Undefined { name: template });
+            file.add_fault(&section, "template", Problem::Undefined { name: template });
         }
         values.extend(file.pairs(&template_section));
     }
@@ -231,37 +239,37 @@
     }
     for (key, value) in &mut values {
         match substitute(value, &parameters) {
-            Ok(filled) => *value = filled,
-            Err(name) => file.fault(&section, key, Problem::NoParameter { name }),
+            Ok(expanded) => *value = expanded,
+            Err(name) => file.add_fault(&section, key, Problem::NoParameter { name }),
         }
     }
-    Filled { section, values }
+    ExpandedWorkspace { section, values }
 }
 
-/// Replaces each `${NAME}`; the error names a parameter that is not given.
+/// Replaces each `${NAME}`; the error is the name of an undefined parameter.
 fn substitute(text: &str, parameters: &BTreeMap<String, String>) -> Result<String, String> {
-    let mut filled = String::new();
+    let mut expanded = String::new();
     let mut rest = text;
     while let Some((before, after)) = rest.split_once("${") {
         let (name, tail) = after.split_once('}').unwrap_or((after, ""));
         let value = parameters.get(name).ok_or_else(|| name.to_owned())?;
-        filled.push_str(before);
-        filled.push_str(value);
+        expanded.push_str(before);
+        expanded.push_str(value);
         rest = tail;
     }
-    filled.push_str(rest);
-    Ok(filled)
+    expanded.push_str(rest);
+    Ok(expanded)
 }
 
-fn read_tasks(file: &mut RawFile, filled: &Filled) -> BTreeMap<String, TaskPolicy> {
+fn read_tasks(file: &mut RawFile, expanded: &ExpandedWorkspace) -> BTreeMap<String, TaskPolicy> {
     let names: BTreeSet<String> =
-        filled.values.keys().filter_map(|key| Some(task_key(key)?.0.to_owned())).collect();
+        expanded.values.keys().filter_map(|key| Some(task_key(key)?.0.to_owned())).collect();
     let mut tasks = BTreeMap::new();
     for name in names {
         let expected = "a number from 0 to 1";
         let mut read = |field: &str, default: f64| {
             let key = format!("{TASK_PREFIX}{name}.{field}");
-            filled.number(file, &key, expected, (0.0, 1.0)).unwrap_or(default)
+            expanded.number(file, &key, expected, (0.0, 1.0)).unwrap_or(default)
         };
         let task = TaskPolicy {
             quality_target: read("quality_target", 0.0),
@@ -272,17 +280,22 @@
     tasks
 }
 
-fn check_names(file: &mut RawFile, filled: &Filled, workspace: &WorkspacePolicy, policy: &Policy) {
+fn check_names(
+    file: &mut RawFile,
+    expanded: &ExpandedWorkspace,
+    workspace: &WorkspacePolicy,
+    policy: &Policy,
+) {
     for name in &workspace.allowed_versions {
         if policy.price_of(name).is_none() {
             let problem = Problem::Undefined { name: name.clone() };
-            file.fault(&filled.section, "allowed_versions", problem);
+            file.add_fault(&expanded.section, "allowed_versions", problem);
         }
     }
     for name in &workspace.allowed_services {
         if name != ALL_SERVICES && !policy.services.contains(name) {
             let problem = Problem::Undefined { name: name.clone() };
-            file.fault(&filled.section, "allowed_services", problem);
+            file.add_fault(&expanded.section, "allowed_services", problem);
         }
     }
     for digest in &workspace.keys_sha256 {
@@ -290,7 +303,7 @@
         if digest.len() != 64 || !hex {
             let expected = "64 lower-case hex digits";
             let problem = Problem::Invalid { found: digest.clone(), expected };
-            file.fault(&filled.section, "keys_sha256", problem);
+            file.add_fault(&expanded.section, "keys_sha256", problem);
         }
     }
 }
--- a/crates/config/src/record.rs
+++ b/crates/config/src/record.rs
@@ -1,17 +1,17 @@
-//! The policy as it lies in the platform's key-value service.
+//! The policy as stored in the platform's key-value store.
 
 use pondwalk_types::{Generation, Policy};
 use serde::{Deserialize, Serialize};
 
-/// Key of the one record that holds the configuration in force.
+/// Key of the record with the configuration in force.
 pub const HEAD_KEY: &str = "pondwalk/policy/head";
 
 /// One accepted configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicyRecord {
-    /// Its place in the order of all accepted configurations.
+    /// Sequence number among all accepted configurations.
     pub generation: Generation,
-    /// Id drawn by the change's author, to recognise a change whose answer was lost.
+    /// Random id of the change, by which its author recognises the change if the response was lost.
     pub change_id: u64,
     /// The configuration.
     pub policy: Policy,
--- a/crates/config/src/replay.rs
+++ b/crates/config/src/replay.rs
@@ -1,4 +1,4 @@
-//! Settings and stated outcomes of a replay.
+//! Settings and expected outcomes of a replay.
 
 use std::{fmt, time::Duration};
 
@@ -19,15 +19,15 @@
     pub rating_delay: Duration,
     /// Share of answers that are rated, from 0 to 1.
     pub rating_share: f64,
-    /// Requests that may wait at each server.
+    /// Number of requests that may wait at each server.
     pub queue: u32,
-    /// Time after which a leaving server must receive no new work.
+    /// Time after which a draining server must receive no new work.
     pub leaving_grace: Duration,
-    /// Delay of the list of live and leaving instances.
+    /// Delay of the list of live and draining instances.
     pub instance_list_lag: Duration,
-    /// Template applied to workspaces that only the trace names, if any.
+    /// Workspace whose policy applies to workspaces that appear only in the trace, if any.
     pub default_workspace: Option<String>,
-    /// The configuration at the start.
+    /// Initial configuration.
     pub policy: Policy,
 }
 
@@ -49,12 +49,12 @@
         && !policy.workspaces.contains_key(name)
     {
         let problem = Problem::Undefined { name: name.clone() };
-        file.fault(SECTION, "default_workspace", problem);
+        file.add_fault(SECTION, "default_workspace", problem);
     }
     ReplaySettings {
         rating_delay: file.millis(SECTION, "rating_delay_ms", 150),
-        rating_share: file.within(SECTION, "rating_share", share, (0.0, 1.0), 1.0),
-        queue: file.within(SECTION, "queue", count, (1, 100_000), 64),
+        rating_share: file.bounded(SECTION, "rating_share", share, (0.0, 1.0), 1.0),
+        queue: file.bounded(SECTION, "queue", count, (1, 100_000), 64),
         leaving_grace: file.millis(SECTION, "leaving_grace_ms", 3_000),
         instance_list_lag: file.millis(SECTION, "instance_list_lag_ms", 500),
         default_workspace,
@@ -62,7 +62,7 @@
     }
 }
 
-/// How a figure of the report is compared.
+/// Comparison operator of an expected outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
     /// At most.
@@ -90,31 +90,31 @@
     }
 }
 
-/// One stated outcome.
+/// One expected outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Path of the figure in the report, with dots between names.
+    /// Path of a value in the report, with dots between names.
     pub path: String,
-    /// How it is compared.
+    /// Operator between the value and the bound.
     pub comparison: Comparison,
-    /// What it is compared with.
+    /// Bound.
     pub bound: f64,
 }
 
 impl Outcome {
-    /// Whether a figure satisfies the outcome.
-    pub fn is_met(&self, seen: f64) -> bool {
+    /// Whether a value of the report satisfies the outcome.
+    pub fn is_met(&self, value: f64) -> bool {
         match self.comparison {
-            Comparison::AtMost => seen <= self.bound,
-            Comparison::AtLeast => seen >= self.bound,
-            Comparison::Below => seen < self.bound,
-            Comparison::Above => seen > self.bound,
-            Comparison::Equal => seen == self.bound,
+            Comparison::AtMost => value <= self.bound,
+            Comparison::AtLeast => value >= self.bound,
+            Comparison::Below => value < self.bound,
+            Comparison::Above => value > self.bound,
+            Comparison::Equal => value == self.bound,
         }
     }
 }
 
-/// All outcomes stated in a file.
+/// All expected outcomes of a file.
 #[derive(Debug, Clone, Default)]
 pub struct Outcomes(pub Vec<Outcome>);
 
@@ -125,13 +125,13 @@
         let mut outcomes = Vec::new();
         for (path, found) in file.pairs("outcome") {
             file.mark_used("outcome", &path);
-            match comparison(&found) {
+            match parse_comparison(&found) {
                 Some((comparison, bound)) => {
                     outcomes.push(Outcome { path, comparison, bound });
                 }
                 None => {
                     let expected = "a comparison and a number, such as `<= 10`";
-                    file.fault("outcome", &path, Problem::Invalid { found, expected });
+                    file.add_fault("outcome", &path, Problem::Invalid { found, expected });
                 }
             }
         }
@@ -139,7 +139,7 @@
     }
 }
 
-fn comparison(text: &str) -> Option<(Comparison, f64)> {
+fn parse_comparison(text: &str) -> Option<(Comparison, f64)> {
     const SIGNS: [(&str, Comparison); 6] = [
         ("<=", Comparison::AtMost),
         (">=", Comparison::AtLeast),
--- a/crates/config/src/shared.rs
+++ b/crates/config/src/shared.rs
@@ -1,25 +1,25 @@
-//! Sections that entry and agent settings have in common.
+//! Sections common to several kinds of settings.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::raw::RawFile;
 
-/// What an IP address with its port looks like, for faults.
+/// Description of an address, for faults.
 pub const ADDRESS: &str = "an IP address and port, such as 127.0.0.1:8080";
 
-/// `[store]`: the platform's key-value service.
+/// `[store]`: the platform's key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Longest time one call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Longest time one watch waits before it is opened again.
+    /// Longest time that a watch waits before it is renewed.
     pub watch_wait: Duration,
 }
 
 impl StoreSettings {
-    /// Reads the section.
+    /// Reads the section; `None` after recording a fault if the address is missing or invalid.
     pub fn read(file: &mut RawFile) -> Option<Self> {
         let address = file.required("store", "address", ADDRESS);
         let timeout = file.millis("store", "timeout_ms", 1_000);
@@ -28,27 +28,27 @@
     }
 }
 
-/// `[telemetry]`: where counters and spans go.
+/// `[telemetry]`: receivers of metrics and traces, and the log level.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TelemetrySettings {
-    /// StatsD receiver of the counters, if any.
+    /// StatsD receiver of metrics, if any.
     pub statsd: Option<SocketAddr>,
-    /// OTLP receiver of the spans over HTTP, if any.
+    /// OTLP receiver of traces over HTTP, if any.
     pub otlp: Option<SocketAddr>,
-    /// Least severe log level written.
+    /// Lowest severity that is logged.
     pub log_level: LogLevel,
 }
 
-/// How much is logged.
+/// Log level.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Failures only.
+    /// Only failures.
     Error,
-    /// Failures and what may lead to them.
+    /// Failures and their possible causes.
     Warn,
-    /// Changes of state.
+    /// Also changes of state.
     Info,
-    /// Everything.
+    /// All messages.
     Debug,
 }
 
@@ -72,7 +72,7 @@
         TelemetrySettings {
             statsd: file.optional("telemetry", "statsd", ADDRESS),
             otlp: file.optional("telemetry", "otlp", ADDRESS),
-            log_level: file.or(
+            log_level: file.value_or(
                 "telemetry",
                 "log_level",
                 "error, warn, info or debug",
--- a/crates/config/tests/accepts_sample_files.rs
+++ b/crates/config/tests/accepts_sample_files.rs
@@ -1,4 +1,4 @@
-//! Every sample file is accepted as what it is meant to be.
+//! Sample files and the filled deployment template are accepted.
 
 use std::{
     path::{Path, PathBuf},
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn each_sample_is_accepted_by_its_name() {
+fn each_sample_is_accepted_as_the_kind_of_its_file_name() {
     let files = samples();
-    assert!(files.len() >= 13, "samples of both users, for trying out and for replays");
+    assert!(files.len() >= 13, "samples of both deployments, for local use and for replays");
     for file in files {
         let name = file.file_name().and_then(|name| name.to_str()).expect("a name");
         let expected = match name {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn templates_are_filled_in_for_each_workspace() {
+fn templates_are_expanded_for_each_workspace() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../sample_configs");
     let file = RawFile::load(&root.join("franchise/policy.ini")).expect("readable");
     let policy = policy_from_ini(file).expect("accepted");
@@ -54,8 +54,8 @@
     assert_eq!(new.prompt_per_1k_tokens, 0.5);
 }
 
-/// Fills the platform's template with plain values, as the platform does; `strict` is the
-/// deployment's declaration on keys, which may be absent.
+/// Substitutes plain values for the placeholders of the deployment template, as the platform does; `strict` is the
+/// value of `strict_revoke`, which may be blank.
 fn filled_template(strict: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/entry.ini");
     let mut text = std::fs::read_to_string(path).expect("the template");
@@ -79,13 +79,13 @@
         ("{{guarantees.retry_min_extra}}", "54"),
         ("{{guarantees.retry_window_s}}", "10"),
     ];
-    for (gap, value) in values.into_iter().chain(COLD_SERVERS).chain(USAGE) {
-        text = text.replace(gap, value);
+    for (placeholder, value) in values.into_iter().chain(COLD_SERVERS).chain(USAGE) {
+        text = text.replace(placeholder, value);
     }
     text
 }
 
-/// Gaps that only deployments with cold servers and evacuations fill.
+/// Placeholders that only deployments with cold servers and evacuations fill.
 const COLD_SERVERS: [(&str, &str); 4] = [
     ("{{guarantees.evacuation_ms}}", "5000"),
     ("{{guarantees.warmup_overshoot}}", "1.5"),
@@ -93,7 +93,7 @@
     ("{{heartbeat_ms}}", "1200"),
 ];
 
-/// Gaps that only deployments with calls which one entry makes for all fill.
+/// Placeholders that only deployments with usage reports fill.
 const USAGE: [(&str, &str); 5] = [
     ("{{cloud_api.address}}", "10.200.0.113:8424"),
     ("{{cloud_api.tasks}}", "metering,autoscaling"),
@@ -103,13 +103,13 @@
 ];
 
 fn settings_of(text: &str) -> DirectSettings {
-    assert!(!text.contains("{{"), "a gap without a value in\n{text}");
+    assert!(!text.contains("{{"), "a placeholder without a value in\n{text}");
     let file = RawFile::parse(Path::new("entry.ini"), text).expect("INI");
     DirectSettings::try_from(file).expect("accepted")
 }
 
 #[test]
-fn keys_are_strict_unless_the_deployment_declares_otherwise() {
+fn key_bound_is_strict_unless_declared_otherwise() {
     let bounds = |strict: &str| {
         let settings = settings_of(&filled_template(strict));
         (settings.state_bound.as_millis(), settings.key_bound.as_millis())
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_deployed_template_is_accepted_once_filled() {
+fn filled_deployment_template_is_accepted() {
     let settings = settings_of(&filled_template("true"));
     assert_eq!(settings.key_bound.as_millis(), 4_500);
     assert_eq!(settings.session_ttl.as_millis(), 5_500);
@@ -130,12 +130,12 @@
 }
 
 #[test]
-fn the_bounds_of_cold_servers_are_taken_from_the_template_where_they_are_told() {
+fn warm_up_limits_are_read_from_the_template_unless_blank() {
     let settings = settings_of(&filled_template("true"));
     let warm_up = settings.warm_up.expect("bounds of cold servers");
     assert_eq!((warm_up.overshoot, warm_up.tolerance), (1.5, 5.0));
     assert_eq!(warm_up.heartbeat.as_millis(), 1_200);
-    // NB: other deployments leave the gaps blank.
+    // NB: other deployments leave the placeholders blank.
     let mut text = filled_template("true");
     for key in ["overshoot = 1.5", "tolerance = 5", "evacuation_ms = 5000"] {
         let (name, _) = key.split_once(" = ").expect("a pair");
@@ -145,25 +145,25 @@
 }
 
 #[test]
-fn usage_is_reported_where_the_deployment_asks_for_it() {
+fn usage_settings_are_read_only_if_the_deployment_has_the_metering_task() {
     let usage = settings_of(&filled_template("true")).usage.expect("an address for reports");
     assert_eq!(usage.address.port(), 8_424);
     assert_eq!((usage.lease.as_secs(), usage.report_interval.as_secs()), (3, 5));
     assert_eq!(usage.usage_delay.as_secs(), 10);
-    // NB: other deployments leave the gaps blank, or ask for other calls only.
+    // NB: other deployments leave the placeholders blank, or have only other tasks.
     let mut text = filled_template("true");
     for key in ["address = 10.200.0.113:8424", "lease_ms = 3000", "report_interval_s = 5"] {
         let (name, _) = key.split_once(" = ").expect("a pair");
         text = text.replace(key, &format!("{name} = "));
     }
     let without = text.replace("usage_delay_s = 10", "usage_delay_s =");
-    let of_others = without.replace("tasks = metering,", "tasks = ");
-    assert_eq!(settings_of(&of_others).usage, None);
+    let other_tasks_only = without.replace("tasks = metering,", "tasks = ");
+    assert_eq!(settings_of(&other_tasks_only).usage, None);
     assert_eq!(settings_of(&without.replace("metering,autoscaling", "")).usage, None);
 }
 
 #[test]
-fn the_times_among_entries_follow_from_what_the_deployment_declares() {
+fn membership_times_are_derived_from_the_declared_bounds() {
     let membership = settings_of(&filled_template("true")).membership;
     assert_eq!(membership.seeds.len(), 3);
     assert!(membership.first_state && membership.tree && membership.ordered_steps);
@@ -173,7 +173,7 @@
         let propagation = Duration::from_millis(propagation_ms);
         let times = MembershipTimes::split(propagation, key_bound);
         assert!(times.worst_case_propagation() <= propagation, "{propagation_ms}: {times:?}");
-        // Most of the key bound must be left once the store is lost.
+        // Most of the key bound must remain when the store becomes unreachable.
         assert!(times.normal_confirmation_age() <= key_bound / 5, "{propagation_ms}: {times:?}");
         assert!(
             times.max_peer_confirmation_age > times.normal_confirmation_age(),
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn how_late_the_store_may_answer_follows_from_what_the_deployment_declares() {
+fn longest_response_time_of_the_store_is_derived_from_the_declared_bounds() {
     let key_bound = Duration::from_millis(4_500);
     let longest = |propagation_ms| {
         let propagation = Duration::from_millis(propagation_ms);
         let times = MembershipTimes::split(propagation, key_bound);
         [propagation, key_bound].map(|bound| times.max_store_response(bound).as_millis())
     };
-    // Answers that may take, for changes and for keys; the table of docs/decisions/0018.
+    // Longest response times for changes and for keys, as in the table of docs/decisions/0018.
     assert_eq!(longest(1_000), [600, 4_100]);
     assert_eq!(longest(2_000), [1_400, 3_900]);
     assert_eq!(longest(3_000), [2_215, 3_715]);
--- a/crates/config/tests/rejects_faulty_files.rs
+++ b/crates/config/tests/rejects_faulty_files.rs
@@ -1,4 +1,4 @@
-//! Faulty files are rejected with every fault's section, key and expectation.
+//! Faulty files are rejected with the section, key and problem of every fault.
 
 use std::path::Path;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_agent_must_host_something() {
+fn an_agent_without_versions_is_rejected() {
     let text = "[agent]\nserver = b\ndata_centre = d\nlisten = 127.0.0.1:1\n[backend_server]\n\
                 address = 127.0.0.1:2\nversions = ,\n[store]\naddress = 127.0.0.1:3\n";
     let faults = faults(AgentSettings::try_from(raw(text)));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_policy_may_not_name_what_is_not_defined() {
+fn undefined_names_in_a_policy_are_rejected() {
     let text = "[version small/1]\nstate = resting\n[roll_out small/2]\nreplaces = small/1\n\
                 [workspace w]\ntemplate = t\nallowed_versions = small/1, large/1\n\
                 allowed_services = quotes\npriority = 10\nkeys_sha256 = ABC\n";
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_missing_parameter_is_named() {
+fn an_undefined_template_parameter_is_reported_by_name() {
     let text = "[template t]\nspend_cap = ${daily}\n[workspace w]\ntemplate = t\n";
     let faults = faults(policy_from_ini(raw(text)));
     assert!(faults.iter().any(|(section, key, problem)| {
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn an_outcome_needs_a_comparison() {
+fn an_outcome_without_a_comparison_is_rejected() {
     let faults = faults(Outcomes::try_from(raw("[outcome]\ncost = cheap\n")));
     assert_eq!(faults[0].1, "cost");
 }
 
 #[test]
-fn text_that_is_not_ini_names_its_line() {
+fn text_that_is_not_ini_is_reported_with_its_line() {
     let parsed = RawFile::parse(Path::new("x.ini"), "[entry]\nno equals sign\n");
-    // NB: the parser notices the missing sign at the end of the file.
+    // NB: the parser detects the missing sign at the end of the file.
     assert!(matches!(parsed, Err(ConfigError::NotIni { line: 3, .. })), "{parsed:?}");
 }
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_propagation_time_that_the_ways_of_a_change_do_not_fit_into_is_rejected() {
+fn invalid_membership_settings_are_rejected() {
     let text = |propagation: &str, seeds: &str| {
         format!(
             "[direct]\nname = e\ndata_centre = d\ncallers = 127.0.0.1:1\nreadiness = 127.0.0.1:2\n\
@@ -138,34 +138,36 @@
 const DIRECT: &str = "[direct]\nname = e\ndata_centre = d\ncallers = 127.0.0.1:1\n\
     readiness = 127.0.0.1:2\n[store]\naddress = 127.0.0.1:3\n";
 
-fn fault_of_direct(further: &str) -> (String, String) {
-    let faults = faults(DirectSettings::try_from(raw(&format!("{DIRECT}{further}"))));
+/// Section and key of the only fault of valid direct settings with `extra_lines` appended.
+fn only_fault_of_direct(extra_lines: &str) -> (String, String) {
+    let faults = faults(DirectSettings::try_from(raw(&format!("{DIRECT}{extra_lines}"))));
     assert_eq!(faults.len(), 1, "{faults:?}");
     (faults[0].0.clone(), faults[0].1.clone())
 }
 
 #[test]
-fn bounds_of_cold_servers_that_say_nothing_or_contradict_each_other_are_faults() {
+fn incomplete_or_contradictory_limits_of_cold_servers_are_rejected() {
     let place = |section: &str, key: &str| (section.to_owned(), key.to_owned());
-    let warm_up = |lines: &str| fault_of_direct(&format!("[warm_up]\n{lines}\n"));
+    let warm_up = |lines: &str| only_fault_of_direct(&format!("[warm_up]\n{lines}\n"));
     assert_eq!(warm_up("overshoot = 1.5"), place("warm_up", "tolerance"));
     assert_eq!(warm_up("overshoot =\ntolerance = 5"), place("warm_up", "overshoot"));
     assert_eq!(warm_up("overshoot = -1\ntolerance = 5"), place("warm_up", "overshoot"));
     assert_eq!(warm_up("overshoot = NaN\ntolerance = 5"), place("warm_up", "overshoot"));
     assert_eq!(warm_up("overshoot = 1\ntolerance = inf"), place("warm_up", "tolerance"));
-    let told = "overshoot = 1\ntolerance = 5\nheartbeat_ms = 0";
-    assert_eq!(warm_up(told), place("warm_up", "heartbeat_ms"));
-    // An evacuation travels as a change does; it can't be in force sooner than one.
+    let no_heartbeat = "overshoot = 1\ntolerance = 5\nheartbeat_ms = 0";
+    assert_eq!(warm_up(no_heartbeat), place("warm_up", "heartbeat_ms"));
+    // An evacuation order propagates like any change and cannot be in force sooner.
     let membership = "[membership]\npropagation_ms = 3000\nevacuation_ms = 1000\n";
-    assert_eq!(fault_of_direct(membership), place("membership", "evacuation_ms"));
+    assert_eq!(only_fault_of_direct(membership), place("membership", "evacuation_ms"));
     let membership = "[membership]\nevacuation_ms = soon\n";
-    assert_eq!(fault_of_direct(membership), place("membership", "evacuation_ms"));
+    assert_eq!(only_fault_of_direct(membership), place("membership", "evacuation_ms"));
 }
 
 #[test]
-fn reports_of_usage_without_an_address_or_time_are_faults() {
+fn usage_settings_without_an_address_or_with_invalid_times_are_rejected() {
     let place = |key: &str| ("usage".to_owned(), key.to_owned());
-    let usage = |lines: &str| fault_of_direct(&format!("[usage]\ntasks = metering\n{lines}\n"));
+    let usage =
+        |lines: &str| only_fault_of_direct(&format!("[usage]\ntasks = metering\n{lines}\n"));
     assert_eq!(usage(""), place("address"));
     assert_eq!(usage("address = somewhere"), place("address"));
     let address = "address = 127.0.0.1:4\n";
