--- a/crates/decide/tests/keeps_promises.rs
+++ b/crates/decide/tests/keeps_promises.rs
@@ -265,11 +265,25 @@
             0 => self.router.on_run_refused(now, rng, flight, Refusal::Draining),
             1 => {
                 open.may_have_run = true;
-                self.router.on_run_failed(now, rng, flight, Executed::Unknown, 0.0, Refusal::ContactLost)
+                self.router.on_run_failed(
+                    now,
+                    rng,
+                    flight,
+                    Executed::Unknown,
+                    0.0,
+                    Refusal::ContactLost,
+                )
             }
             2 => {
                 open.may_have_run = true;
-                self.router.on_run_failed(now, rng, flight, Executed::Yes, 0.0, Refusal::BackendFailed)
+                self.router.on_run_failed(
+                    now,
+                    rng,
+                    flight,
+                    Executed::Yes,
+                    0.0,
+                    Refusal::BackendFailed,
+                )
             }
             _ => {
                 open.may_have_run = true;
