--- a/crates/decide/src/direct/fleet/notice.rs
+++ b/crates/decide/src/direct/fleet/notice.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use pondwalk_types::{LONGEST_BACKOFF, VersionId};
+use pondwalk_types::{MAX_SERVER_BACKOFF, VersionId};
 use serde::{Deserialize, Serialize};
 
 use super::{
@@ -125,7 +125,7 @@
             let (pauses, since) = self.refusals.unwrap_or((0, now));
             self.refusals = Some((pauses.saturating_add(1), since));
         }
-        let asked = asked.min(LONGEST_BACKOFF);
+        let asked = asked.min(MAX_SERVER_BACKOFF);
         let until = now + asked + backoff_jitter(asked, spread);
         self.backoff_until = self.backoff_until.max(until);
         self.max_waiting = Some(FIRST_LIMIT);
--- a/crates/demo/examples/capacity.rs
+++ b/crates/demo/examples/capacity.rs
@@ -10,17 +10,17 @@
 };
 
 use cap::Cap;
-use pondwalk_decide::{Finished, Request, Router, ServerReport};
+use pondwalk_decide::{FinishedRun, Request, Router, ServerReport};
 use pondwalk_demo::{
     bench::{self, BenchPlan},
     deployment::{Deployment, Plan, ServerPlan},
     faults::fault_plan,
     load::{Asks, Load, TaskPlan, WorkspacePlan},
 };
-use pondwalk_ledger::{Bill, BillBook, BillItem};
+use pondwalk_ledger::{Bill, BillBuffer, BillItem};
 use pondwalk_standin::VersionProfile;
 use pondwalk_types::{Policy, Price, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy};
-use pondwalk_wire::{AgentNews, Configuration, FrameBatch, TakeFrames};
+use pondwalk_wire::{AgentSnapshot, Configuration, FetchFrames, FrameBatch};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -74,7 +74,7 @@
             slots: 16,
             load: Some(3),
         };
-        router.server_seen(Duration::ZERO, &report);
+        router.update_server(Duration::ZERO, &report);
     }
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for n in 0..sessions.max(versions * TASKS * 4) {
@@ -111,9 +111,9 @@
         streaming: false,
     };
     if let Ok((mut flight, _)) = router.begin(now, rng, &request) {
-        let service = Duration::from_millis(500);
-        router.finished(now, &mut flight, Finished { output_tokens: 100, service });
-        router.delivered(now, &mut flight);
+        let service_time = Duration::from_millis(500);
+        router.on_run_finished(now, &mut flight, FinishedRun { output_tokens: 100, service_time });
+        router.on_delivered(now, &mut flight);
     }
 }
 
@@ -173,7 +173,7 @@
         }],
     };
     let book = bytes_of(|| {
-        let mut book = BillBook::new(1);
+        let mut book = BillBuffer::new(1);
         (0..BILLS).for_each(|n| book.add(bill(n)));
         book
     });
@@ -181,7 +181,7 @@
     println!("  each bill waiting at an entry          {:>12.0}", book / BILLS as f64);
     let text = serde_json::to_vec(&bill(1)).unwrap_or_default().len();
     println!("  each bill in the store                 {text:>12}");
-    let news = AgentNews {
+    let snapshot = AgentSnapshot {
         incarnation: 1,
         generation: 1,
         load: 1,
@@ -189,8 +189,8 @@
         draining: false,
         tripped: Vec::new(),
     };
-    let batch = FrameBatch { news, frames: Vec::new() };
-    let take = TakeFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
+    let batch = FrameBatch { snapshot, frames: Vec::new() };
+    let take = FetchFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
     let size = |bytes: Result<u64, _>| bytes.unwrap_or_default();
     let both = size(bincode::serialized_size(&batch)) + size(bincode::serialized_size(&take));
     println!("  a call for frames and its empty reply  {both:>12}  (without tarpc's own some 90)");
--- a/crates/direct/src/foresight.rs
+++ b/crates/direct/src/forecasts.rs
@@ -21,10 +21,10 @@
 
 /// What asking each of the route's models would cost a job that has used this part of its
 /// objective, servers in `avoid` left out; nothing if no server could take it.
-pub fn terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<ModelCost> {
+pub fn model_terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<ModelCost> {
     let prices = job.prices();
     let objective_ms = job.route.objective.as_secs_f64().max(0.001) * 1_000.0;
-    let allowed_ms = (job.give_up - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
+    let allowed_ms = (job.deadline - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
     let mut state = core.state.borrow_mut();
     let State { fleets, engines, .. } = &mut *state;
     let engine = engine_of(engines, job);
@@ -78,7 +78,7 @@
         base_ms: engine.base_ms(),
         excluded_servers: avoid,
         versions,
-        data_centres: job.homes(),
+        data_centres: job.allowed_data_centres(),
     }
 }
 
--- a/crates/direct/src/quarantine/ask.rs
+++ b/crates/direct/src/quarantine/ask.rs
@@ -10,8 +10,8 @@
 use crate::{
     content::content_text,
     core::Core,
-    journal::Rank,
-    membership::{AskError, MessageError, PROBE_PATH, ask_question, from_message, to_message},
+    event_log::LogPriority,
+    membership::{MessageError, PROBE_PATH, PeerError, from_message, query_peer, to_message},
     metrics::Counter,
     request::Job,
 };
@@ -57,11 +57,11 @@
 impl Core {
     /// Asks for leave to run a request once; whoever is asked keeps all others from it meanwhile. Given
     /// leave comes as a lease.
-    pub async fn ask_for_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, ProbeDecision> {
-        let lease = job.give_up.saturating_sub(self.clock.now());
+    pub async fn request_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, ProbeDecision> {
+        let lease = job.deadline.saturating_sub(self.clock.now());
         let content = job.content();
         let mut error = None;
-        for (name, address) in self.roster.granting_order(content).into_iter().take(MOST_ASKED) {
+        for (name, address) in self.members.granting_order(content).into_iter().take(MOST_ASKED) {
             let Some(address) = address else {
                 let grant = self.grant_probe(content, lease);
                 return self.take_grant(job, grant, None, &name);
@@ -84,7 +84,7 @@
             content: &content_text(content),
             error,
         };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
         Err(ProbeDecision::Refused { until: self.clock.now() + UNANSWERED_PAUSE })
     }
 
@@ -93,7 +93,7 @@
         address: SocketAddr,
         content: ContentHash,
         lease: Duration,
-    ) -> Result<ProbeAnswer, AskError> {
+    ) -> Result<ProbeAnswer, PeerError> {
         let ends = self.state.borrow().quarantine.crashes_of(content, self.clock.now());
         self.exchange(address, &ProbeQuestion::Ask { content, lease, ends }).await
     }
@@ -102,7 +102,7 @@
     pub async fn tell_given_back(&self, address: SocketAddr, question: ProbeQuestion) {
         if let Err(error) = self.exchange(address, &question).await {
             let event = QuarantineEvent::ProbeNotGivenBack { error: error.to_string() };
-            self.journal.note(Rank::Failure, &event);
+            self.event_log.record(LogPriority::Failure, &event);
         }
     }
 
@@ -110,16 +110,16 @@
         &self,
         address: SocketAddr,
         question: &ProbeQuestion,
-    ) -> Result<ProbeAnswer, AskError> {
-        ask_question(self, address, PROBE_PATH, question).await
+    ) -> Result<ProbeAnswer, PeerError> {
+        query_peer(self, address, PROBE_PATH, question).await
     }
 
     /// Answers another entry's question.
-    pub fn answer_probe(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    pub fn handle_probe_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
         let (content, lease) = match from_message(question, store)? {
             ProbeQuestion::Ask { content, lease, ends } => {
-                self.hear_ends(&ends, Duration::ZERO);
+                self.receive_crashes(&ends, Duration::ZERO);
                 (content, lease)
             }
             ProbeQuestion::GiveBack(content) => {
@@ -151,10 +151,10 @@
         let event = QuarantineEvent::ProbeGranted {
             request: &job.id,
             content: &content_text(job.content()),
-            servers_ended: self.ends_under(job),
+            servers_ended: self.crash_count(job),
             by,
         };
-        self.journal.note(Rank::Failure, &event);
+        self.event_log.record(LogPriority::Failure, &event);
         Ok(ProbeLease::new(self, job.content(), granted_by))
     }
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
 use pondwalk_config::PolicyRecord;
-use pondwalk_generations::{OnRace, change, withdraw};
+use pondwalk_generations::{OnConflict, commit_edit, withdraw};
 use pondwalk_threads::lock;
 use pondwalk_types::VersionState;
 use pondwalk_wire::Configuration;
@@ -92,7 +92,7 @@
         listed.insert(agent.instance.clone());
         core.fleet.open(core, &agent.instance, agent.address);
         if agent.state == InstanceState::Leaving {
-            lock(&core.router).server_leaving(&agent.instance);
+            lock(&core.router).deactivate_server(&agent.instance);
         }
     }
     core.fleet.close_unlisted(&listed);
@@ -104,7 +104,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let trips = lock(&core.router).trips();
+        let trips = lock(&core.router).tripped_versions();
         if !trips.is_empty() {
             // NB: all entries hear of a trip at about the same time, and one of them is enough.
             let spread = core.fleet.entries() as u64 * TRIP_SPREAD_MS;
@@ -119,7 +119,7 @@
                 continue;
             }
             let edit = |policy: &_| withdraw(policy, &version);
-            match change(&core.store, rand::random(), OnRace::Repeat, edit).await {
+            match commit_edit(&core.store, rand::random(), OnConflict::Retry, edit).await {
                 Ok(record) => {
                     let cause = format!("{cause:?}");
                     spdlog::warn!("version stopped", kv: { version = version.as_str(), cause = cause.as_str() });
