--- a/crates/decide/src/direct.rs
+++ b/crates/decide/src/direct.rs
@@ -34,26 +34,29 @@
 //! [`Fleet::answered`], [`EngineEstimates::note_beginning`], [`Cascade::learn`], [`Cascade::note_strain`]
 //! [`RollOut::note`] and [`EvidencePool`].
 
+mod bound_sharing;
 mod cascade;
+mod clock_estimate;
 mod engine;
+mod evidence_pool;
 mod fleet;
 mod freshness;
 mod hash;
 mod permits;
-mod pool;
 mod quarantine;
-mod rank;
+mod queue_rank;
 mod reporter;
 mod roll_out;
 mod sessions;
-mod sharers;
-mod true_time;
 mod usage;
 mod warm_up;
 mod window_budget;
 
+pub use bound_sharing::BoundSharing;
 pub use cascade::{Cascade, ModelCost, RouteModelIndex};
+pub use clock_estimate::ClockEstimate;
 pub use engine::{EngineEstimates, QuantileEstimate, ServiceModelIndex};
+pub use evidence_pool::{EvidencePool, Observation, Tally};
 pub use fleet::{
     DataCentreRule, Fleet, Forecast, LoadError, NextAvailability, PermitRequest, Placeability,
     PlacementRequest, PromptPart, RateLimit, RateLimitError, RateLimitState, ReportedRateLimit,
@@ -62,20 +65,17 @@
 };
 pub use freshness::Freshness;
 pub use permits::{GranterRole, PermitBuckets};
-pub use pool::{EvidencePool, Observation, Tally};
 pub use quarantine::{
     ContentHash, CorrelatedCrashes, CrashId, ProbeDecision, ProbeRequest, Quarantine,
     QuarantineStatus, ServerCrash, SuccessfulContents, crash_id, granter_order, server_hash,
 };
-pub use rank::{QueueRank, RESUMED_RANK, queue_rank};
+pub use queue_rank::{QueueRank, RESUMED_RANK, queue_rank};
 pub use reporter::{
     CallOutcome, DueWindows, FencingToken, Reporter, ReporterDelays, ReporterRecord, ReporterStep,
     UsageCounts, WindowId, WriteOutcome,
 };
 pub use roll_out::{Evidence, RollOut, RollOutStep, Stage};
 pub use sessions::{SessionKey, Sessions, session_key};
-pub use sharers::BoundSharing;
-pub use true_time::ClockEstimate;
 pub use usage::{UsageMeter, UsagePublisher, UsageTotals};
 pub use warm_up::{ColdReason, ColdServerBound, ColdServerPacing, WarmUp, max_cold_wait};
 pub use window_budget::{WindowBudget, WindowLimits};
--- a/crates/decide/src/direct/fleet.rs
+++ b/crates/decide/src/direct/fleet.rs
@@ -5,32 +5,34 @@
 //! entries send is not seen; rendezvous hashing (Thaler and Ravishankar, 1998) on the prompt's
 //! shared part brings requests that share it to the same servers from every entry.
 
-mod ask;
-mod limit;
-mod limited;
+mod availability;
 mod load;
 mod notice;
-mod notices;
-mod permit;
-mod places;
+mod permit_rule;
+mod placement_request;
+mod rate_limit;
 mod server;
+mod server_notices;
+mod server_permits;
 
 use std::{collections::HashMap, time::Duration};
 
 use pondwalk_types::{DataCentreId, ServerId, VersionId};
 use rand::Rng;
 
-pub use ask::{DataCentreRule, Forecast, PlacementRequest, PromptPart, Ticket, VersionRule};
-pub use limit::{RateLimit, RateLimitError, RateLimitState, ReportedRateLimit};
-pub use limited::{PermitRequest, Placeability};
+pub use availability::{NextAvailability, UnavailableReason, UnreachableReason};
 pub use load::{LoadError, ServerLoad};
 pub use notice::{ServerIncarnation, backoff_jitter};
-pub use places::{NextAvailability, UnavailableReason, UnreachableReason};
+pub use permit_rule::{PermitRequest, Placeability};
+pub use placement_request::{
+    DataCentreRule, Forecast, PlacementRequest, PromptPart, Ticket, VersionRule,
+};
+pub use rate_limit::{RateLimit, RateLimitError, RateLimitState, ReportedRateLimit};
 pub use server::{IncarnationNumber, ServerInfo};
 
-use super::{hash::mix, sharers::BoundSharing, warm_up::ColdServerPacing};
-use limited::PermitRule;
+use super::{bound_sharing::BoundSharing, hash::mix, warm_up::ColdServerPacing};
 use notice::Notice;
+use permit_rule::PermitRule;
 use server::Server;
 
 /// Position of a server in its fleet; reused once the server is gone.
--- a/crates/decide/src/direct/fleet/places.rs
+++ b/crates/decide/src/direct/fleet/availability.rs
@@ -7,12 +7,12 @@
 
 use super::{
     Fleet, PlacementRequest, Ticket,
-    limited::{PermitRule, is_permitted},
-    permit,
+    permit_rule::{PermitRule, is_permitted},
     server::Server,
+    server_permits,
 };
 use crate::direct::{
-    sharers::BoundSharing,
+    bound_sharing::BoundSharing,
     warm_up::{ColdReason, ColdServerPacing},
 };
 
@@ -153,7 +153,9 @@
             return false;
         }
         let is_limited = server.notice.rate_limit().is_some();
-        if is_limited && !ticket.permit_granted_at.is_some_and(|given| permit::holds(given, now)) {
+        if is_limited
+            && !ticket.permit_granted_at.is_some_and(|given| server_permits::holds(given, now))
+        {
             return false;
         }
         if self.pacing.is_none() || now <= ticket.placed_at {
--- a/crates/decide/src/direct/fleet/notice.rs
+++ b/crates/decide/src/direct/fleet/notice.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    limit::{RateLimit, RateLimitState},
+    rate_limit::{RateLimit, RateLimitState},
     server::ServerInfo,
 };
 
--- a/crates/decide/src/direct/fleet/server.rs
+++ b/crates/decide/src/direct/fleet/server.rs
@@ -5,10 +5,10 @@
 use pondwalk_types::{DataCentreId, ServerId, VersionId};
 
 use super::{
-    ask::{PlacementRequest, PromptPart, Ticket},
     load::{OthersLoad, ServerLoad},
     notice::{Notice, ServerIncarnation},
-    permit::ServerPermits,
+    placement_request::{PlacementRequest, PromptPart, Ticket},
+    server_permits::ServerPermits,
 };
 use crate::direct::{hash::hash_text, warm_up::WarmUpState};
 
--- a/crates/decide/src/direct/quarantine.rs
+++ b/crates/decide/src/direct/quarantine.rs
@@ -14,16 +14,16 @@
 //! Ravishankar, 1998). Two parts of a deployment that don't reach one another grant at most one probe
 //! more between them.
 
-mod good;
-mod loss;
+mod correlated_crashes;
 mod record;
+mod successful_contents;
 
 use std::{collections::HashMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-pub use good::SuccessfulContents;
-pub use loss::CorrelatedCrashes;
+pub use correlated_crashes::CorrelatedCrashes;
+pub use successful_contents::SuccessfulContents;
 
 use super::hash::{hash_text, mix};
 use record::{Crash, FREE_ENDS, PROBE_PAUSES, Record};
--- a/crates/decide/src/direct/roll_out.rs
+++ b/crates/decide/src/direct/roll_out.rs
@@ -7,7 +7,7 @@
 //! so entries tell one another what they see, and weigh that together; and they tell which sessions
 //! run already, so that no session changes its version by coming through another entry.
 
-mod own;
+mod local_evidence;
 
 use std::{collections::HashSet, time::Duration};
 
@@ -15,11 +15,11 @@
 
 use super::{
     SessionKey, VersionRule,
-    pool::{EvidencePool, Observation},
+    evidence_pool::{EvidencePool, Observation},
 };
 
-pub use own::Evidence;
-use own::LocalEvidence;
+pub use local_evidence::Evidence;
+use local_evidence::LocalEvidence;
 
 /// Part of the order's time that the trial takes; sessions may be moved only after half of it.
 const TRIAL_PART: f64 = 0.53;
--- a/crates/decide/src/direct/warm_up.rs
+++ b/crates/decide/src/direct/warm_up.rs
@@ -10,7 +10,7 @@
 
 use std::{cell::Cell, collections::VecDeque, time::Duration};
 
-use super::sharers::BoundSharing;
+use super::bound_sharing::BoundSharing;
 
 /// Time within which a server's requests are counted: a second, and what timers may be off by.
 const WINDOW: Duration = Duration::from_millis(1_050);
--- a/crates/direct/src/http/refuse.rs
+++ b/crates/direct/src/http/refuse.rs
@@ -118,7 +118,9 @@
             UnavailableReason::Backoff => {
                 Refusal::AllBackingOff { available_in: self.spread(available_in) }
             }
-            UnavailableReason::Limited => Refusal::AllLimited { available_in: self.spread(available_in) },
+            UnavailableReason::Limited => {
+                Refusal::AllLimited { available_in: self.spread(available_in) }
+            }
         }
     }
 
--- a/crates/direct/src/http/run.rs
+++ b/crates/direct/src/http/run.rs
@@ -172,7 +172,8 @@
 
     /// Whether what is known of its content lets it be sent now, without asking anybody.
     fn is_not_held(&self) -> bool {
-        self.probe.is_some() || self.core.quarantine_status(&self.job) == QuarantineStatus::Unrestricted
+        self.probe.is_some()
+            || self.core.quarantine_status(&self.job) == QuarantineStatus::Unrestricted
     }
 
     /// Sends the request to its place and waits for the head of the answer.
