--- a/crates/decide/src/direct/usage.rs
+++ b/crates/decide/src/direct/usage.rs
@@ -1,34 +1,34 @@
-//! Usage by workspace and window: what one entry counts, and what all have told.
+//! Usage by workspace and window: the counts of one entry, and the totals over all entries.
 //!
-//! An entry tells the whole of its count of a window each time, so that a message that is lost, late or
-//! told twice does no harm, and an entry that dies takes only what it has not told with it.
+//! An entry always publishes its whole count of a window, so that lost, late or duplicate messages
+//! do no harm. If an entry crashes, only what it has not published is lost.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::reporter::{UsageCounts, WindowId};
 
-/// Windows that are kept at most, by one entry and in the totals.
+/// Maximum number of windows kept, by one entry and in the totals.
 const MAX_WINDOWS: usize = 32;
 
-/// Entries of which it is kept until when they have told.
+/// Maximum number of entries whose publishing progress is kept.
 const MAX_PUBLISHERS: usize = 4_096;
 
-/// What one entry has counted of a window.
+/// One entry's counts of a window.
 #[derive(Debug, Default, Clone)]
 struct WindowUsage {
     counts: UsageCounts,
-    /// Whether all of it was told.
+    /// Whether the current counts were published.
     is_published: bool,
 }
 
-/// What one entry has counted of the windows that are not reported yet.
+/// One entry's counts of the windows that are not reported yet.
 #[derive(Debug, Default, Clone)]
 pub struct UsageMeter {
     windows: BTreeMap<WindowId, WindowUsage>,
 }
 
 impl UsageMeter {
-    /// A request of a workspace began to run.
+    /// Counts a request of a workspace that began to run.
     pub fn record_request(&mut self, window: WindowId, workspace: &str) {
         let usage = self.windows.entry(window).or_default();
         match usage.counts.get_mut(workspace) {
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The counts that have changed since they were last told.
+    /// Returns the counts that have changed since they were last published, and marks them
+    /// published.
     pub fn drain_unpublished(&mut self) -> Vec<(WindowId, UsageCounts)> {
         let unpublished = self.windows.iter_mut().filter(|(_, usage)| !usage.is_published);
         let take = |(window, usage): (&WindowId, &mut WindowUsage)| {
@@ -53,38 +54,39 @@
         unpublished.map(take).collect()
     }
 
-    /// The window is to be told even if nothing is counted in it: that shows that the one before is over.
+    /// Schedules a window for publishing even if its counts are empty, which shows that the window
+    /// before is over.
     pub fn open_window(&mut self, window: WindowId) {
         self.windows.entry(window).or_default();
     }
 
-    /// All is to be told once more, since whoever heard it may be gone.
+    /// Schedules all counts for publishing again, since their receiver may be gone.
     pub fn mark_all_unpublished(&mut self) {
         self.windows.values_mut().for_each(|usage| usage.is_published = false);
     }
 
-    /// Forgets the windows before this one.
+    /// Removes the windows before this one.
     pub fn remove_before(&mut self, window: WindowId) {
         self.windows = self.windows.split_off(&window);
     }
 }
 
-/// A life of an entry that tells its counts.
+/// Entry that publishes counts, with the number of its incarnation.
 pub type UsagePublisher = (String, u64);
 
-/// What one life of an entry told last of a window, with the number of that message.
+/// Latest counts of a window from one publisher, with the number of that message.
 type LastPublished = (u64, UsageCounts);
 
-/// What all entries have told of the windows that are not reported yet.
+/// Published counts of all entries for the windows that are not reported yet.
 #[derive(Debug, Default, Clone)]
 pub struct UsageTotals {
     windows: BTreeMap<WindowId, HashMap<UsagePublisher, LastPublished>>,
-    /// Until when, in milliseconds since 1970, each entry has told all that it counted.
+    /// Unix time in milliseconds up to which each entry has published everything it counted.
     published_until_ms: HashMap<String, u64>,
 }
 
 impl UsageTotals {
-    /// Hears that an entry has told all that it counted until then.
+    /// Records that an entry has published everything it counted up to `unix_ms`.
     pub fn record_published_until(&mut self, entry: &str, unix_ms: u64) {
         if self.published_until_ms.len() >= MAX_PUBLISHERS
             && !self.published_until_ms.contains_key(entry)
@@ -95,16 +97,17 @@
         *until = (*until).max(unix_ms);
     }
 
-    /// Whether every entry that told anything since `from_ms` has told all up to `to_ms`. Reports need not
-    /// wait then, and what is reported cannot be lost with its holder.
+    /// Whether every entry that has published since `from_ms` has published everything up to
+    /// `to_ms`. In that case reports need not wait, and what is reported cannot be lost with one
+    /// entry.
     pub fn have_all_published(&self, from_ms: u64, to_ms: u64) -> bool {
         let mut recent =
             self.published_until_ms.values().filter(|until| **until >= from_ms).peekable();
         recent.peek().is_some() && recent.all(|until| *until >= to_ms)
     }
 
-    /// Hears the whole count of a window by one life of an entry. Of several messages, that with the
-    /// highest number holds, whenever it comes.
+    /// Applies a publisher's whole count of a window. Of several messages the one with the highest
+    /// number counts, in whatever order they arrive.
     pub fn apply_counts(
         &mut self,
         publisher: UsagePublisher,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Requests of all entries that began in a window.
+    /// Number of requests of all entries that began in a window, by workspace.
     pub fn total(&self, window: WindowId) -> UsageCounts {
         let mut total = UsageCounts::new();
         let published = self.windows.get(&window).into_iter().flat_map(HashMap::values);
@@ -133,7 +136,7 @@
         total
     }
 
-    /// Forgets the windows before this one.
+    /// Removes the windows before this one.
     pub fn remove_before(&mut self, window: WindowId) {
         self.windows = self.windows.split_off(&window);
     }
--- a/crates/decide/src/direct/window_budget.rs
+++ b/crates/decide/src/direct/window_budget.rs
@@ -1,29 +1,30 @@
-//! The limit on sends beyond each request's first, over a sliding window.
+//! Limits the sends beyond each request's first over a sliding window.
 //!
-//! Every entry keeps its part: a ratio of its own requests, and the part of the fixed extra that
-//! [`BoundSharing::part`](super::Sharers::part) gives it. The parts add up to no more than the whole.
+//! Each entry has its own budget: a ratio of its own requests, and its fraction of the fixed extra,
+//! given by [`BoundSharing::fraction`](super::BoundSharing::fraction). All budgets add up to no
+//! more than the whole.
 
 use std::time::Duration;
 
-/// Slices of a window; sends are counted to this resolution.
+/// Slices of a window; the resolution at which sends are counted.
 const SLICES: usize = 20;
 
-/// Part of the allowance that is used. The rest covers sends that arrive in a later slice than
-/// they were counted in.
+/// Fraction of the allowance that is used. The rest covers sends that arrive in a later slice than
+/// the one they were counted in.
 const USED_SHARE: f64 = 0.85;
 
-/// What the window allows.
+/// Allowance of a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowLimits {
-    /// Further sends as a share of the requests in the window.
+    /// Further sends as a ratio of the requests in the window.
     pub ratio: f64,
-    /// Further sends beyond that share, this entry's part.
+    /// Further sends beyond that ratio, this entry's share.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
-    /// Part of a send, below 1, that is added to what is allowed before it is cut to whole sends. Entries that
-    /// differ evenly in it allow together what their parts add up to, and not half a send less each, which is
-    /// much where an entry has few.
+    /// Fraction of a send, below 1, that is added to the allowance before it is rounded down. If it
+    /// is evenly distributed over the entries, their allowances add up to the sum of their shares.
+    /// Otherwise each would lose half a send on average, which matters where an entry has few.
     pub rounding: f64,
 }
 
@@ -33,7 +34,7 @@
     further_sends: u32,
 }
 
-/// Requests and further sends to one service over a sliding window.
+/// Requests and further sends of one service over a sliding window.
 #[derive(Debug, Clone)]
 pub struct WindowBudget {
     limits: WindowLimits,
@@ -42,12 +43,12 @@
 }
 
 impl WindowBudget {
-    /// An empty window.
+    /// Creates an empty window.
     pub fn new(limits: WindowLimits) -> Self {
         WindowBudget { limits, slices: [Slice::default(); SLICES], newest: 0 }
     }
 
-    /// The limits have changed, as the entries that share them have.
+    /// Replaces the limits after the entries that share them have changed.
     pub fn set_limits(&mut self, limits: WindowLimits) {
         self.limits = limits;
     }
@@ -57,8 +58,8 @@
         self.current(now).requests += 1;
     }
 
-    /// Takes one further send out of the budget if, after it, the share `spare` of the budget
-    /// is still left for more urgent uses.
+    /// Takes one further send from the budget, provided that the fraction `spare` of the budget
+    /// remains for more urgent uses.
     pub fn try_take(&mut self, now: Duration, spare: f64) -> bool {
         let has_room = self.has_room(now, spare);
         if has_room {
