--- a/crates/decide/examples/placing.rs
+++ b/crates/decide/examples/placing.rs
@@ -1,7 +1,7 @@
 //! Places and ends a fixed number of requests, to be timed as a whole process.
 //!
-//! With 180 servers and prompts of three parts: 2.80 G instructions without what servers ask for, 2.94 G with it
-//! (`valgrind --tool=callgrind`, of the whole process).
+//! With 180 servers and prompts of three parts: 2.80 G instructions without server notices, 2.94 G
+//! with them (`valgrind --tool=callgrind`, of the whole process).
 
 use std::{error::Error, time::Duration};
 
@@ -11,14 +11,14 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Servers of the service.
+/// Number of servers of the service.
 const SERVERS: u16 = 180;
-/// Requests placed.
+/// Number of requests placed.
 const REQUESTS: u32 = 20_000;
-/// Requests under way at a time.
-const UNDER_WAY: usize = 400;
-/// Prompts that share their first parts.
-const SHARED: u64 = 40;
+/// Number of requests in flight at a time.
+const MAX_IN_FLIGHT: usize = 400;
+/// Number of different prompts, whose first parts are shared by requests.
+const SHARED_PROMPTS: u64 = 40;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -35,14 +35,14 @@
             cold_until: Duration::ZERO,
         });
     }
-    let mut under_way = Vec::new();
+    let mut in_flight = Vec::new();
     for number in 0..REQUESTS {
         let now = Duration::from_micros(u64::from(number) * 1_000);
-        let shared = rng.random_range(0..SHARED);
+        let shared = rng.random_range(0..SHARED_PROMPTS);
         let part = |id, tokens| PromptPart { id, tokens };
         let own = part(1_000_000 + u64::from(number), 200);
         let parts = [part(shared % 5, 400), part(100 + shared, 600), own];
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             parts: &parts,
             model: 0,
             prefill_ms_per_token: 0.02,
@@ -51,13 +51,14 @@
             versions: VersionRule::Any,
             data_centres: DataCentreRule::Any,
         };
-        let mut ticket = fleet.place(&ask, now, &mut rng).ok_or("no server takes it")?;
+        let mut ticket =
+            fleet.place(&request, now, &mut rng).ok_or("no server can take the request")?;
         fleet.on_answer_started(&mut ticket, 30.0, now);
-        under_way.push(ticket);
-        if under_way.len() > UNDER_WAY {
-            fleet.on_finished(&under_way.swap_remove(0));
+        in_flight.push(ticket);
+        if in_flight.len() > MAX_IN_FLIGHT {
+            fleet.on_finished(&in_flight.swap_remove(0));
         }
     }
-    println!("{} requests under way", under_way.len());
+    println!("{} requests in flight", in_flight.len());
     Ok(())
 }
--- a/crates/decide/src/direct/fleet.rs
+++ b/crates/decide/src/direct/fleet.rs
@@ -252,7 +252,7 @@
         if is_paced {
             server.warm_up.record_sent(now);
         }
-        let permit = server.notice.rate_limit().and_then(|_| server.permits.take(now));
+        let permit_granted_at = server.notice.rate_limit().and_then(|_| server.permits.take(now));
         let queued_ms = server.waiting_ms;
         server.admit(request, expected_ms, now);
         Some(Ticket {
@@ -261,7 +261,7 @@
             incarnation_number: server.incarnation_number,
             incarnation: server.incarnation.clone(),
             placed_at: now,
-            permit_granted_at: permit,
+            permit_granted_at,
             expected_ms,
             prefill_tokens: best.prefill_ms / request.prefill_ms_per_token.max(f64::MIN_POSITIVE),
             queued_ms,
@@ -299,9 +299,10 @@
             if !open || !request.allows(&server.info) {
                 continue;
             }
-            let read_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
-            let begins_ms = server.first_byte_ms(request, read_ms, self.mean_prefill_ms, now);
-            let mut cost = server.cost(request, begins_ms, now, &self.local_data_centre);
+            let prefill_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
+            let first_byte_ms =
+                server.first_byte_ms(request, prefill_ms, self.mean_prefill_ms, now);
+            let mut cost = server.cost(request, first_byte_ms, now, &self.local_data_centre);
             // NB: without the random amount, the server that was chosen when its permit was
             // requested is chosen again once the permit is available.
             if !server.permits.is_available(now) {
@@ -312,8 +313,7 @@
                 cost += f64::from(tokens) * uncached_ms_per_token;
             }
             if best.as_ref().is_none_or(|best| cost < best.cost) {
-                best =
-                    Some(Candidate { index, cost, prefill_ms: read_ms, first_byte_ms: begins_ms });
+                best = Some(Candidate { index, cost, prefill_ms, first_byte_ms });
             }
         }
         best
--- a/crates/decide/src/direct/fleet/permit_rule.rs
+++ b/crates/decide/src/direct/fleet/permit_rule.rs
@@ -78,12 +78,12 @@
             return None;
         }
         server.permits.on_requested(now);
-        let said_at = server.notice.rate_limit_state().reported_at().unwrap_or(now);
+        let reported_at = server.notice.rate_limit_state().reported_at().unwrap_or(now);
         Some(PermitRequest {
             server: server.info.id.clone(),
             incarnation: server.incarnation.clone(),
             limit,
-            reported_at: said_at,
+            reported_at,
         })
     }
 
--- a/crates/decide/src/direct/fleet/server.rs
+++ b/crates/decide/src/direct/fleet/server.rs
@@ -113,14 +113,14 @@
 impl Server {
     /// Creates a server without observations.
     pub fn new(info: ServerInfo, incarnation_number: IncarnationNumber) -> Self {
-        let mut warmth = WarmUpState::default();
-        warmth.apply_reported(info.cold_until);
+        let mut warm_up = WarmUpState::default();
+        warm_up.apply_reported(info.cold_until);
         Server {
             hash: hash_text(&info.id),
             incarnation: ServerIncarnation::of(&info),
             info,
             incarnation_number,
-            warm_up: warmth,
+            warm_up,
             notice: Notice::default(),
             permits: ServerPermits::default(),
             is_replaced: false,
--- a/crates/decide/src/direct/roll_out.rs
+++ b/crates/decide/src/direct/roll_out.rs
@@ -88,9 +88,9 @@
 }
 
 impl RollOut {
-    /// Creates a roll-out whose order was first received at `ordered_at`. The start of the trial takes
-    /// up to `gossip_delay` to reach all entries; the last of them publishes its sessions that much
-    /// later.
+    /// Creates a roll-out whose order was first received at `ordered_at`. The start of the trial
+    /// takes up to `gossip_delay` to reach all entries; the last of them publishes its sessions
+    /// that much later.
     pub fn new(
         target: VersionId,
         within: Duration,
--- a/crates/decide/src/direct/warm_up.rs
+++ b/crates/decide/src/direct/warm_up.rs
@@ -179,10 +179,10 @@
     /// Derives the limits from a service's warm-up; `None` if its servers need none.
     pub fn of(warm_up: Option<WarmUp>, bound: Option<ColdServerBound>) -> Option<Self> {
         let (warm_up, bound) = (warm_up?, bound?);
-        let max = bound.max_requests_per_second(warm_up);
+        let max_requests_per_second = bound.max_requests_per_second(warm_up);
         Some(ColdServerPacing {
             warm_up_time: warm_up.time,
-            max_requests_per_second: max,
+            max_requests_per_second,
             report_delay: bound.report_delay,
             not_before: WINDOW,
         })
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Servers and requests for the tests of a fleet.
+//! Servers and requests for tests of a fleet.
 
 #![allow(dead_code)]
 
@@ -8,7 +8,6 @@
     DataCentreRule, Fleet, PlacementRequest, PromptPart, ServerInfo, VersionRule,
 };
 
-/// Milliseconds.
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
@@ -27,7 +26,7 @@
     }
 }
 
-/// Servers `s0` and on, of one version.
+/// A fleet of `count` servers of one version, named from `s0`.
 pub fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new("dc1");
     (0..count).for_each(|n| fleet.apply_server(server(&format!("s{n}"), "v1")));
@@ -35,7 +34,7 @@
 }
 
 /// A request to the smallest model.
-pub fn ask(parts: &[PromptPart]) -> PlacementRequest<'_> {
+pub fn request(parts: &[PromptPart]) -> PlacementRequest<'_> {
     PlacementRequest {
         parts,
         model: 0,
@@ -47,7 +46,7 @@
     }
 }
 
-/// Parts of a prompt with these lengths in tokens.
+/// Prompt parts with these lengths in tokens.
 pub fn parts(tokens: &[u32]) -> Vec<PromptPart> {
     let parts = tokens.iter().enumerate();
     parts.map(|(id, tokens)| PromptPart { id: id as u64, tokens: *tokens }).collect()
--- /dev/null
+++ b/crates/decide/tests/evidence_pool.rs
@@ -0,0 +1,192 @@
+//! Pooled evidence of many entries about a version on trial: how often a good version is rejected,
+//! and how soon a bad one, by simulation.
+
+use std::time::Duration;
+
+use pondwalk_decide::direct::{Evidence, EvidencePool, Observation, RollOut, Stage};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+/// How the servers of a version answer; three in ten of the old version's answers count as slow.
+#[derive(Debug, Clone, Copy)]
+struct Version {
+    failing: f64,
+    slow: f64,
+    /// The number of servers if one of them is faulty: half of its answers fail, and nearly all
+    /// others are slow.
+    one_faulty_of: Option<u32>,
+}
+
+const GOOD: Version = Version { failing: 0.02, slow: 0.3, one_faulty_of: None };
+
+impl Version {
+    fn answer(self, rng: &mut Pcg64Mcg, server: u32) -> (bool, bool) {
+        let is_faulty = self.one_faulty_of.is_some() && server == 0;
+        let (failing, slow) = if is_faulty { (0.5, 0.9) } else { (self.failing, self.slow) };
+        let failed = rng.random_bool(failing);
+        (failed, !failed && rng.random_bool(slow))
+    }
+}
+
+/// A trial: answers a second of the new version, its servers, and the number of answers until it
+/// ends.
+#[derive(Debug, Clone, Copy)]
+struct Trial {
+    new_per_s: u64,
+    servers: u32,
+    answers: u32,
+}
+
+/// Number of the new version's answers after which it is rejected, if it is.
+fn answers_until_rejected(trial: Trial, old: Version, new: Version, seed: u64) -> Option<u32> {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut pool = EvidencePool::default();
+    let kinds = ["brief", "digest", "chat"];
+    for number in 0..trial.answers {
+        let now = ms(u64::from(number) * 1_000 / trial.new_per_s);
+        // NB: the old version has most of the traffic; its answers are reported as sums.
+        for kind in kinds {
+            let (failed, slow) = old.answer(&mut rng, 1);
+            pool.apply(Observation::single(kind, None, failed, Some(slow)), now);
+        }
+        let server = rng.random_range(0..trial.servers);
+        let (failed, slow) = new.answer(&mut rng, server);
+        let kind = kinds[rng.random_range(0..kinds.len())];
+        pool.apply(Observation::single(kind, Some(&format!("s{server}")), failed, Some(slow)), now);
+        if number % 8 == 7 && pool.is_bad(now) {
+            return Some(number + 1);
+        }
+    }
+    None
+}
+
+/// Number of trials in which the version is rejected after at most `within` answers.
+fn count_rejected(trials: u64, trial: Trial, old: Version, new: Version, within: u32) -> usize {
+    let is_rejected = |seed: &u64| {
+        answers_until_rejected(trial, old, new, *seed).is_some_and(|answers| answers <= within)
+    };
+    (0..trials).filter(is_rejected).count()
+}
+
+const LARGE: Trial = Trial { new_per_s: 70, servers: 60, answers: 400 };
+const SMALL: Trial = Trial { new_per_s: 25, servers: 12, answers: 250 };
+
+#[test]
+fn an_equal_version_is_rarely_rejected() {
+    assert!(count_rejected(1_000, LARGE, GOOD, GOOD, u32::MAX) <= 1);
+    assert!(count_rejected(1_000, SMALL, GOOD, GOOD, u32::MAX) <= 1);
+}
+
+#[test]
+fn a_fault_of_both_versions_rarely_rejects() {
+    let faulty_both = Version { failing: 0.15, slow: 0.45, one_faulty_of: None };
+    let rejected = count_rejected(500, LARGE, faulty_both, faulty_both, u32::MAX);
+    assert!(rejected <= 2, "{rejected} of 500, large");
+    let rejected = count_rejected(500, SMALL, faulty_both, faulty_both, u32::MAX);
+    assert!(rejected <= 2, "{rejected} of 500, small");
+}
+
+#[test]
+fn one_faulty_server_rarely_rejects_its_version() {
+    for servers in [4, 6, 12] {
+        let trial = Trial { servers, ..SMALL };
+        let faulty = Version { one_faulty_of: Some(servers), ..GOOD };
+        let rejected = count_rejected(300, trial, GOOD, faulty, u32::MAX);
+        assert!(rejected <= 3, "{rejected} of 300 with {servers} servers");
+    }
+}
+
+#[test]
+fn a_bad_version_is_rejected_soon() {
+    let slow = Version { slow: 0.65, ..GOOD };
+    let failing = Version { failing: 0.5, ..GOOD };
+    for (trial, name) in [(LARGE, "large"), (SMALL, "small")] {
+        let rejected = count_rejected(300, trial, GOOD, slow, 160);
+        assert!(rejected >= 297, "{name}, slow: {rejected} of 300 within 160 answers");
+        let rejected = count_rejected(300, trial, GOOD, failing, 40);
+        assert!(rejected >= 297, "{name}, failing: {rejected} of 300 within 40 answers");
+    }
+}
+
+#[test]
+fn a_version_that_turns_bad_late_is_rejected_as_soon() {
+    let mut rng = Pcg64Mcg::seed_from_u64(11);
+    let late = Version { failing: 0.5, ..GOOD };
+    for _ in 0..50 {
+        let mut pool = EvidencePool::default();
+        let mut rejected_at = None;
+        for number in 0..1_500u64 {
+            let now = ms(number * 14);
+            let version = if number < 1_000 { GOOD } else { late };
+            let server = rng.random_range(0..60);
+            let (failed, slow) = version.answer(&mut rng, server);
+            pool.apply(Observation::single("brief", None, false, Some(false)), now);
+            pool.apply(
+                Observation::single("brief", Some(&format!("s{server}")), failed, Some(slow)),
+                now,
+            );
+            if number % 8 == 7 && pool.is_bad(now) {
+                rejected_at = rejected_at.or(Some(number));
+            }
+        }
+        let rejected_at = rejected_at.expect("the version is rejected");
+        assert!((1_000..1_300).contains(&rejected_at), "{rejected_at}: 4 s are 290 answers");
+    }
+}
+
+#[test]
+fn a_version_that_fails_one_kind_of_request_is_rejected() {
+    let mut rng = Pcg64Mcg::seed_from_u64(12);
+    let mut pool = EvidencePool::default();
+    for number in 0..300u64 {
+        let now = ms(number * 14);
+        let kind = if number % 8 == 0 { "chat" } else { "brief" };
+        let failed = kind == "chat" && rng.random_bool(0.6);
+        let server = format!("s{}", number % 30);
+        pool.apply(Observation::single(kind, Some(&server), failed, Some(false)), now);
+        pool.apply(Observation::single(kind, None, false, Some(false)), now);
+    }
+    assert!(pool.is_bad(ms(4_200)));
+}
+
+#[test]
+fn observations_of_many_entries_trip_the_root() {
+    let mut root = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
+    root.apply_stage(Stage::Trial, ms(0));
+    // NB: each of 40 entries sees one answer only, and every other answer is a failure.
+    for n in 0..40u64 {
+        let mut entry = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
+        entry.apply_stage(Stage::Trial, ms(0));
+        let server = format!("s{}", n % 9);
+        let evidence = Evidence { kind: "k", server: &server, failed: n % 2 == 0, slowness: 1.0 };
+        assert!(!entry.record_answer("v2", &evidence, ms(2_000)));
+        assert!(!entry.evaluate(ms(2_000)));
+        let observations =
+            entry.take_due_observations(ms(2_100), ms(250)).expect("an unpublished observation");
+        assert_eq!(
+            entry.take_due_observations(ms(2_400), ms(250)),
+            None,
+            "everything is published"
+        );
+        root.apply_observations(observations, ms(50), ms(2_150));
+    }
+    assert!(!root.is_tripped());
+    assert!(root.evaluate(ms(2_200)) && root.has_tripped_locally() && root.is_withdrawn());
+    assert!(!root.evaluate(ms(2_300)), "a version is rejected once");
+}
+
+#[test]
+fn impossible_observations_are_ignored() {
+    let mut roll_out = RollOut::new("v2".to_owned(), ms(20_000), ms(0), 0.1, ms(300));
+    roll_out.apply_stage(Stage::Trial, ms(0));
+    for server in ["a", "b", "c", "d", "e"] {
+        let mut observation = Observation::single("k", Some(server), true, None);
+        observation.tally.failed = 1_000;
+        roll_out.apply_observations(vec![observation], ms(0), ms(1_000));
+    }
+    assert!(!roll_out.evaluate(ms(1_000)));
+}
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! When requests under which servers ended may run again, and that what is remembered of them is bounded.
+//! When requests under which servers crashed may run again, and that the records are bounded.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 };
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// Told ends, each by content, number and whether it was in a common loss, and where the other order begins.
+/// Reported crashes, each with content, number and whether it was correlated, and the rotation of
+/// the second order.
 type Property = fn(Vec<(u8, u8, bool)>, usize) -> TestResult;
 
 const CONTENT: ContentHash = 7;
@@ -18,208 +19,218 @@
     Duration::from_secs_f64(1_000.0 + seconds)
 }
 
-fn end(content: ContentHash, id: u64) -> ServerCrash {
+fn crash(content: ContentHash, id: u64) -> ServerCrash {
     ServerCrash { content, id, server: id, in_common_loss: false, on_probe: false }
 }
 
-/// A table that knows of so many ends of a content, all at the start.
-fn after(ends: u64) -> Quarantine {
-    let mut table = Quarantine::default();
-    for id in 0..ends {
-        assert!(table.record_crash(end(CONTENT, id), s(0.0), s(0.0)));
+/// A quarantine with so many crashes of a content, all at the start.
+fn quarantine_after(crashes: u64) -> Quarantine {
+    let mut quarantine = Quarantine::default();
+    for id in 0..crashes {
+        assert!(quarantine.record_crash(crash(CONTENT, id), s(0.0), s(0.0)));
     }
-    table
+    quarantine
 }
 
-fn probe(is_first: bool) -> ProbeRequest {
-    ProbeRequest { content: CONTENT, lease: 8 * SECOND, is_primary: is_first }
+fn probe(is_primary: bool) -> ProbeRequest {
+    ProbeRequest { content: CONTENT, lease: 8 * SECOND, is_primary }
 }
 
 #[test]
-fn two_ends_hold_nothing_and_the_third_does() {
-    assert_eq!(after(2).status(CONTENT, s(0.0)), QuarantineStatus::Unrestricted);
-    let table = after(3);
-    assert_eq!(table.status(CONTENT, s(0.9)), QuarantineStatus::Quarantined { until: s(1.0) });
-    assert_eq!(table.status(CONTENT, s(1.0)), QuarantineStatus::ProbeAllowed);
-    assert_eq!(table.status(8, s(0.0)), QuarantineStatus::Unrestricted, "another content");
+fn the_third_crash_quarantines() {
+    assert_eq!(quarantine_after(2).status(CONTENT, s(0.0)), QuarantineStatus::Unrestricted);
+    let quarantine = quarantine_after(3);
+    assert_eq!(quarantine.status(CONTENT, s(0.9)), QuarantineStatus::Quarantined { until: s(1.0) });
+    assert_eq!(quarantine.status(CONTENT, s(1.0)), QuarantineStatus::ProbeAllowed);
+    assert_eq!(quarantine.status(8, s(0.0)), QuarantineStatus::Unrestricted, "another content");
 }
 
 #[test]
-fn an_end_that_is_told_twice_counts_once() {
-    let mut table = after(2);
-    assert!(!table.record_crash(end(CONTENT, 1), s(0.0), s(0.1)));
-    assert_eq!(table.crash_count(CONTENT), 2);
+fn a_duplicate_report_counts_once() {
+    let mut quarantine = quarantine_after(2);
+    assert!(!quarantine.record_crash(crash(CONTENT, 1), s(0.0), s(0.1)));
+    assert_eq!(quarantine.crash_count(CONTENT), 2);
 }
 
 #[test]
-fn copies_that_see_a_server_end_count_one_end() {
-    let mut table = Quarantine::default();
+fn copies_of_a_request_count_one_crash() {
+    let mut quarantine = Quarantine::default();
     for id in 0..20 {
-        table.record_crash(
-            ServerCrash { server: 3, ..end(CONTENT, id) },
+        quarantine.record_crash(
+            ServerCrash { server: 3, ..crash(CONTENT, id) },
             s(0.01 * id as f64),
             s(1.0),
         );
     }
-    assert_eq!(table.crash_count(CONTENT), 1);
-    table.record_crash(ServerCrash { server: 3, ..end(CONTENT, 99) }, s(4.0), s(4.0));
-    assert_eq!(table.crash_count(CONTENT), 2, "it has started again and ended again");
+    assert_eq!(quarantine.crash_count(CONTENT), 1);
+    quarantine.record_crash(ServerCrash { server: 3, ..crash(CONTENT, 99) }, s(4.0), s(4.0));
+    assert_eq!(quarantine.crash_count(CONTENT), 2, "the restarted server crashed again");
 }
 
 #[test]
-fn what_came_to_a_good_end_is_forgiven_a_few_ends_and_not_for_ever() {
-    let mut good = SuccessfulContents::default();
-    good.record_crash(CONTENT);
-    assert!(!good.is_exempt(CONTENT));
-    good.record_success(CONTENT, s(0.0));
+fn a_successful_content_is_exempt_for_a_few_crashes() {
+    let mut successes = SuccessfulContents::default();
+    successes.record_crash(CONTENT);
+    assert!(!successes.is_exempt(CONTENT));
+    successes.record_success(CONTENT, s(0.0));
     for _ in 0..8 {
-        good.record_crash(CONTENT);
-        assert!(good.is_exempt(CONTENT));
+        successes.record_crash(CONTENT);
+        assert!(successes.is_exempt(CONTENT));
     }
-    good.record_crash(CONTENT);
-    assert!(!good.is_exempt(CONTENT), "too many without a good end");
-    good.record_success(CONTENT, s(1.0));
-    assert!(good.is_exempt(CONTENT));
-    good.record_success(8, s(301.0));
-    assert!(good.is_exempt(CONTENT), "the older ones are held as long again");
-    good.record_success(8, s(602.0));
-    assert!(!good.is_exempt(CONTENT));
+    successes.record_crash(CONTENT);
+    assert!(!successes.is_exempt(CONTENT), "too many crashes without a success");
+    successes.record_success(CONTENT, s(1.0));
+    assert!(successes.is_exempt(CONTENT));
+    successes.record_success(8, s(301.0));
+    assert!(successes.is_exempt(CONTENT), "the older generation is kept as long again");
+    successes.record_success(8, s(602.0));
+    assert!(!successes.is_exempt(CONTENT));
     for content in 100..40_000 {
-        good.record_success(content, s(603.0));
+        successes.record_success(content, s(603.0));
     }
-    assert!(!good.is_exempt(8), "what is remembered is bounded");
+    assert!(!successes.is_exempt(8), "the number of contents is bounded");
 }
 
 #[test]
-fn probes_come_one_at_a_time_and_ever_more_seldom() {
-    let mut table = after(3);
+fn probes_run_one_at_a_time_with_growing_delays() {
+    let mut quarantine = quarantine_after(3);
     let mut now = s(1.0);
     for pause in [5, 30, 600, 600] {
-        assert_eq!(table.request_probe(probe(true), now), ProbeDecision::Granted);
+        assert_eq!(quarantine.request_probe(probe(true), now), ProbeDecision::Granted);
         assert_eq!(
-            table.request_probe(probe(true), now),
+            quarantine.request_probe(probe(true), now),
             ProbeDecision::InProgress,
-            "one is under way"
+            "a probe is running"
         );
-        let ended = ServerCrash { on_probe: true, ..end(CONTENT, now.as_nanos() as u64) };
-        assert!(table.record_crash(ended, now, now));
+        let crash_on_probe =
+            ServerCrash { on_probe: true, ..crash(CONTENT, now.as_nanos() as u64) };
+        assert!(quarantine.record_crash(crash_on_probe, now, now));
         let until = now + pause * SECOND;
-        assert_eq!(table.request_probe(probe(true), now), ProbeDecision::Refused { until });
+        assert_eq!(quarantine.request_probe(probe(true), now), ProbeDecision::Refused { until });
         now = until;
     }
 }
 
 #[test]
-fn a_probe_of_which_nothing_is_heard_keeps_others_away_for_its_lease() {
-    let mut table = after(3);
-    assert_eq!(table.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
-    assert_eq!(table.status(CONTENT, s(8.9)), QuarantineStatus::ProbeInProgress);
-    assert_eq!(table.request_probe(probe(true), s(9.0)), ProbeDecision::Granted);
+fn a_probe_without_outcome_blocks_others_for_its_lease() {
+    let mut quarantine = quarantine_after(3);
+    assert_eq!(quarantine.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
+    assert_eq!(quarantine.status(CONTENT, s(8.9)), QuarantineStatus::ProbeInProgress);
+    assert_eq!(quarantine.request_probe(probe(true), s(9.0)), ProbeDecision::Granted);
 }
 
 #[test]
-fn an_entry_that_does_not_come_first_grants_the_first_probe_alone() {
-    let mut table = after(3);
-    assert_eq!(table.request_probe(probe(false), s(1.0)), ProbeDecision::Granted);
-    table.record_crash(ServerCrash { on_probe: true, ..end(CONTENT, 99) }, s(1.1), s(1.1));
-    assert!(matches!(table.request_probe(probe(false), s(7.0)), ProbeDecision::Refused { .. }));
-    assert_eq!(table.request_probe(probe(true), s(7.0)), ProbeDecision::Granted);
+fn a_backup_grants_only_the_first_probe() {
+    let mut quarantine = quarantine_after(3);
+    assert_eq!(quarantine.request_probe(probe(false), s(1.0)), ProbeDecision::Granted);
+    quarantine.record_crash(ServerCrash { on_probe: true, ..crash(CONTENT, 99) }, s(1.1), s(1.1));
+    assert!(matches!(
+        quarantine.request_probe(probe(false), s(7.0)),
+        ProbeDecision::Refused { .. }
+    ));
+    assert_eq!(quarantine.request_probe(probe(true), s(7.0)), ProbeDecision::Granted);
 }
 
 #[test]
-fn a_good_end_clears_and_late_word_of_ends_before_it_counts_for_nothing() {
-    let mut table = after(3);
-    assert_eq!(table.record_success(CONTENT, s(2.0)), 3);
-    assert_eq!(table.status(CONTENT, s(2.0)), QuarantineStatus::Unrestricted);
-    assert!(!table.record_crash(end(CONTENT, 9), s(1.9), s(2.1)));
-    assert!(table.record_crash(end(CONTENT, 10), s(2.1), s(2.1)));
-    assert_eq!(table.crash_count(CONTENT), 1);
-    assert_eq!(table.record_success(8, s(2.0)), 0, "nothing was known of another");
+fn a_success_clears_and_late_reports_of_earlier_crashes_are_ignored() {
+    let mut quarantine = quarantine_after(3);
+    assert_eq!(quarantine.record_success(CONTENT, s(2.0)), 3);
+    assert_eq!(quarantine.status(CONTENT, s(2.0)), QuarantineStatus::Unrestricted);
+    assert!(!quarantine.record_crash(crash(CONTENT, 9), s(1.9), s(2.1)));
+    assert!(quarantine.record_crash(crash(CONTENT, 10), s(2.1), s(2.1)));
+    assert_eq!(quarantine.crash_count(CONTENT), 1);
+    assert_eq!(quarantine.record_success(8, s(2.0)), 0, "another content has no record");
 }
 
 #[test]
-fn ends_of_a_common_loss_are_excused_three_times() {
-    let mut table = Quarantine::default();
+fn correlated_crashes_are_excused_three_times() {
+    let mut quarantine = Quarantine::default();
     for id in 0..6 {
-        let lost = ServerCrash { in_common_loss: true, ..end(CONTENT, id) };
-        assert_eq!(table.status(CONTENT, s(9.0)), QuarantineStatus::Unrestricted, "after {id}");
-        table.record_crash(lost, s(id as f64), s(id as f64));
+        let correlated = ServerCrash { in_common_loss: true, ..crash(CONTENT, id) };
+        assert_eq!(
+            quarantine.status(CONTENT, s(9.0)),
+            QuarantineStatus::Unrestricted,
+            "after {id}"
+        );
+        quarantine.record_crash(correlated, s(id as f64), s(id as f64));
     }
-    assert_ne!(table.status(CONTENT, s(5.5)), QuarantineStatus::Unrestricted);
+    assert_ne!(quarantine.status(CONTENT, s(5.5)), QuarantineStatus::Unrestricted);
 }
 
 #[test]
-fn a_loss_excuses_what_did_not_run_on_most_of_the_servers() {
-    let mut loss = CorrelatedCrashes::default();
+fn correlated_crashes_exonerate_unrelated_contents() {
+    let mut crashes = CorrelatedCrashes::default();
     for n in 0..4 {
-        loss.record(CONTENT, &format!("s{n}"));
-        loss.record(100 + n, &format!("s{n}"));
+        crashes.record(CONTENT, &format!("s{n}"));
+        crashes.record(100 + n, &format!("s{n}"));
     }
-    assert!(!loss.exonerates(CONTENT, 30), "it was at all of them");
-    assert!(loss.exonerates(101, 30), "three others ended");
+    assert!(!crashes.exonerates(CONTENT, 30), "the content ran on all of them");
+    assert!(crashes.exonerates(101, 30), "three other servers crashed");
     let mut two = CorrelatedCrashes::default();
     two.record(1, "s1");
     two.record(2, "s2");
-    assert!(!two.exonerates(1, 30), "one other may have ended by another request");
-    assert!(two.exonerates(1, 2), "there are no more");
+    assert!(!two.exonerates(1, 30), "another request may have crashed the other server");
+    assert!(two.exonerates(1, 2), "the service has no more servers");
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_keeps_what_is_held() {
-    let mut table = after(3);
+fn records_are_bounded_and_quarantined_ones_are_kept() {
+    let mut quarantine = quarantine_after(3);
     for content in 100..30_000 {
-        table.record_crash(end(content, 1), s(1.0), s(1.0));
+        quarantine.record_crash(crash(content, 1), s(1.0), s(1.0));
     }
-    assert!(table.len() <= 8_192, "{}", table.len());
-    assert!(table.evicted() > 20_000);
+    assert!(quarantine.len() <= 8_192, "{}", quarantine.len());
+    assert!(quarantine.evicted() > 20_000);
     assert_eq!(
-        table.crash_count(CONTENT),
+        quarantine.crash_count(CONTENT),
         3,
-        "one that is held does not give way to those with an end each"
+        "a quarantined record is kept before records with one crash each"
     );
-    table.remove_expired(s(3_599.0));
-    assert_eq!(table.crash_count(CONTENT), 3);
-    table.remove_expired(s(3_601.5));
-    assert!(table.is_empty(), "an hour later nothing is left");
+    quarantine.remove_expired(s(3_599.0));
+    assert_eq!(quarantine.crash_count(CONTENT), 3);
+    quarantine.remove_expired(s(3_601.5));
+    assert!(quarantine.is_empty(), "all records expire after an hour");
 }
 
 #[test]
-fn a_summary_leads_with_what_is_held() {
-    let mut table = after(3);
+fn the_most_relevant_crashes_are_of_quarantined_contents() {
+    let mut quarantine = quarantine_after(3);
     for content in 100..200 {
-        table.record_crash(end(content, 1), s(5.0), s(5.0));
+        quarantine.record_crash(crash(content, 1), s(5.0), s(5.0));
     }
-    let told = table.most_relevant_crashes(10, s(6.0));
-    assert_eq!(told.len(), 10);
-    assert!(told[..3].iter().all(|(end, age)| end.content == CONTENT && *age == 6 * SECOND));
+    let reported = quarantine.most_relevant_crashes(10, s(6.0));
+    assert_eq!(reported.len(), 10);
+    assert!(
+        reported[..3].iter().all(|(crash, age)| crash.content == CONTENT && *age == 6 * SECOND)
+    );
     let mut other = Quarantine::default();
-    for (end, age) in told {
-        other.record_crash(end, s(6.0) - age, s(6.0));
+    for (crash, age) in reported {
+        other.record_crash(crash, s(6.0) - age, s(6.0));
     }
     assert_eq!(other.status(CONTENT, s(6.0)), QuarantineStatus::ProbeAllowed);
 }
 
 #[test]
-fn whatever_is_heard_in_whatever_order_two_tables_agree() {
-    fn agree(ends: Vec<(u8, u8, bool)>, turn: usize) -> TestResult {
-        if ends.is_empty() {
+fn the_order_of_reports_does_not_matter() {
+    fn agree(crashes: Vec<(u8, u8, bool)>, shift: usize) -> TestResult {
+        if crashes.is_empty() {
             return TestResult::discard();
         }
-        let end = |(content, id, in_common_loss): &(u8, u8, bool)| ServerCrash {
+        let crash = |(content, id, in_common_loss): &(u8, u8, bool)| ServerCrash {
             content: u128::from(*content % 4),
             id: u64::from(*id % 8),
             server: u64::from(*id % 8),
             in_common_loss: *in_common_loss,
             on_probe: false,
         };
-        let mut turned = ends.clone();
-        turned.rotate_left(turn % ends.len());
+        let mut rotated = crashes.clone();
+        rotated.rotate_left(shift % crashes.len());
         let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
-        for told in &ends {
-            one.record_crash(end(told), s(0.0), s(0.0));
+        for reported in &crashes {
+            one.record_crash(crash(reported), s(0.0), s(0.0));
         }
-        for told in &turned {
-            other.record_crash(end(told), s(0.0), s(0.0));
+        for reported in &rotated {
+            other.record_crash(crash(reported), s(0.0), s(0.0));
         }
         let same = (0..4).all(|content| one.crash_count(content) == other.crash_count(content));
         TestResult::from_bool(same)
@@ -229,7 +240,7 @@
 }
 
 #[test]
-fn all_entries_name_the_same_one_and_contents_spread_over_them() {
+fn all_entries_agree_on_granters_and_load_is_spread() {
     let names: Vec<String> = (0..40).map(|n| format!("e{n}")).collect();
     let mut firsts = std::collections::HashSet::new();
     for content in 0..400u128 {
@@ -244,7 +255,7 @@
 }
 
 #[test]
-fn ends_differ_by_who_saw_them_where_and_when() {
+fn crash_ids_differ_by_entry_server_attempt_and_time() {
     let base = crash_id(&["e1", "s1", "r1"], &[1, 5]);
     let others = [
         crash_id(&["e2", "s1", "r1"], &[1, 5]),
@@ -258,16 +269,19 @@
 }
 
 #[test]
-fn a_probe_given_back_is_granted_again_at_once_and_was_none() {
-    let mut table = after(3);
+fn a_released_probe_does_not_count() {
+    let mut quarantine = quarantine_after(3);
     for _ in 0..10 {
-        assert_eq!(table.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
-        table.release_probe(CONTENT);
+        assert_eq!(quarantine.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
+        quarantine.release_probe(CONTENT);
     }
-    assert_eq!(table.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
-    assert_eq!(table.status(CONTENT, s(1.1)), QuarantineStatus::ProbeInProgress);
-    // NB: nothing is heard of this one, so the next has to wait for longer.
-    assert_eq!(table.status(CONTENT, s(10.0)), QuarantineStatus::ProbeAllowed);
-    assert_eq!(table.request_probe(probe(true), s(10.0)), ProbeDecision::Granted);
-    assert_eq!(table.status(CONTENT, s(19.5)), QuarantineStatus::Quarantined { until: s(40.0) });
+    assert_eq!(quarantine.request_probe(probe(true), s(1.0)), ProbeDecision::Granted);
+    assert_eq!(quarantine.status(CONTENT, s(1.1)), QuarantineStatus::ProbeInProgress);
+    // NB: the outcome of this probe is unknown, so the next has to wait longer.
+    assert_eq!(quarantine.status(CONTENT, s(10.0)), QuarantineStatus::ProbeAllowed);
+    assert_eq!(quarantine.request_probe(probe(true), s(10.0)), ProbeDecision::Granted);
+    assert_eq!(
+        quarantine.status(CONTENT, s(19.5)),
+        QuarantineStatus::Quarantined { until: s(40.0) }
+    );
 }
