--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -16,39 +16,39 @@
 
 /// Where the clock starts. What other processes tell may be dated before the start of this one, by
 /// up to the longest time for which an old state is of any use.
-const HEAD_START: Duration = Duration::from_secs(3_600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 
 /// A clock that starts some time after zero and does not stand still while the machine is suspended.
 #[derive(Debug, Clone)]
 pub struct Clock {
     origin: Instant,
     /// What the clock that counts suspended time was ahead of the steady one at the start.
-    lead_at_start: Option<Duration>,
+    boottime_lead_at_start: Option<Duration>,
     /// Time for which the machine was suspended, as far as it was noticed.
     suspended: Rc<Cell<Duration>>,
     /// Suspended time that a test makes up.
-    made_up: Rc<Cell<Duration>>,
+    simulated_suspension: Rc<Cell<Duration>>,
     /// What a test makes the time of day be at the start of the clock, in milliseconds since 1970.
-    made_up_unix_ms: Rc<Cell<Option<u64>>>,
+    simulated_unix_ms: Rc<Cell<Option<u64>>>,
 }
 
 impl Clock {
     /// Starts the clock.
     pub fn start() -> Self {
         let steady = read(ClockId::CLOCK_MONOTONIC);
-        let counting = read(ClockId::CLOCK_BOOTTIME);
+        let boottime = read(ClockId::CLOCK_BOOTTIME);
         Clock {
             origin: Instant::now(),
-            lead_at_start: lead(counting, steady),
+            boottime_lead_at_start: lead(boottime, steady),
             suspended: Rc::default(),
-            made_up: Rc::default(),
-            made_up_unix_ms: Rc::default(),
+            simulated_suspension: Rc::default(),
+            simulated_unix_ms: Rc::default(),
         }
     }
 
     /// The time.
     pub fn now(&self) -> Duration {
-        HEAD_START + self.uptime()
+        CLOCK_OFFSET + self.uptime()
     }
 
     /// Time since the start.
@@ -60,18 +60,18 @@
     pub fn suspended(&self) -> Duration {
         // NB: in this order, a pause between the two readings makes the lead look smaller than it is,
         // never larger; so the largest one seen is the closest, and the time never steps back.
-        let counting = read(ClockId::CLOCK_BOOTTIME);
+        let boottime = read(ClockId::CLOCK_BOOTTIME);
         let steady = read(ClockId::CLOCK_MONOTONIC);
-        if let (Some(at_start), Some(now)) = (self.lead_at_start, lead(counting, steady)) {
+        if let (Some(at_start), Some(now)) = (self.boottime_lead_at_start, lead(boottime, steady)) {
             let seen = now.saturating_sub(at_start);
             self.suspended.set(self.suspended.get().max(seen));
         }
-        self.suspended.get() + self.made_up.get()
+        self.suspended.get() + self.simulated_suspension.get()
     }
 
     /// The time of day by the machine's own clock, in milliseconds since 1970. It may jump.
     pub fn unix_ms(&self) -> u64 {
-        let since = match self.made_up_unix_ms.get() {
+        let since = match self.simulated_unix_ms.get() {
             Some(at_start) => Duration::from_millis(at_start) + self.uptime(),
             None => SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
         };
@@ -80,17 +80,17 @@
 
     /// Lets the time of day be as if it had been this at the start; for tests.
     pub fn simulate_unix_ms(&self, at_start: u64) {
-        self.made_up_unix_ms.set(Some(at_start));
+        self.simulated_unix_ms.set(Some(at_start));
     }
 
     /// The instant of a time, for timers; one that has passed counts as now, or as the start.
     pub fn instant(&self, at: Duration) -> Instant {
-        self.origin + at.saturating_sub(HEAD_START + self.suspended())
+        self.origin + at.saturating_sub(CLOCK_OFFSET + self.suspended())
     }
 
     /// Lets so much time pass as if the machine had been suspended; for tests.
     pub fn simulate_suspension(&self, time: Duration) {
-        self.made_up.set(self.made_up.get() + time);
+        self.simulated_suspension.set(self.simulated_suspension.get() + time);
     }
 }
 
@@ -99,6 +99,6 @@
     clock_gettime(clock).ok().map(Duration::from)
 }
 
-fn lead(counting: Option<Duration>, steady: Option<Duration>) -> Option<Duration> {
-    Some(counting?.saturating_sub(steady?))
+fn lead(boottime: Option<Duration>, steady: Option<Duration>) -> Option<Duration> {
+    Some(boottime?.saturating_sub(steady?))
 }
--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -5,13 +5,13 @@
 //! finds the condition broken and hears what was written. An entry that restarts takes up where the
 //! store says the roll-out stands.
 
-mod learn;
+mod apply;
 mod listing;
+mod lost_steps;
 mod quarantine;
 mod records;
-mod restored;
-mod turning_away;
-mod turns;
+mod rejecting_versions;
+mod rotation;
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,10 +24,10 @@
 use pondwalk_store::{Change, Expect, Position, StoreError};
 use tokio::{sync::Notify, time::timeout};
 
+use lost_steps::outcome_at;
 use records::{RollOutEvent, StageRecord};
-use restored::outcome_at;
-use turning_away::TurningAway;
-use turns::{Turns, wait_in_order};
+use rejecting_versions::RejectingVersions;
+use rotation::{Rotation, rotation_delay};
 
 use crate::{
     catalog::ServiceId,
@@ -41,17 +41,17 @@
 /// Where the entries keep how far a roll-out has come, by service.
 const STAGE_PREFIX: &str = "pondwalk/roll-out/";
 /// Longest time between two looks at what is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time over which entries spread what all of them write at the same moment.
-const SPREAD: Duration = Duration::from_millis(120);
+const JITTER_RANGE: Duration = Duration::from_millis(120);
 /// Parts of that time.
-const SPREAD_STEPS: usize = 120;
+const JITTER_STEPS: usize = 120;
 /// Least time between two tellings of what an entry has seen.
-const LEAST_TELLING_INTERVAL: Duration = Duration::from_millis(250);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// The same for each entry: together they tell at most 400 times a second.
-const TELLING_OF_ONE: Duration = Duration::from_micros(2_500);
+const REPORT_INTERVAL_PER_ENTRY: Duration = Duration::from_micros(2_500);
 /// Pause after a step that could not be written.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Follows all roll-outs.
 pub struct Coordinator {
@@ -60,20 +60,20 @@
     wake: Notify,
     revisions: RefCell<HashMap<String, u64>>,
     stages: RefCell<HashMap<ServiceId, StageRecord>>,
-    told: RefCell<HashMap<ServiceId, Progress>>,
+    reported_progress: RefCell<HashMap<ServiceId, Progress>>,
     /// Roll-outs of which a restored store was found to lack a step.
     lost_steps: RefCell<HashSet<ServiceId>>,
     /// Until when a step is left alone whose write got no answer: by then the store tells whether it
     /// was done.
-    unanswered: RefCell<HashMap<ServiceId, Duration>>,
+    unconfirmed_until: RefCell<HashMap<ServiceId, Duration>>,
     /// Until when what was listed last is expected to be heard of.
-    listed_until: Cell<Duration>,
+    listing_pending_until: Cell<Duration>,
     /// What the store holds of contents that are held.
-    kept: quarantine::Kept,
+    quarantine_writer: quarantine::QuarantineWriter,
     /// Versions all of whose servers turn everything away.
-    turning_away: RefCell<TurningAway>,
+    rejecting_versions: RefCell<RejectingVersions>,
     /// When they are looked for next.
-    turning_away_next: Cell<Duration>,
+    next_rejection_check: Cell<Duration>,
 }
 
 impl Coordinator {
@@ -85,13 +85,13 @@
             wake: Notify::new(),
             revisions: RefCell::default(),
             stages: RefCell::default(),
-            told: RefCell::default(),
+            reported_progress: RefCell::default(),
             lost_steps: RefCell::default(),
-            unanswered: RefCell::default(),
-            listed_until: Cell::default(),
-            kept: quarantine::Kept::default(),
-            turning_away: RefCell::default(),
-            turning_away_next: Cell::default(),
+            unconfirmed_until: RefCell::default(),
+            listing_pending_until: Cell::default(),
+            quarantine_writer: quarantine::QuarantineWriter::default(),
+            rejecting_versions: RefCell::default(),
+            next_rejection_check: Cell::default(),
         }
     }
 
@@ -102,76 +102,78 @@
 
     /// Writes the steps that are due, for as long as the process runs.
     pub async fn run(&self) {
-        let mut turns = Turns::default();
-        let mut pause = LOOK_INTERVAL;
+        let mut rotation = Rotation::default();
+        let mut pause = POLL_INTERVAL;
         loop {
             // NB: the time limit is the next regular look, or the next turn.
             let _ = timeout(pause, self.wake.notified()).await;
-            self.tell_seen();
-            self.weigh_trials();
-            self.look_for_turning_away();
-            let due = self.due();
+            self.publish_observations();
+            self.evaluate_trials();
+            self.check_rejecting_versions();
+            let due = self.due_steps();
             let now = self.core.clock.now();
             let (ready, next) =
-                turns.ready(&due, now, |service, step| self.wait_with(service, step));
-            pause = next.map_or(LOOK_INTERVAL, |next| next.min(LOOK_INTERVAL));
-            for service in ready.into_iter().filter(|service| !self.awaits_word_of(service)) {
+                rotation.ready(&due, now, |service, step| self.write_delay(service, step));
+            pause = next.map_or(POLL_INTERVAL, |next| next.min(POLL_INTERVAL));
+            for service in ready.into_iter().filter(|service| !self.is_awaiting_outcome(service)) {
                 // NB: another entry may have made the step meanwhile.
-                if let Some(step) = self.due_for(&service) {
-                    self.make(&service, step).await;
+                if let Some(step) = self.due_step(&service) {
+                    self.write_step(&service, step).await;
                 }
             }
-            self.list_joined(self.wait_in_order()).await;
-            self.store_quarantine(self.wait_in_order()).await;
+            self.list_joined(self.rotation_delay()).await;
+            self.write_quarantine_record(self.rotation_delay()).await;
         }
     }
 
     /// How long this entry waits with a step that is due.
-    fn wait_with(&self, service: &ServiceId, step: Move) -> Duration {
+    fn write_delay(&self, service: &ServiceId, step: Move) -> Duration {
         let membership = &self.core.settings.membership;
-        let is_known_to_all = match step {
+        let is_due_everywhere = match step {
             // NB: news goes nowhere near the store, and is gathered on its way.
             Move::Keep => return Duration::ZERO,
             Move::Begin | Move::Widen | Move::Complete => true,
-            Move::Revert => !self.has_found_bad(service),
+            Move::Revert => !self.has_found_bad_locally(service),
         };
-        if is_known_to_all && membership.ordered_steps {
-            self.wait_in_order()
+        if is_due_everywhere && membership.ordered_steps {
+            self.rotation_delay()
         } else {
-            SPREAD * self.core.members.spread(SPREAD_STEPS) as u32 / SPREAD_STEPS as u32
+            JITTER_RANGE * self.core.members.spread(JITTER_STEPS) as u32 / JITTER_STEPS as u32
         }
     }
 
     /// How long this entry leaves to those before it what is due at all.
-    pub(crate) fn wait_in_order(&self) -> Duration {
-        wait_in_order(self.core.members.rank(), self.time_to_hear())
+    pub(crate) fn rotation_delay(&self) -> Duration {
+        rotation_delay(self.core.members.rank(), self.propagation_time())
     }
 
     /// Longest time until an entry hears what was just written to the store.
-    fn time_to_hear(&self) -> Duration {
+    fn propagation_time(&self) -> Duration {
         let times = &self.core.settings.membership.times;
         times.oldest_in_calm() + self.core.state.borrow().store_latency
     }
 
-    fn awaits_word_of(&self, service: &ServiceId) -> bool {
-        let until = self.unanswered.borrow().get(service).copied();
+    fn is_awaiting_outcome(&self, service: &ServiceId) -> bool {
+        let until = self.unconfirmed_until.borrow().get(service).copied();
         until.is_some_and(|until| self.core.clock.now() < until)
     }
 
-    fn has_found_bad(&self, service: &ServiceId) -> bool {
+    fn has_found_bad_locally(&self, service: &ServiceId) -> bool {
         let state = self.core.state.borrow();
         state.roll_outs.get(service).is_some_and(RollOut::has_found_bad)
     }
 
-    fn due(&self) -> Vec<(ServiceId, Move)> {
+    fn due_steps(&self) -> Vec<(ServiceId, Move)> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         let due = state.roll_outs.iter();
-        due.filter_map(|(service, one)| Some((service.clone(), self.next_step(service, one, now)?)))
-            .collect()
+        due.filter_map(|(service, roll_out)| {
+            Some((service.clone(), self.next_step(service, roll_out, now)?))
+        })
+        .collect()
     }
 
-    fn due_for(&self, service: &ServiceId) -> Option<Move> {
+    fn due_step(&self, service: &ServiceId) -> Option<Move> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         self.next_step(service, state.roll_outs.get(service)?, now)
@@ -181,14 +183,14 @@
         self.lost_step(service, roll_out).or_else(|| roll_out.next_move(now))
     }
 
-    async fn make(&self, service: &ServiceId, step: Move) {
+    async fn write_step(&self, service: &ServiceId, step: Move) {
         let Some(target) = self.target_of(service) else { return };
         let stage = match step {
             Move::Begin => Stage::Trial,
             Move::Widen => Stage::Widening,
             Move::Complete => Stage::Completed,
             Move::Revert => Stage::Reverted,
-            Move::Keep => return self.tell_kept(service, target),
+            Move::Keep => return self.publish_kept_sessions(service, target),
         };
         let outcome = outcome_at(stage);
         let progress = Progress { service: service.clone(), target: target.clone(), outcome };
@@ -201,90 +203,91 @@
             self.change(progress_key, progress_value),
         ];
         let written = self.commit(changes, StoreCause::StepWon).await;
-        self.note_written(service, step, &written);
+        self.log_step(service, step, &written);
         if step == Move::Revert && matches!(&written, Err(error) if *error != StoreError::Conflict)
         {
-            self.tell_bad(service);
+            self.publish_bad_version(service);
         }
-        let mut told = None;
+        let mut outgoing = None;
         if written == Err(StoreError::AnswerLost) {
-            let until = self.core.clock.now() + self.time_to_hear();
-            self.unanswered.borrow_mut().insert(service.clone(), until);
+            let until = self.core.clock.now() + self.propagation_time();
+            self.unconfirmed_until.borrow_mut().insert(service.clone(), until);
         }
         if written.is_err() {
             // NB: the watch brings what another entry wrote, and what an answer that was lost
             // left behind; until then the step counts as due.
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         } else if let Some(roll_out) = self.core.state.borrow_mut().roll_outs.get_mut(service) {
             roll_out.learn_stage(stage, self.core.clock.now());
             self.lost_steps.borrow_mut().remove(service);
             let (service, stage) = (service.to_string(), stage.into());
-            told = Some(News::Stage { service, target: progress.target, stage });
+            outgoing = Some(News::Stage { service, target: progress.target, stage });
         }
-        if let Some(news) = told {
+        if let Some(news) = outgoing {
             self.core.tell_news(news);
         }
     }
 
     /// Tells the other entries of a bad version that the store could not be told of.
-    fn tell_bad(&self, service: &ServiceId) {
+    fn publish_bad_version(&self, service: &ServiceId) {
         let Some(target) = self.target_of(service) else { return };
         self.core.tell_news(News::Bad { service: service.to_string(), target });
     }
 
     /// Tells what this entry has seen of the versions on trial.
-    fn tell_seen(&self) {
+    fn publish_observations(&self) {
         let now = self.core.clock.now();
-        let interval = self.telling_interval();
-        let mut told = Vec::new();
-        for (service, one) in &mut self.core.state.borrow_mut().roll_outs {
-            if let Some(seen) = one.take_seen(now, interval) {
-                let (service, target) = (service.to_string(), one.target().clone());
-                told.push(News::Seen { service, target, seen });
+        let interval = self.report_interval();
+        let mut outgoing = Vec::new();
+        for (service, roll_out) in &mut self.core.state.borrow_mut().roll_outs {
+            if let Some(seen) = roll_out.take_seen(now, interval) {
+                let (service, target) = (service.to_string(), roll_out.target().clone());
+                outgoing.push(News::Seen { service, target, seen });
             }
         }
-        told.into_iter().for_each(|news| self.core.tell_news(news));
+        outgoing.into_iter().for_each(|news| self.core.tell_news(news));
     }
 
     /// Time between two tellings of what this entry has seen. All entries together tell no more
     /// often than a root can hear.
-    fn telling_interval(&self) -> Duration {
-        (TELLING_OF_ONE * self.core.members.count() as u32).max(LEAST_TELLING_INTERVAL)
+    fn report_interval(&self) -> Duration {
+        (REPORT_INTERVAL_PER_ENTRY * self.core.members.count() as u32).max(MIN_REPORT_INTERVAL)
     }
 
     /// Weighs what has been seen of the versions on trial, and leaves those that are bad.
-    fn weigh_trials(&self) {
+    fn evaluate_trials(&self) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let trials = state.roll_outs.iter_mut();
-        let bad: Vec<ServiceId> =
-            trials.filter_map(|(service, one)| one.weigh(now).then(|| service.clone())).collect();
+        let bad: Vec<ServiceId> = trials
+            .filter_map(|(service, roll_out)| roll_out.weigh(now).then(|| service.clone()))
+            .collect();
         drop(state);
         for service in bad {
             let event = RollOutEvent::FoundBadTogether { service: &service };
             self.core.event_log.record(LogPriority::State, &event);
-            self.tell_bad(&service);
+            self.publish_bad_version(&service);
         }
     }
 
     /// Tells which sessions that the trial would move run through this entry already.
-    fn tell_kept(&self, service: &ServiceId, target: String) {
-        let sessions = self.kept(service, &target);
-        for some in sessions.chunks(MOST_SESSIONS) {
-            let (service, sessions) = (service.to_string(), some.to_vec());
+    fn publish_kept_sessions(&self, service: &ServiceId, target: String) {
+        let sessions = self.kept_sessions(service, &target);
+        for batch in sessions.chunks(MOST_SESSIONS) {
+            let (service, sessions) = (service.to_string(), batch.to_vec());
             self.core.tell_news(News::Kept { service, target: target.clone(), sessions });
         }
-        self.teach(service, &target, RollOut::note_kept_told);
+        self.update_roll_out(service, &target, RollOut::note_kept_told);
     }
 
-    fn kept(&self, service: &ServiceId, target: &str) -> Vec<SessionKey> {
+    fn kept_sessions(&self, service: &ServiceId, target: &str) -> Vec<SessionKey> {
         let state = self.core.state.borrow();
         let Some(roll_out) = state.roll_outs.get(service) else { return Vec::new() };
         let running = state.sessions.running_off(target, self.core.clock.now());
         running.filter(|session| roll_out.would_try(*session)).collect()
     }
 
-    fn note_written(&self, service: &str, step: Move, written: &Result<Position, StoreError>) {
+    fn log_step(&self, service: &str, step: Move, written: &Result<Position, StoreError>) {
         let step = format!("{step:?}").to_lowercase();
         let event = match written {
             Ok(Position { revision, .. }) => {
--- a/crates/direct/src/coordinator/learn.rs
+++ b/crates/direct/src/coordinator/apply.rs
@@ -18,9 +18,9 @@
 
 impl Coordinator {
     /// Learns the last change of a key, or that the key is gone.
-    pub fn learn_revision(&self, key: &str, entry: Option<&Fetched>) {
+    pub fn apply_revision(&self, key: &str, entry: Option<&Fetched>) {
         if is_usage_key(key) && key == self.usage_key() {
-            self.core.learn_usage_record(entry);
+            self.core.apply_usage_record(entry);
         }
         let Some(entry) = entry else {
             self.revisions.borrow_mut().remove(key);
@@ -28,15 +28,15 @@
         };
         self.revisions.borrow_mut().insert(key.to_owned(), entry.revision);
         if let Some(service) = key.strip_prefix(STAGE_PREFIX) {
-            self.learn_stage(&service.into(), &entry.value);
+            self.apply_stage_record(&service.into(), &entry.value);
         }
         if key == QUARANTINE_KEY {
-            self.learn_quarantine(&entry.value);
+            self.apply_quarantine_record(&entry.value);
         }
     }
 
     /// Learns of an order, or that it was taken back.
-    pub fn learn_order(&self, service: &ServiceId, order: Option<RollOutOrder>) {
+    pub fn apply_order(&self, service: &ServiceId, order: Option<RollOutOrder>) {
         let Some(order) = order else {
             self.core.state.borrow_mut().roll_outs.remove(service);
             return;
@@ -49,16 +49,17 @@
         let now = self.core.clock.now();
         // NB: it is to be done in a time that runs from when it was given, not from when a late
         // answer told of it.
-        let given = now.saturating_sub(state.store_latency);
+        let given_at = now.saturating_sub(state.store_latency);
         let times = &self.core.settings.membership.times;
-        let news = times.confirm_interval + times.exchange;
-        let roll_out = RollOut::new(order.target.clone(), order.within, given, share, news);
-        let before = state.roll_outs.insert(service.clone(), roll_out);
+        let propagation = times.confirm_interval + times.exchange;
+        let roll_out =
+            RollOut::new(order.target.clone(), order.within, given_at, share, propagation);
+        let previous = state.roll_outs.insert(service.clone(), roll_out);
         let fleet = state.fleet(service);
         // NB: the servers of a version that was reverted stay for a while, and are no part of the
         // old version that the next one is compared with.
-        if let Some(before) = before.filter(RollOut::is_off) {
-            fleet.leave_out(before.target());
+        if let Some(previous) = previous.filter(RollOut::is_off) {
+            fleet.leave_out(previous.target());
         }
         fleet.let_in(&order.target);
         drop(state);
@@ -66,27 +67,27 @@
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
         self.core.event_log.record(LogPriority::State, &event);
         self.core.apply_news_of(service);
-        self.apply_known(service);
+        self.apply_stored_state(service);
     }
 
     /// Learns what the operator was told.
-    pub fn learn_progress(&self, service: &ServiceId, progress: Option<&Progress>) {
+    pub fn apply_progress(&self, service: &ServiceId, progress: Option<&Progress>) {
         match progress {
             Some(progress) => {
-                self.told.borrow_mut().insert(service.clone(), progress.clone());
-                self.apply_known(service);
+                self.reported_progress.borrow_mut().insert(service.clone(), progress.clone());
+                self.apply_stored_state(service);
             }
             None => {
-                self.told.borrow_mut().remove(service);
+                self.reported_progress.borrow_mut().remove(service);
             }
         }
     }
 
     /// Forgets the revisions of keys that a whole reading does not show.
-    pub fn forget_all_but(&self, entries: &[Fetched]) {
+    pub fn retain_listed(&self, entries: &[Fetched]) {
         let usage_key = self.usage_key();
         if entries.iter().all(|entry| entry.key != usage_key) {
-            self.core.learn_usage_record(None);
+            self.core.apply_usage_record(None);
         }
         let mut revisions = self.revisions.borrow_mut();
         revisions.retain(|key, _| entries.iter().any(|entry| entry.key == *key));
@@ -96,16 +97,22 @@
         usage_key(self.core.state.borrow().replica.position().era)
     }
 
-    fn learn_stage(&self, service: &ServiceId, value: &[u8]) {
-        let Some(record) = self.read::<StageRecord>(service, "read the stage", value) else {
+    fn apply_stage_record(&self, service: &ServiceId, value: &[u8]) {
+        let Some(record) = self.parse_record::<StageRecord>(service, "read the stage", value)
+        else {
             return;
         };
         self.stages.borrow_mut().insert(service.clone(), record);
-        self.apply_known(service);
+        self.apply_stored_state(service);
     }
 
     /// Reads a record of ours; one that cannot be read is logged.
-    fn read<T: DeserializeOwned>(&self, service: &str, step: &str, value: &[u8]) -> Option<T> {
+    fn parse_record<T: DeserializeOwned>(
+        &self,
+        service: &str,
+        step: &str,
+        value: &[u8],
+    ) -> Option<T> {
         let record = serde_json::from_slice(value);
         if let Err(error) = &record {
             let (step, error) = (step.to_owned(), error.to_string());
@@ -116,27 +123,34 @@
     }
 
     /// Lets the roll-out of a service learn something, if it is still the one to this target.
-    pub(super) fn teach(&self, service: &str, target: &str, learn: impl FnOnce(&mut RollOut)) {
+    pub(super) fn update_roll_out(
+        &self,
+        service: &str,
+        target: &str,
+        learn: impl FnOnce(&mut RollOut),
+    ) {
         let mut state = self.core.state.borrow_mut();
         let roll_out = state.roll_outs.get_mut(service);
-        if let Some(roll_out) = roll_out.filter(|one| *one.target() == target) {
+        if let Some(roll_out) = roll_out.filter(|roll_out| *roll_out.target() == target) {
             learn(roll_out);
         }
     }
 
     /// Lets the roll-out of a service learn what the store holds about it.
-    fn apply_known(&self, service: &ServiceId) {
+    fn apply_stored_state(&self, service: &ServiceId) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(service) else { return };
-        let before = roll_out.known_stage();
+        let previous = roll_out.known_stage();
         if let Some(record) = self.stages.borrow().get(service)
             && record.target == *roll_out.target()
         {
             roll_out.learn_stage(record.stage.into(), now);
         }
-        let told = self.told.borrow();
-        if let Some(progress) = told.get(service).filter(|told| told.target == *roll_out.target()) {
+        let reported = self.reported_progress.borrow();
+        if let Some(progress) =
+            reported.get(service).filter(|reported| reported.target == *roll_out.target())
+        {
             match progress.outcome {
                 Outcome::InProgress => roll_out.learn_stage(Stage::Trial, now),
                 Outcome::Completed => roll_out.learn_stage(Stage::Completed, now),
@@ -144,7 +158,7 @@
             }
         }
         let after = roll_out.known_stage();
-        if after == before {
+        if after == previous {
             return;
         }
         let target = roll_out.target().clone();
--- a/crates/direct/src/coordinator/listing.rs
+++ b/crates/direct/src/coordinator/listing.rs
@@ -13,10 +13,10 @@
 
 /// Entries listed by one write. The platform's store takes up to 32 rows in a call, and each change
 /// is a condition and a write.
-const MOST_AT_ONCE: usize = 16;
+const MAX_LISTINGS_PER_WRITE: usize = 16;
 /// Age of the news of an entry's start from which it is listed, so that those that start together
 /// are listed together.
-const GATHER_TIME: Duration = Duration::from_millis(300);
+const BATCH_DELAY: Duration = Duration::from_millis(300);
 
 impl Coordinator {
     /// Lists the entries that have told of their start, if it is this one's turn; `wait` is how long
@@ -24,18 +24,18 @@
     pub(super) async fn list_joined(&self, wait: Duration) {
         // NB: while the store is away nobody can be listed, and each try counts as a call.
         let asks_others = matches!(self.core.source(), Source::Entry { .. });
-        let awaits_word = self.core.clock.now() < self.listed_until.get();
-        if asks_others || awaits_word || self.core.outage().is_some() {
+        let is_write_pending = self.core.clock.now() < self.listing_pending_until.get();
+        if asks_others || is_write_pending || self.core.outage().is_some() {
             return;
         }
-        let unlisted = self.unlisted(GATHER_TIME + wait);
+        let unlisted = self.unlisted(BATCH_DELAY + wait);
         if !unlisted.is_empty() {
-            self.listed_until.set(self.core.clock.now() + self.time_to_hear());
+            self.listing_pending_until.set(self.core.clock.now() + self.propagation_time());
         }
-        for some in unlisted.chunks(MOST_AT_ONCE) {
-            let changes = some.iter().map(|(name, listing)| self.listing(name, listing));
+        for batch in unlisted.chunks(MAX_LISTINGS_PER_WRITE) {
+            let changes = batch.iter().map(|(name, listing)| self.listing(name, listing));
             if let Err(error) = self.commit(changes.collect(), StoreCause::Listing).await {
-                let key = format!("{ENTRY_PREFIX}{}", some[0].0);
+                let key = format!("{ENTRY_PREFIX}{}", batch[0].0);
                 let event = RollOutEvent::NotListed { key, error: error.to_string() };
                 self.core.event_log.record(LogPriority::State, &event);
                 // NB: whoever is not listed in the end lists itself.
@@ -45,7 +45,7 @@
     }
 
     /// Lists this entry by a write of its own; for when nobody else has.
-    pub async fn list_itself(&self, listing: Listing) {
+    pub async fn list_self(&self, listing: Listing) {
         let name = &self.core.settings.name;
         let change = self.listing(name, &listing);
         let key = change.key.clone();
@@ -61,13 +61,13 @@
     }
 
     /// Entries that started this long ago and are not listed where they are.
-    fn unlisted(&self, at_least: Duration) -> Vec<(String, Listing)> {
+    fn unlisted(&self, min_age: Duration) -> Vec<(String, Listing)> {
         let now = self.core.clock.now();
         let news = self.core.gossip.borrow();
         let mut unlisted = Vec::new();
         for (age, item) in news.all(now) {
             let News::Joined { listing } = item.news else { continue };
-            if age >= at_least && !self.core.members.is_stored(&item.origin, listing) {
+            if age >= min_age && !self.core.members.is_stored(&item.origin, listing) {
                 unlisted.retain(|(name, _)| *name != item.origin);
                 unlisted.push((item.origin.clone(), listing));
             }
--- a/crates/direct/src/coordinator/turning_away.rs
+++ b/crates/direct/src/coordinator/rejecting_versions.rs
@@ -13,29 +13,29 @@
 
 /// Time after which such a version is told as one, and left if it is on trial. Servers ask for pauses of a few
 /// seconds while they are full; one that has just started is full for as long at most.
-const TURNS_AWAY_TIME: Duration = Duration::from_secs(10);
+const MIN_REJECTION_TIME: Duration = Duration::from_secs(10);
 
 /// Time between two looks. Each goes over all servers, of which there may be thousands, while the conductor is
 /// woken by all that is learned.
-const TURNS_AWAY_LOOK: Duration = Duration::from_secs(1);
+const REJECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Versions that turn everything away, by service.
-pub type TurningAway = BTreeSet<(ServiceId, VersionId)>;
+pub type RejectingVersions = BTreeSet<(ServiceId, VersionId)>;
 
 impl Coordinator {
     /// Tells of versions that begin or cease to turn everything away, and leaves one that is on trial.
-    pub(super) fn look_for_turning_away(&self) {
+    pub(super) fn check_rejecting_versions(&self) {
         let now = self.core.clock.now();
-        if now < self.turning_away_next.get() {
+        if now < self.next_rejection_check.get() {
             return;
         }
-        self.turning_away_next.set(now + TURNS_AWAY_LOOK);
-        let found = self.find_turning_away(now);
-        let known = self.turning_away.replace(found.clone());
+        self.next_rejection_check.set(now + REJECTION_CHECK_INTERVAL);
+        let found = self.find_rejecting_versions(now);
+        let known = self.rejecting_versions.replace(found.clone());
         for (service, version) in found.difference(&known) {
             let event = RollOutEvent::TurnsAway { service, version };
             self.core.event_log.record(LogPriority::State, &event);
-            self.leave_on_trial(service, version);
+            self.abort_trial(service, version);
         }
         for (service, version) in known.difference(&found) {
             let event = RollOutEvent::TakesAgain { service, version };
@@ -43,22 +43,23 @@
         }
     }
 
-    fn find_turning_away(&self, now: Duration) -> TurningAway {
+    fn find_rejecting_versions(&self, now: Duration) -> RejectingVersions {
         let state = self.core.state.borrow();
         let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-            let versions = fleet.versions_turning_away(TURNS_AWAY_TIME, now).into_iter();
+            let versions = fleet.versions_turning_away(MIN_REJECTION_TIME, now).into_iter();
             versions.map(|version| (service.clone(), version))
         });
         of_fleets.collect()
     }
 
-    fn leave_on_trial(&self, service: &ServiceId, version: &str) {
+    fn abort_trial(&self, service: &ServiceId, version: &str) {
         let mut state = self.core.state.borrow_mut();
-        let roll_out = state.roll_outs.get_mut(service).filter(|one| one.target() == version);
-        let is_left = roll_out.is_some_and(|roll_out| roll_out.turns_away());
+        let roll_out =
+            state.roll_outs.get_mut(service).filter(|roll_out| roll_out.target() == version);
+        let is_aborted = roll_out.is_some_and(|roll_out| roll_out.turns_away());
         drop(state);
-        if is_left {
-            self.tell_bad(service);
+        if is_aborted {
+            self.publish_bad_version(service);
         }
     }
 }
--- a/crates/direct/src/coordinator/turns.rs
+++ b/crates/direct/src/coordinator/rotation.rs
@@ -11,17 +11,17 @@
 use crate::catalog::ServiceId;
 
 /// Entries in order that wait for one another. If all of them are gone, the others follow together.
-const MOST_IN_ORDER: u32 = 3;
+const MAX_ORDERED_ENTRIES: u32 = 3;
 /// Time for each entry over which the others spread their tries then.
-const SPREAD_OF_OTHERS: Duration = Duration::from_millis(5);
+const UNORDERED_DELAY_PER_ENTRY: Duration = Duration::from_millis(5);
 
 /// The steps that are due, and since when.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct Rotation {
     due: HashMap<ServiceId, (Move, Duration)>,
 }
 
-impl Turns {
+impl Rotation {
     /// Notes which steps are due now. Returns those services whose step has been due for as long as
     /// `wait` says, and the time until the next one will have been.
     pub fn ready(
@@ -48,8 +48,8 @@
 
 /// How long the entry at place `rank` of the order waits with a step, where news of one takes
 /// `news` to reach it.
-pub fn wait_in_order(rank: usize, news: Duration) -> Duration {
+pub fn rotation_delay(rank: usize, propagation: Duration) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    let others = rank.saturating_sub(MOST_IN_ORDER);
-    news * rank.min(MOST_IN_ORDER) + SPREAD_OF_OTHERS.saturating_mul(others)
+    let others = rank.saturating_sub(MAX_ORDERED_ENTRIES);
+    propagation * rank.min(MAX_ORDERED_ENTRIES) + UNORDERED_DELAY_PER_ENTRY.saturating_mul(others)
 }
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -186,7 +186,7 @@
     /// Lets the bounds over all entries be shared by the entries that are listed now.
     pub fn update_bound_shares(&self) {
         let names = self.members.names();
-        self.state.borrow_mut().set_sharers(names.iter().map(String::as_str));
+        self.state.borrow_mut().set_bound_sharing(names.iter().map(String::as_str));
     }
 
     /// Counters, histograms, and where this entry stands among the others, one a line.
--- a/crates/direct/src/draining_servers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -14,22 +14,22 @@
 use crate::{catalog::ServiceId, core::Core, event_log::LogPriority};
 
 /// Time between two looks; a server that starts anew in place is mostly away for some seconds.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Servers looked at each time. When hundreds are replaced while the store is away, hundreds of entries open at
 /// most some ten connections a second each.
-const MOST_LOOKS: usize = 5;
+const MAX_PROBES_PER_POLL: usize = 5;
 /// Longest time for a connection to open; one that takes longer tells nothing.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A server that said it leaves has started anew.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum LeaverEvent<'a> {
+enum DrainingServerEvent<'a> {
     LeaverStartedAnew { server: &'a str },
 }
 
 /// A server to look at.
-struct Leaver {
+struct DrainingServer {
     service: ServiceId,
     server: ServerId,
     address: SocketAddr,
@@ -37,24 +37,24 @@
 
 /// Looks after servers that leave for as long as the process runs.
 pub async fn watch_draining_servers(core: Rc<Core>) {
-    let mut first = 0;
+    let mut offset = 0;
     loop {
-        sleep(LOOK_INTERVAL).await;
-        let leavers = leavers(&core);
-        if leavers.is_empty() {
+        sleep(POLL_INTERVAL).await;
+        let draining = list_draining(&core);
+        if draining.is_empty() {
             continue;
         }
         // NB: by turns, so that each is looked at however many there are.
-        let turn = leavers.iter().cycle().skip(first % leavers.len());
-        for leaver in turn.take(MOST_LOOKS.min(leavers.len())) {
-            look_at(&core, leaver).await;
+        let rotation = draining.iter().cycle().skip(offset % draining.len());
+        for server in rotation.take(MAX_PROBES_PER_POLL.min(draining.len())) {
+            probe_server(&core, server).await;
         }
-        first += MOST_LOOKS;
+        offset += MAX_PROBES_PER_POLL;
     }
 }
 
 /// Servers whose next life nobody could tell of.
-fn leavers(core: &Core) -> Vec<Leaver> {
+fn list_draining(core: &Core) -> Vec<DrainingServer> {
     if !core.is_state_outdated(Duration::ZERO) {
         return Vec::new();
     }
@@ -62,15 +62,19 @@
     let state = core.state.borrow();
     let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
         let leaving = fleet.told_leaving_at(now).into_iter();
-        leaving.map(|(server, address)| Leaver { service: service.clone(), server, address })
+        leaving.map(|(server, address)| DrainingServer {
+            service: service.clone(),
+            server,
+            address,
+        })
     });
-    let mut leavers: Vec<Leaver> = of_fleets.collect();
-    leavers.sort_by(|one, other| one.server.cmp(&other.server));
-    leavers
+    let mut draining: Vec<DrainingServer> = of_fleets.collect();
+    draining.sort_by(|one, other| one.server.cmp(&other.server));
+    draining
 }
 
-async fn look_at(core: &Core, leaver: &Leaver) {
-    let listens = match timeout(CONNECT_LIMIT, (core.connect)(leaver.address)).await {
+async fn probe_server(core: &Core, server: &DrainingServer) {
+    let listens = match timeout(CONNECT_TIMEOUT, (core.connect)(server.address)).await {
         Ok(Ok(_)) => true,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => false,
         // NB: silence, or a reset, is no sign that nothing listens.
@@ -78,11 +82,11 @@
     };
     let now = core.clock.now();
     let mut state = core.state.borrow_mut();
-    let fleet = state.fleets.get_mut(&leaver.service);
-    let is_anew = fleet.is_some_and(|fleet| fleet.listens(&leaver.server, listens, now));
+    let fleet = state.fleets.get_mut(&server.service);
+    let is_restarted = fleet.is_some_and(|fleet| fleet.listens(&server.server, listens, now));
     drop(state);
-    if is_anew {
-        let event = LeaverEvent::LeaverStartedAnew { server: &leaver.server };
+    if is_restarted {
+        let event = DrainingServerEvent::LeaverStartedAnew { server: &server.server };
         core.event_log.record(LogPriority::State, &event);
     }
 }
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -29,36 +29,36 @@
 /// Time between two batches of log lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks at what may be forgotten.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 /// Time after the signal to stop for which all new work is still taken. The balancer asks once a
 /// second and needs two misses; where others are stopped in turn, each tenth of a second more
 /// closes a gap in which none is open. A stream taken later than three seconds after the signal
 /// would have too little time left.
-const LEAVING_TIME: Duration = Duration::from_millis(2_900);
+const DRAIN_NOTICE: Duration = Duration::from_millis(2_900);
 /// Part of the grace time by which the process has ended.
-const GRACE_PART: f64 = 0.95;
+const GRACE_FRACTION: f64 = 0.95;
 /// Time between two looks at whether all work is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Shortest suspension of the machine that is logged.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+const MIN_LOGGED_SUSPENSION: Duration = Duration::from_millis(100);
 
 /// The machine stood still; all that is known is as much older than timers tell.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum WakeEvent {
+enum SuspensionEvent {
     MachineWasSuspended { suspended_ms: u64, freshness_ms: Option<u64> },
 }
 
 /// Logs a suspension that has not been logged yet; `known` is what was noticed before.
-fn note_suspension(core: &Core, known: &mut Duration) {
+fn log_suspension(core: &Core, known: &mut Duration) {
     let suspended = core.clock.suspended();
     let new = suspended.saturating_sub(*known);
-    if new < LEAST_SUSPENSION {
+    if new < MIN_LOGGED_SUSPENSION {
         return;
     }
     *known = suspended;
-    let event = WakeEvent::MachineWasSuspended {
+    let event = SuspensionEvent::MachineWasSuspended {
         suspended_ms: new.as_millis() as u64,
         freshness_ms: core.state_age().map(|age| age.as_millis() as u64),
     };
@@ -105,10 +105,10 @@
         spawn_local(async move { coordinator.run().await });
         let coordinator = Rc::clone(&self.coordinator);
         spawn_local(membership::pass_on(Rc::clone(&self.core)));
-        spawn_local(quarantine::speak_for_good_contents(Rc::clone(&self.core)));
-        spawn_local(quarantine::give_back_probes(Rc::clone(&self.core)));
+        spawn_local(quarantine::publish_clearances(Rc::clone(&self.core)));
+        spawn_local(quarantine::release_probes(Rc::clone(&self.core)));
         if self.core.usage.is_some() {
-            spawn_local(usage::tell_usage(Rc::clone(&self.core)));
+            spawn_local(usage::publish_usage(Rc::clone(&self.core)));
             let coordinator = Rc::clone(&self.coordinator);
             spawn_local(usage::report_usage(Rc::clone(&self.core), self.port.clone(), coordinator));
         }
@@ -119,15 +119,15 @@
             let mut suspended = Duration::ZERO;
             loop {
                 sleep(FLUSH_INTERVAL).await;
-                note_suspension(&core, &mut suspended);
+                log_suspension(&core, &mut suspended);
                 core.event_log.flush();
             }
         });
         let core = Rc::clone(&self.core);
         spawn_local(async move {
             loop {
-                sleep(FORGET_INTERVAL).await;
-                core.forget_old_ends();
+                sleep(EXPIRY_INTERVAL).await;
+                core.forget_old_crashes();
             }
         });
     }
@@ -191,18 +191,18 @@
     /// Sends callers elsewhere, finishes what is under way, and returns within the grace time.
     pub async fn drain(&self) {
         let core = &self.core;
-        let told = core.clock.now();
-        let end = told + core.settings.grace.mul_f64(GRACE_PART);
+        let signalled_at = core.clock.now();
+        let end = signalled_at + core.settings.grace.mul_f64(GRACE_FRACTION);
         core.shutdown.set(ShutdownPhase::Draining);
         let under_way = core.in_flight.get();
         core.event_log.record(LogPriority::State, &StopEvent::Leaving { under_way });
-        sleep_until(core.clock.instant((told + LEAVING_TIME).min(end))).await;
+        sleep_until(core.clock.instant((signalled_at + DRAIN_NOTICE).min(end))).await;
         core.shutdown.set(ShutdownPhase::Closing { end });
         self.gate.close();
         let under_way = core.in_flight.get();
         core.event_log.record(LogPriority::State, &StopEvent::Closed { under_way });
         while core.in_flight.get() > 0 && core.clock.now() < end {
-            sleep(DRAIN_LOOK).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         let under_way = core.in_flight.get();
         core.event_log.record(LogPriority::State, &StopEvent::Stopped { under_way });
--- a/crates/direct/src/event_log.rs
+++ b/crates/direct/src/event_log.rs
@@ -24,7 +24,7 @@
 use crate::clock::Clock;
 
 /// Batches of lines that may wait for the writer.
-const WAITING_BATCHES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
+const MAX_QUEUED_BATCHES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
 /// Bytes gathered after which a batch is handed over early.
 const BATCH_BYTES: usize = 16 * 1024;
 /// Part of the lines in a second that successes may use.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Gathered {
+struct Buffer {
     text: String,
     second: u64,
     written: u32,
@@ -65,14 +65,14 @@
     clock: Clock,
     lines_per_s: u32,
     writer: Option<Writer>,
-    gathered: RefCell<Gathered>,
+    buffer: RefCell<Buffer>,
 }
 
 /// Hands batches of lines to a thread of its own.
 struct Writer {
     logger: Logger,
     /// Whether the thread could not take the latest batch.
-    refused: Arc<AtomicBool>,
+    rejected: Arc<AtomicBool>,
 }
 
 /// What can keep the logs from being written.
@@ -101,98 +101,98 @@
             clock: Clock::start(),
             lines_per_s,
             writer: None,
-            gathered: RefCell::default(),
+            buffer: RefCell::default(),
         }
     }
 
     /// Takes a line in.
-    pub fn record<E: Serialize>(&self, rank: LogPriority, event: &E) {
+    pub fn record<E: Serialize>(&self, priority: LogPriority, event: &E) {
         let at = self.clock.uptime();
-        let mut gathered = self.gathered.borrow_mut();
-        if !gathered.admits(rank, at, self.lines_per_s) {
-            gathered.dropped += 1;
+        let mut buffer = self.buffer.borrow_mut();
+        if !buffer.admits(priority, at, self.lines_per_s) {
+            buffer.dropped += 1;
             return;
         }
         let line = Line { at_ms: at.as_millis() as u64, process: &self.process, event };
         match serde_json::to_string(&line) {
             Ok(text) => {
-                if !gathered.text.is_empty() {
-                    gathered.text.push('\n');
+                if !buffer.text.is_empty() {
+                    buffer.text.push('\n');
                 }
-                gathered.text.push_str(&text);
+                buffer.text.push_str(&text);
             }
-            Err(_) => gathered.dropped += 1,
+            Err(_) => buffer.dropped += 1,
         }
-        if gathered.text.len() > BATCH_BYTES {
-            self.hand_over(&mut gathered);
+        if buffer.text.len() > BATCH_BYTES {
+            self.submit(&mut buffer);
         }
     }
 
     /// Hands what is gathered to the writer.
     pub fn flush(&self) {
-        let mut gathered = self.gathered.borrow_mut();
-        if gathered.dropped > 0 {
-            let dropped = std::mem::take(&mut gathered.dropped);
+        let mut buffer = self.buffer.borrow_mut();
+        if buffer.dropped > 0 {
+            let dropped = std::mem::take(&mut buffer.dropped);
             let line = serde_json::json!({
                 "at_ms": self.clock.uptime().as_millis() as u64,
                 "process": self.process,
                 "event": "lines_dropped",
                 "lines": dropped,
             });
-            if !gathered.text.is_empty() {
-                gathered.text.push('\n');
+            if !buffer.text.is_empty() {
+                buffer.text.push('\n');
             }
-            gathered.text.push_str(&line.to_string());
+            buffer.text.push_str(&line.to_string());
         }
-        if !gathered.text.is_empty() {
-            self.hand_over(&mut gathered);
+        if !buffer.text.is_empty() {
+            self.submit(&mut buffer);
         }
     }
 
     /// Lines gathered and not handed over; for tests.
     pub fn buffered(&self) -> String {
-        self.gathered.borrow().text.clone()
+        self.buffer.borrow().text.clone()
     }
 
-    fn hand_over(&self, gathered: &mut Gathered) {
+    fn submit(&self, buffer: &mut Buffer) {
         let Some(writer) = &self.writer else { return };
-        if !writer.takes(&gathered.text) {
-            gathered.dropped += gathered.text.lines().count() as u64;
+        if !writer.try_submit(&buffer.text) {
+            buffer.dropped += buffer.text.lines().count() as u64;
         }
-        gathered.text.clear();
+        buffer.text.clear();
     }
 }
 
 impl Writer {
     fn new(out: Arc<dyn Sink>) -> Result<Self, LogError> {
-        let thread = ThreadPool::builder().capacity(WAITING_BATCHES).build_arc()?;
+        let thread = ThreadPool::builder().capacity(MAX_QUEUED_BATCHES).build_arc()?;
         let queue = AsyncPoolSink::builder()
             .sink(out)
             .thread_pool(thread)
             .overflow_policy(OverflowPolicy::DropIncoming)
             .build_arc()?;
-        let refused = Arc::new(AtomicBool::new(false));
-        let noted = Arc::clone(&refused);
+        let rejected = Arc::new(AtomicBool::new(false));
+        let rejected_flag = Arc::clone(&rejected);
         // NB: without a handler the library tells of each loss on standard error, and may block.
-        let note = move |_: spdlog::Error| noted.store(true, Ordering::Relaxed);
-        let logger = Logger::builder().sink(queue).error_handler(note).build()?;
-        Ok(Writer { logger, refused })
+        let on_error = move |_: spdlog::Error| rejected_flag.store(true, Ordering::Relaxed);
+        let logger = Logger::builder().sink(queue).error_handler(on_error).build()?;
+        Ok(Writer { logger, rejected })
     }
 
     /// Whether the thread could take a batch.
-    fn takes(&self, batch: &str) -> bool {
+    fn try_submit(&self, batch: &str) -> bool {
         spdlog::info!(logger: self.logger, "{batch}");
-        !self.refused.swap(false, Ordering::Relaxed)
+        !self.rejected.swap(false, Ordering::Relaxed)
     }
 }
 
-impl Gathered {
-    fn admits(&mut self, rank: LogPriority, at: Duration, lines_per_s: u32) -> bool {
+impl Buffer {
+    fn admits(&mut self, priority: LogPriority, at: Duration, lines_per_s: u32) -> bool {
         if at.as_secs() != self.second {
             self.second = at.as_secs();
             self.written = 0;
         }
-        let allowed = match rank {
+        let allowed = match priority {
             LogPriority::State => return true,
             LogPriority::Failure => f64::from(lines_per_s),
             LogPriority::Success => f64::from(lines_per_s) * SUCCESS_SHARE,
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -3,12 +3,12 @@
 //! Changes come from another entry where one can tell them, and else from the store. Either way
 //! an answer also confirms that nothing else had changed when the store was last asked.
 
-mod asking;
-mod first;
-mod learn;
-mod others;
-mod report;
-mod watching;
+mod apply;
+mod calls;
+mod events;
+mod initial_state;
+mod peers;
+mod watch;
 
 use std::{
     cell::RefCell,
@@ -21,9 +21,9 @@
 use pondwalk_types::{DataCentreId, ServerId};
 use tokio::time::{Instant, sleep, timeout};
 
-use asking::{Answered, Asked, Asking};
-use first::FirstState;
-use report::Learned;
+use calls::{CallOutcome, CallParams, PendingCalls};
+use events::FollowEvent;
+use initial_state::InitialState;
 
 use crate::{
     coordinator::Coordinator,
@@ -35,12 +35,12 @@
 };
 
 /// First pause after a failed call; doubles with each in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest such pause; keeps a store that comes back from being found late.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// Time that others are given to list an entry that has told of its start: that of the news, and of
 /// a root or two that have just gone.
-const LISTING_TIME: Duration = Duration::from_secs(4);
+const LISTING_GRACE: Duration = Duration::from_secs(4);
 
 /// Follows the store for as long as the process runs.
 pub async fn follow(core: Rc<Core>, port: Port, coordinator: Rc<Coordinator>) {
@@ -48,79 +48,79 @@
         core,
         port,
         coordinator,
-        lost: false,
-        learns_from: Heard::FromStore,
-        pause: FIRST_PAUSE,
-        listing: Asking::default(),
-        watching: Asking::default(),
-        ask_at: Instant::now(),
-        ask_around_at: Instant::now(),
+        store_lost: false,
+        applying_from: StateSource::Store,
+        backoff: INITIAL_BACKOFF,
+        list_calls: PendingCalls::default(),
+        watch_calls: PendingCalls::default(),
+        next_watch_at: Instant::now(),
+        next_peer_round_at: Instant::now(),
         client: PeerClient::default(),
-        source: None,
-        unreached: 0,
-        fallback_from: Duration::ZERO,
-        fallback_pause: others::FIRST_FALLBACK_PAUSE,
-        started: false,
-        asked_around: 0,
-        joined: false,
-        list_from: Duration::ZERO,
-        takes_copy: false,
+        last_source: None,
+        unreachable_in_row: 0,
+        next_fallback_at: Duration::ZERO,
+        fallback_backoff: peers::INITIAL_FALLBACK_BACKOFF,
+        has_initial_state: false,
+        peer_cursor: 0,
+        has_announced: false,
+        next_listing_at: Duration::ZERO,
+        is_restoring: false,
         lost_evacuations: RefCell::default(),
         unreadable: RefCell::default(),
     };
     loop {
-        let Some(mut position) = follower.read_all().await else { continue };
-        follower.see_to_listing().await;
-        while let Some(next) = follower.next(position).await {
+        let Some(mut position) = follower.load_snapshot().await else { continue };
+        follower.ensure_listed().await;
+        while let Some(next) = follower.sync_next(position).await {
             position = next;
-            follower.forget_lapsed();
-            follower.see_to_listing().await;
+            follower.remove_lapsed();
+            follower.ensure_listed().await;
         }
     }
 }
 
 /// Whose answer a confirmation was heard in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Heard {
-    FromStore,
-    FromOthers,
+enum StateSource {
+    Store,
+    Peer,
 }
 
 struct Follower {
     core: Rc<Core>,
     port: Port,
     coordinator: Rc<Coordinator>,
-    lost: bool,
+    store_lost: bool,
     /// Whose answer is being taken in.
-    learns_from: Heard,
+    applying_from: StateSource,
     /// Pause after the next failed call.
-    pause: Duration,
+    backoff: Duration,
     /// Whole readings under way.
-    listing: Asking<Listing>,
+    list_calls: PendingCalls<Listing>,
     /// Calls for what has changed that are under way.
-    watching: Asking<WatchReply>,
+    watch_calls: PendingCalls<WatchReply>,
     /// Earliest time of the next such call by an entry that asks the store.
-    ask_at: Instant,
+    next_watch_at: Instant,
     /// Earliest time of the next round of questions to others by one that has lost it.
-    ask_around_at: Instant,
+    next_peer_round_at: Instant,
     client: PeerClient,
     /// Entry that was asked last, if any.
-    source: Option<String>,
+    last_source: Option<String>,
     /// Entries in a row that could not be reached.
-    unreached: u32,
+    unreachable_in_row: u32,
     /// Earliest time of the next question to the store by an entry that should learn from others.
-    fallback_from: Duration,
-    fallback_pause: Duration,
+    next_fallback_at: Duration,
+    fallback_backoff: Duration,
     /// Whether a first state was learned.
-    started: bool,
+    has_initial_state: bool,
     /// Questions to others while this entry has lost the store.
-    asked_around: usize,
+    peer_cursor: usize,
     /// Whether this entry has told of its start.
-    joined: bool,
+    has_announced: bool,
     /// When it may see to its listing again.
-    list_from: Duration,
+    next_listing_at: Duration,
     /// Whether the state that is being taken in comes from a restored copy.
-    takes_copy: bool,
+    is_restoring: bool,
     /// Until when evacuations hold that a restored store lacks and the operator may write again.
     lost_evacuations: RefCell<BTreeMap<DataCentreId, Duration>>,
     /// Servers whose entries cannot be read, as far as that was logged.
@@ -130,21 +130,21 @@
 impl Follower {
     /// Learns what changed after `position`, from another entry or from the store; `None` if
     /// all must be read anew.
-    async fn next(&mut self, position: Position) -> Option<Position> {
+    async fn sync_next(&mut self, position: Position) -> Option<Position> {
         match self.core.source() {
             Source::Entry { name, address } => {
                 if self.should_fall_back() {
                     self.fall_back(position);
                 }
-                self.note_source(Some(&name));
-                self.learn_from(&name, address, position).await
+                self.log_source_change(Some(&name));
+                self.poll_source(&name, address, position).await
             }
             Source::Store => {
-                self.note_source(None);
-                self.confirm_for_others(position).await
+                self.log_source_change(None);
+                self.poll_store(position).await
             }
             Source::StoreAlone => {
-                self.note_source(None);
+                self.log_source_change(None);
                 self.watch_alone(position).await
             }
         }
@@ -154,128 +154,129 @@
         self.core.source() == Source::StoreAlone
     }
 
-    fn note_source(&mut self, entry: Option<&str>) {
-        if self.source.as_deref() != entry {
-            self.source = entry.map(str::to_owned);
-            self.core.event_log.record(LogPriority::State, &Learned::SourceChanged { entry });
+    fn log_source_change(&mut self, entry: Option<&str>) {
+        if self.last_source.as_deref() != entry {
+            self.last_source = entry.map(str::to_owned);
+            self.core.event_log.record(LogPriority::State, &FollowEvent::SourceChanged { entry });
         }
     }
 
     /// Sees to it that this entry is listed in the store, so that others may ask it.
     ///
     /// It tells of its start, and a root lists all that have; if none does, it lists itself.
-    async fn see_to_listing(&mut self) {
+    async fn ensure_listed(&mut self) {
         let Some(address) = self.core.settings.peers else { return };
         let own = membership::Listing { address, link_mbps: self.core.settings.link_mbps };
         let now = self.core.clock.now();
-        if self.core.members.own_listed() == Some(own) || now < self.list_from {
+        if self.core.members.own_listed() == Some(own) || now < self.next_listing_at {
             return;
         }
-        self.list_from = now + LISTING_TIME + self.core.state.borrow().store_latency;
-        if std::mem::replace(&mut self.joined, true) {
-            self.coordinator.list_itself(own).await;
+        self.next_listing_at = now + LISTING_GRACE + self.core.state.borrow().store_latency;
+        if std::mem::replace(&mut self.has_announced, true) {
+            self.coordinator.list_self(own).await;
         } else {
             self.core.tell_news(News::Joined { listing: own });
         }
     }
 
-    fn take_changes(&self, events: &[StoreEvent], position: Position) {
+    fn apply_changes(&self, events: &[StoreEvent], position: Position) {
         for event in events {
-            self.learn(event);
+            self.apply_event(event);
         }
         self.core.state.borrow_mut().replica.extend(events, position);
     }
 
-    fn take_whole(&mut self, entries: &[Fetched], position: Position) {
-        self.takes_copy = self.is_restored(position);
-        if self.takes_copy {
-            self.note_restored(entries, position);
-            self.coordinator.forget_stored();
+    fn apply_snapshot(&mut self, entries: &[Fetched], position: Position) {
+        self.is_restoring = self.is_restored(position);
+        if self.is_restoring {
+            self.on_store_restored(entries, position);
+            self.coordinator.clear_stored();
         }
         self.core.state.borrow_mut().replica.restart(entries, position);
-        self.core.learn_usage_era(position.era);
-        self.forget_all_but(entries);
+        self.core.apply_usage_era(position.era);
+        self.retain_listed(entries);
         for entry in entries {
-            self.learn_written(entry);
+            self.apply_written(entry);
         }
-        if std::mem::take(&mut self.takes_copy) {
+        if std::mem::take(&mut self.is_restoring) {
             self.coordinator.find_lost_steps();
         }
     }
 
     /// Learns everything, from another entry or from the store; `None` if that is to be tried again.
-    async fn read_all(&mut self) -> Option<Position> {
-        if !self.started {
+    async fn load_snapshot(&mut self) -> Option<Position> {
+        if !self.has_initial_state {
             // NB: a reading that is under way goes on; whichever tells first is taken.
-            let heard = tokio::select! {
+            let fetched = tokio::select! {
                 biased;
-                answered = self.listing.next() => return self.take_listing(answered).await,
-                heard = first::hear(&self.core) => heard,
+                outcome = self.list_calls.next() => return self.handle_list_reply(outcome).await,
+                fetched = initial_state::fetch(&self.core) => fetched,
             };
-            if let Some(first) = heard {
-                return Some(self.take_first_state(first));
+            if let Some(first) = fetched {
+                return Some(self.apply_initial_state(first));
             }
         }
-        if !self.listing.is_moving() {
-            self.start_listing();
+        if !self.list_calls.is_receiving() {
+            self.start_list_call();
         }
         let limit = self.core.settings.store.timeout;
-        match timeout(limit, self.listing.next()).await {
-            Ok(answered) => self.take_listing(answered).await,
+        match timeout(limit, self.list_calls.next()).await {
+            Ok(outcome) => self.handle_list_reply(outcome).await,
             Err(_) => {
-                if !self.listing.is_moving() {
-                    self.note_failure(&StoreError::AnswerLost);
+                if !self.list_calls.is_receiving() {
+                    self.on_store_failure(&StoreError::AnswerLost);
                 }
                 None
             }
         }
     }
 
-    fn start_listing(&mut self) {
+    fn start_list_call(&mut self) {
         let sent = self.core.clock.now();
-        let cause = if self.started { StoreCause::Rereading } else { StoreCause::FirstReading };
+        let cause =
+            if self.has_initial_state { StoreCause::Rereading } else { StoreCause::FirstReading };
         self.core.metrics.count_store_call(cause);
-        let asked = Asked { sent, after: Position::default(), wait: Duration::ZERO };
-        self.listing.start(asked, (self.port.store.list)(String::new()));
+        let params = CallParams { sent, after: Position::default(), wait: Duration::ZERO };
+        self.list_calls.start(params, (self.port.store.list)(String::new()));
     }
 
-    async fn take_listing(&mut self, answered: Answered<Listing>) -> Option<Position> {
-        let sent = answered.asked.sent;
+    async fn handle_list_reply(&mut self, outcome: CallOutcome<Listing>) -> Option<Position> {
+        let sent = outcome.params.sent;
         let took = self.core.clock.now().saturating_sub(sent);
         self.core.metrics.time(Timer::StoreCall, took);
         self.core.state.borrow_mut().store_latency = took;
-        match answered.answer {
+        match outcome.reply {
             Ok(listing) => {
-                self.listing.clear();
-                self.learns_from = Heard::FromStore;
-                self.take_whole(&listing.entries, listing.position);
-                self.started = true;
-                self.confirm(sent, listing.position, Heard::FromStore);
+                self.list_calls.clear();
+                self.applying_from = StateSource::Store;
+                self.apply_snapshot(&listing.entries, listing.position);
+                self.has_initial_state = true;
+                self.confirm(sent, listing.position, StateSource::Store);
                 Some(listing.position)
             }
             Err(error) => {
-                self.note_failure(&error);
-                sleep(self.pause).await;
-                self.pause = self.next_pause();
+                self.on_store_failure(&error);
+                sleep(self.backoff).await;
+                self.backoff = self.next_backoff();
                 None
             }
         }
     }
 
-    fn take_first_state(&mut self, first: FirstState) -> Position {
-        self.listing.clear();
-        let position = first.told.position;
-        let event = Learned::FirstState { from: first.from.to_string(), position };
+    fn apply_initial_state(&mut self, first: InitialState) -> Position {
+        self.list_calls.clear();
+        let position = first.reply.position;
+        let event = FollowEvent::FirstState { from: first.from.to_string(), position };
         self.core.event_log.record(LogPriority::State, &event);
         self.client = first.client;
         self.core.initial_source.set(Some(first.from));
-        self.take_told(first.told, position);
-        self.started = true;
+        self.apply_peer_reply(first.reply, position);
+        self.has_initial_state = true;
         position
     }
 
     /// The state was confirmed by the store at `at`; its answer was heard from it, or from others.
-    fn confirm(&mut self, at: Duration, position: Position, heard_from: Heard) {
+    fn confirm(&mut self, at: Duration, position: Position, source: StateSource) {
         let mut state = self.core.state.borrow_mut();
         let before = state.freshness.confirmed();
         state.freshness.confirm(at);
@@ -290,29 +291,31 @@
         // NB: to an entry that asks the store, the store stays lost while only others can tell of
         // it; it goes on to probe it at long intervals.
         let asks_others = matches!(self.core.source(), Source::Entry { .. });
-        if heard_from == Heard::FromOthers && !asks_others {
+        if source == StateSource::Peer && !asks_others {
             return;
         }
-        self.pause = FIRST_PAUSE;
-        self.fallback_pause = others::FIRST_FALLBACK_PAUSE;
-        self.fallback_from = Duration::ZERO;
-        if std::mem::replace(&mut self.lost, false) {
+        self.backoff = INITIAL_BACKOFF;
+        self.fallback_backoff = peers::INITIAL_FALLBACK_BACKOFF;
+        self.next_fallback_at = Duration::ZERO;
+        if std::mem::replace(&mut self.store_lost, false) {
             // NB: that others can tell again says nothing of the store; this entry may have been the
             // only one to lose it.
-            if heard_from == Heard::FromStore {
+            if source == StateSource::Store {
                 self.core.state.borrow_mut().store_returned = Some(self.core.clock.now());
             }
-            self.core.event_log.record(LogPriority::State, &Learned::StoreRegained { position });
+            self.core
+                .event_log
+                .record(LogPriority::State, &FollowEvent::StoreRegained { position });
         }
     }
 
     /// Whether a whole state is of another era than the one held.
     fn is_restored(&self, position: Position) -> bool {
-        self.started && self.core.state.borrow().replica.position().era != position.era
+        self.has_initial_state && self.core.state.borrow().replica.position().era != position.era
     }
 
     /// The store was restored from a copy, and lacks what was written to it after that.
-    fn note_restored(&mut self, entries: &[Fetched], position: Position) {
+    fn on_store_restored(&mut self, entries: &[Fetched], position: Position) {
         let mut state = self.core.state.borrow_mut();
         let before = state.replica.position();
         // NB: a store that is restored was away, even if nobody noticed.
@@ -320,27 +323,27 @@
         drop(state);
         self.core
             .event_log
-            .record(LogPriority::State, &Learned::StoreRestored { before, position });
+            .record(LogPriority::State, &FollowEvent::StoreRestored { before, position });
         let listed = entries.iter().filter_map(|entry| entry.key.strip_prefix(ENTRY_PREFIX));
         self.core.members.are_stored(&listed.collect());
         // NB: whoever is not listed any more tells the others, as at its start.
-        self.joined = false;
-        self.list_from = Duration::ZERO;
+        self.has_announced = false;
+        self.next_listing_at = Duration::ZERO;
     }
 
     /// A call failed; the store counts as lost until it answers.
-    fn note_failure(&mut self, error: &StoreError) {
+    fn on_store_failure(&mut self, error: &StoreError) {
         self.core.metrics.count(Counter::StoreFailures);
         self.core.state.borrow_mut().source_lost = true;
-        if !std::mem::replace(&mut self.lost, true) {
+        if !std::mem::replace(&mut self.store_lost, true) {
             let age = self.core.state.borrow().freshness.age(self.core.clock.now());
             let freshness_ms = age.map(|age| age.as_millis() as u64);
-            let event = Learned::StoreLost { error: error.to_string(), freshness_ms };
+            let event = FollowEvent::StoreLost { error: error.to_string(), freshness_ms };
             self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
-    fn next_pause(&self) -> Duration {
-        (self.pause * 2).min(LONGEST_PAUSE)
+    fn next_backoff(&self) -> Duration {
+        (self.backoff * 2).min(MAX_BACKOFF)
     }
 }
--- a/crates/direct/src/follow/learn.rs
+++ b/crates/direct/src/follow/apply.rs
@@ -5,7 +5,7 @@
 use pondwalk_store::{Fetched, StoreEvent};
 use pondwalk_types::DataCentreId;
 
-use super::{Follower, Heard, report::Learned};
+use super::{Follower, StateSource, events::FollowEvent};
 use crate::{
     catalog::{BackendServer, Catalog, ServerState},
     event_log::LogPriority,
@@ -14,36 +14,36 @@
 };
 
 /// Unreadable entries of servers that are told apart in the logs.
-const MOST_UNREADABLE: usize = 256;
+const MAX_UNREADABLE_LOGGED: usize = 256;
 /// Time after the store's return in which an entry that is missing may have lapsed only.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+const STORE_RETURN_GRACE: Duration = Duration::from_secs(2);
 
 impl Follower {
-    pub(super) fn learn(&self, event: &StoreEvent) {
+    pub(super) fn apply_event(&self, event: &StoreEvent) {
         match event {
-            StoreEvent::Written(entry) => self.learn_written(entry),
-            StoreEvent::Removed { key, .. } => self.learn_removed(key),
+            StoreEvent::Written(entry) => self.apply_written(entry),
+            StoreEvent::Removed { key, .. } => self.apply_removed(key),
         }
     }
 
-    pub(super) fn learn_written(&self, entry: &Fetched) {
-        self.coordinator.learn_revision(&entry.key, Some(entry));
-        self.learn_peer(&entry.key, Some(&entry.value));
+    pub(super) fn apply_written(&self, entry: &Fetched) {
+        self.coordinator.apply_revision(&entry.key, Some(entry));
+        self.apply_entry_listing(&entry.key, Some(&entry.value));
         match self.port.decode_entry(entry) {
-            Ok(fact) => self.take_in(fact, entry.revision),
+            Ok(fact) => self.apply_record(fact, entry.revision),
             Err(error) => {
-                let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
+                let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
                 self.core.event_log.record(LogPriority::State, &event);
             }
         }
     }
 
-    fn learn_peer(&self, key: &str, value: Option<&[u8]>) {
+    fn apply_entry_listing(&self, key: &str, value: Option<&[u8]>) {
         let Some(name) = key.strip_prefix(ENTRY_PREFIX) else { return };
         let listing = match value.map(Listing::try_from).transpose() {
             Ok(listing) => listing,
             Err(error) => {
-                let event = Learned::EntryUnreadable { key, reason: &error.to_string() };
+                let event = FollowEvent::EntryUnreadable { key, reason: &error.to_string() };
                 self.core.event_log.record(LogPriority::State, &event);
                 None
             }
@@ -53,65 +53,65 @@
         }
     }
 
-    fn learn_removed(&self, key: &str) {
-        self.coordinator.learn_revision(key, None);
-        self.learn_peer(key, None);
+    fn apply_removed(&self, key: &str) {
+        self.coordinator.apply_revision(key, None);
+        self.apply_entry_listing(key, None);
         match (self.port.decode)(key, None) {
-            Ok(fact) => self.take_in(fact, 0),
+            Ok(fact) => self.apply_record(fact, 0),
             Err(error) => {
-                let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
+                let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
                 self.core.event_log.record(LogPriority::State, &event);
             }
         }
     }
 
-    fn take_in(&self, fact: StoreRecord, store_revision: u64) {
+    fn apply_record(&self, fact: StoreRecord, store_revision: u64) {
         match fact {
             StoreRecord::Catalog(catalog) => self.install(*catalog, store_revision),
-            StoreRecord::Server(_, Some(server)) => self.learn_server(server),
-            StoreRecord::UnreadableServer(id, error) => self.forget_unreadable(&id, &error),
+            StoreRecord::Server(_, Some(server)) => self.apply_server(server),
+            StoreRecord::UnreadableServer(id, error) => self.remove_unreadable_server(&id, &error),
             StoreRecord::Evacuation(data_centre, evacuation) => {
-                self.learn_evacuation(&data_centre, evacuation);
+                self.apply_evacuation(&data_centre, evacuation);
             }
             StoreRecord::Server(id, None) if self.may_have_lapsed() => {
                 self.core
                     .event_log
-                    .record(LogPriority::State, &Learned::ServerLapsed { server: &id });
+                    .record(LogPriority::State, &FollowEvent::ServerLapsed { server: &id });
                 self.core.state.borrow_mut().lapse_server(&id, self.core.clock.now());
             }
             StoreRecord::Server(id, None) => {
                 self.core
                     .event_log
-                    .record(LogPriority::State, &Learned::ServerGone { server: &id });
+                    .record(LogPriority::State, &FollowEvent::ServerGone { server: &id });
                 self.core.state.borrow_mut().remove_server(&id);
             }
-            StoreRecord::Order(service, order) => self.coordinator.learn_order(&service, order),
+            StoreRecord::Order(service, order) => self.coordinator.apply_order(&service, order),
             StoreRecord::Progress(service, progress) => {
-                self.coordinator.learn_progress(&service, progress.as_ref());
+                self.coordinator.apply_progress(&service, progress.as_ref());
             }
             StoreRecord::Unrelated => {}
         }
     }
 
-    fn learn_server(&self, mut server: BackendServer) {
+    fn apply_server(&self, mut server: BackendServer) {
         self.unreadable.borrow_mut().remove(&server.id);
         // NB: a copy may be older than the word of a server that it leaves, which binds for its life.
-        if self.takes_copy && self.core.state.borrow().is_leaving(&server) {
+        if self.is_restoring && self.core.state.borrow().is_draining(&server) {
             server.state = ServerState::Draining;
         }
-        if !self.core.state.borrow().knows_server(&server) {
-            self.note_server(&server);
+        if !self.core.state.borrow().is_server_known(&server) {
+            self.log_server(&server);
         }
         let id = server.id.clone();
         if self.core.state.borrow_mut().put_server(server, self.core.clock.now()) {
             self.core
                 .event_log
-                .record(LogPriority::State, &Learned::ServerBornAnew { server: &id });
+                .record(LogPriority::State, &FollowEvent::ServerBornAnew { server: &id });
         }
     }
 
-    fn note_server(&self, server: &BackendServer) {
-        let event = Learned::ServerKnown {
+    fn log_server(&self, server: &BackendServer) {
+        let event = FollowEvent::ServerKnown {
             server: &server.id,
             service: &server.service,
             version: &server.version,
@@ -123,31 +123,31 @@
     }
 
     /// An entry of a server cannot be read: it names no server, whatever it named before.
-    fn forget_unreadable(&self, id: &str, error: &UnreadableRecord) {
+    fn remove_unreadable_server(&self, id: &str, error: &UnreadableRecord) {
         self.core.state.borrow_mut().remove_server(id);
         let mut unreadable = self.unreadable.borrow_mut();
         // NB: one line for each, however often it is written.
-        if unreadable.len() < MOST_UNREADABLE && unreadable.insert(id.to_owned()) {
-            let event = Learned::EntryUnreadable { key: &error.key, reason: &error.reason };
+        if unreadable.len() < MAX_UNREADABLE_LOGGED && unreadable.insert(id.to_owned()) {
+            let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
             self.core.event_log.record(LogPriority::State, &event);
         }
     }
 
-    fn learn_evacuation(&self, data_centre: &str, evacuation: Evacuation) {
+    fn apply_evacuation(&self, data_centre: &str, evacuation: Evacuation) {
         let now = self.core.clock.now();
         self.lost_evacuations.borrow_mut().remove(data_centre);
         let mut state = self.core.state.borrow_mut();
         let is_new = match evacuation {
             Evacuation::Ordered => state.evacuate(data_centre),
-            Evacuation::Cancelled => state.take_back(data_centre, now),
+            Evacuation::Cancelled => state.reinstate(data_centre, now),
         };
         // NB: none of them means that no server is known there; the order may name another place.
         let servers = state.fleets.values().map(|fleet| fleet.count_in(data_centre)).sum();
         drop(state);
         if is_new {
             let event = match evacuation {
-                Evacuation::Ordered => Learned::DataCentreEvacuated { data_centre, servers },
-                Evacuation::Cancelled => Learned::DataCentreTakenBack { data_centre, servers },
+                Evacuation::Ordered => FollowEvent::DataCentreEvacuated { data_centre, servers },
+                Evacuation::Cancelled => FollowEvent::DataCentreTakenBack { data_centre, servers },
             };
             self.core.event_log.record(LogPriority::State, &event);
         }
@@ -155,25 +155,25 @@
 
     /// Whether the store is just back, so that what it does not list may have lapsed meanwhile.
     fn may_have_lapsed(&self) -> bool {
-        let returned = |at| self.core.clock.now().saturating_sub(at) < RETURN_TIME;
+        let returned = |at| self.core.clock.now().saturating_sub(at) < STORE_RETURN_GRACE;
         // NB: what others tell while this entry alone has lost the store has not lapsed.
         // And one that asks the store after long silence, for the first time, may be the first to
         // hear from it again.
-        let lost = (self.lost || self.core.is_state_outdated(Duration::ZERO))
-            && self.learns_from == Heard::FromStore;
+        let lost = (self.store_lost || self.core.is_state_outdated(Duration::ZERO))
+            && self.applying_from == StateSource::Store;
         lost || self.core.state.borrow().store_returned.is_some_and(returned)
     }
 
     /// Forgets the servers and evacuations that the store's return did not bring back.
-    pub(super) fn forget_lapsed(&self) {
-        self.end_lost_evacuations();
-        let lapsed = self.core.state.borrow_mut().take_lapsed(self.core.clock.now());
+    pub(super) fn remove_lapsed(&self) {
+        self.expire_lost_evacuations();
+        let lapsed = self.core.state.borrow_mut().remove_lapsed(self.core.clock.now());
         for id in &lapsed {
-            self.core.event_log.record(LogPriority::State, &Learned::ServerGone { server: id });
+            self.core.event_log.record(LogPriority::State, &FollowEvent::ServerGone { server: id });
         }
     }
 
-    fn end_lost_evacuations(&self) {
+    fn expire_lost_evacuations(&self) {
         let now = self.core.clock.now();
         let over: Vec<DataCentreId> = {
             let lost = self.lost_evacuations.borrow();
@@ -181,7 +181,7 @@
             over.map(|(data_centre, _)| data_centre.clone()).collect()
         };
         for data_centre in &over {
-            self.learn_evacuation(data_centre, Evacuation::Cancelled);
+            self.apply_evacuation(data_centre, Evacuation::Cancelled);
         }
     }
 
@@ -192,19 +192,19 @@
         let version = catalog.version;
         if held > version {
             drop(state);
-            let event = Learned::OlderConfigurationIgnored { version, held };
+            let event = FollowEvent::OlderConfigurationIgnored { version, held };
             self.core.event_log.record(LogPriority::State, &event);
             return;
         }
         state.install(catalog);
         let store_era = state.replica.position().era;
         drop(state);
-        let event = Learned::ConfigurationInForce { version, store_era, store_revision };
+        let event = FollowEvent::ConfigurationInForce { version, store_era, store_revision };
         self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// Forgets the servers and evacuations that a whole reading does not show.
-    pub(super) fn forget_all_but(&self, entries: &[Fetched]) {
+    pub(super) fn retain_listed(&self, entries: &[Fetched]) {
         let mut shown = HashSet::new();
         let mut evacuated = HashSet::new();
         for entry in entries {
@@ -220,17 +220,17 @@
         }
         let known = self.core.state.borrow().evacuated.clone();
         for data_centre in known.iter().filter(|known| !evacuated.contains(*known)) {
-            if self.takes_copy {
-                let until = self.core.clock.now() + RETURN_TIME;
+            if self.is_restoring {
+                let until = self.core.clock.now() + STORE_RETURN_GRACE;
                 self.lost_evacuations.borrow_mut().insert(data_centre.clone(), until);
             } else {
-                self.learn_evacuation(data_centre, Evacuation::Cancelled);
+                self.apply_evacuation(data_centre, Evacuation::Cancelled);
             }
         }
         let known: Vec<String> = self.core.state.borrow().service_of.keys().cloned().collect();
         for id in known.iter().filter(|id| !shown.contains(*id)) {
-            self.take_in(StoreRecord::Server(id.clone(), None), 0);
+            self.apply_record(StoreRecord::Server(id.clone(), None), 0);
         }
-        self.coordinator.forget_all_but(entries);
+        self.coordinator.retain_listed(entries);
     }
 }
--- a/crates/direct/src/follow/asking.rs
+++ b/crates/direct/src/follow/calls.rs
@@ -15,15 +15,15 @@
 
 /// Time without a byte of its answer after which a call is given up, besides its own wait: the
 /// longest answer time for which anything is promised is 4 s, and a third more is left to the way.
-const SILENCE_LIMIT: Duration = Duration::from_secs(6);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time since the last byte for which an answer counts as being read, besides what the store took to
 /// begin it, since the next page takes as long. A lost packet is sent again after some 0.2 s, then
 /// 0.4 s.
-const MOVING_LIMIT: Duration = Duration::from_secs(1);
+const RECEIVING_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a call asked, and when.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
+pub struct CallParams {
     /// Own time at which it was sent.
     pub sent: Duration,
     /// Place after which it asks for changes; the first one for a whole reading.
@@ -34,19 +34,19 @@
 
 /// A call that has ended.
 #[derive(Debug)]
-pub struct Answered<T> {
+pub struct CallOutcome<T> {
     /// What it asked.
-    pub asked: Asked,
+    pub params: CallParams,
     /// Bytes of its answer.
     pub bytes: usize,
     /// Its answer, or why there is none.
-    pub answer: Result<T, StoreError>,
+    pub reply: Result<T, StoreError>,
 }
 
 #[derive(Debug)]
 struct Call {
     id: Id,
-    asked: Asked,
+    params: CallParams,
     started: Instant,
     progress: Progress,
     task: AbortHandle,
@@ -54,69 +54,69 @@
 
 /// The calls under way; all are ended with it.
 #[derive(Debug)]
-pub struct Asking<T> {
-    tasks: JoinSet<Answered<T>>,
+pub struct PendingCalls<T> {
+    tasks: JoinSet<CallOutcome<T>>,
     calls: Vec<Call>,
-    moved: Rc<Notify>,
+    progressed: Rc<Notify>,
 }
 
-impl<T> Default for Asking<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
-        Asking { tasks: JoinSet::new(), calls: Vec::new(), moved: Rc::default() }
+        PendingCalls { tasks: JoinSet::new(), calls: Vec::new(), progressed: Rc::default() }
     }
 }
 
-impl<T: 'static> Asking<T> {
+impl<T: 'static> PendingCalls<T> {
     /// Starts another call.
-    pub fn start(&mut self, asked: Asked, call: PortCall<T>) {
+    pub fn start(&mut self, params: CallParams, call: PortCall<T>) {
         let progress = call.progress();
-        let moved = Rc::clone(&self.moved);
+        let progressed = Rc::clone(&self.progressed);
         let task = self.tasks.spawn_local(async move {
             let progress = call.progress();
-            let answer = wait_while_moving(call, asked.wait + SILENCE_LIMIT, &moved).await;
-            Answered { asked, bytes: progress.bytes(), answer }
+            let reply = await_with_progress(call, params.wait + SILENCE_TIMEOUT, &progressed).await;
+            CallOutcome { params, bytes: progress.bytes(), reply }
         });
-        self.calls.push(Call { id: task.id(), asked, started: Instant::now(), progress, task });
+        self.calls.push(Call { id: task.id(), params, started: Instant::now(), progress, task });
     }
 
     /// Whether an answer is being read. A further call would only take part of the link from it.
-    pub fn is_moving(&self) -> bool {
-        self.calls.iter().any(Call::is_moving)
+    pub fn is_receiving(&self) -> bool {
+        self.calls.iter().any(Call::is_receiving)
     }
 
     /// When the oldest call under way was sent, if any is.
     pub fn oldest_sent(&self) -> Option<Duration> {
-        self.calls.iter().map(|call| call.asked.sent).min()
+        self.calls.iter().map(|call| call.params.sent).min()
     }
 
     /// Waits for the next call to end; forever if none is under way.
-    pub async fn next(&mut self) -> Answered<T> {
+    pub async fn next(&mut self) -> CallOutcome<T> {
         loop {
-            self.keep_one_moving();
+            self.keep_furthest();
             tokio::select! {
                 biased;
                 Some(ended) = self.tasks.join_next_with_id() => {
                     let id = ended.as_ref().map_or_else(JoinError::id, |(id, _)| *id);
                     self.calls.retain(|call| call.id != id);
                     // NB: a call that was dropped ends without an answer.
-                    if let Ok((_, answered)) = ended {
-                        return answered;
+                    if let Ok((_, outcome)) = ended {
+                        return outcome;
                     }
                 }
-                () = self.moved.notified() => {}
+                () = self.progressed.notified() => {}
             }
         }
     }
 
     /// Drops the calls whose answers are being read, but would only bring what is known by
     /// `position`.
-    pub fn drop_known(&mut self, position: Position) {
-        self.drop_if(|call| call.asked.after < position && call.progress.bytes() > 0);
+    pub fn drop_superseded(&mut self, position: Position) {
+        self.drop_if(|call| call.params.after < position && call.progress.bytes() > 0);
     }
 
     /// Drops the calls for changes after a place before this one.
     pub fn drop_before(&mut self, position: Position) {
-        self.drop_if(|call| call.asked.after < position);
+        self.drop_if(|call| call.params.after < position);
     }
 
     /// Drops all calls.
@@ -126,11 +126,11 @@
 
     /// Of two answers that come at the same time each brings what the other does, and halves its
     /// speed; the one that has come furthest is kept.
-    fn keep_one_moving(&mut self) {
-        let moving = self.calls.iter().filter(|call| call.is_moving());
-        let furthest = moving.max_by_key(|call| call.progress.bytes()).map(|call| call.id);
+    fn keep_furthest(&mut self) {
+        let receiving = self.calls.iter().filter(|call| call.is_receiving());
+        let furthest = receiving.max_by_key(|call| call.progress.bytes()).map(|call| call.id);
         if let Some(furthest) = furthest {
-            self.drop_if(|call| call.id != furthest && call.is_moving());
+            self.drop_if(|call| call.id != furthest && call.is_receiving());
         }
     }
 
@@ -146,20 +146,20 @@
 }
 
 impl Call {
-    fn is_moving(&self) -> bool {
+    fn is_receiving(&self) -> bool {
         let (Some(first), Some(last)) = (self.progress.first(), self.progress.last()) else {
             return false;
         };
-        let limit = MOVING_LIMIT + (first - self.started);
+        let limit = RECEIVING_TIMEOUT + (first - self.started);
         self.progress.bytes() > 0 && !self.task.is_finished() && last.elapsed() < limit
     }
 }
 
 /// Waits for an answer for as long as it makes progress, with no pause over `limit`.
-async fn wait_while_moving<T>(
+async fn await_with_progress<T>(
     call: PortCall<T>,
     limit: Duration,
-    moved: &Notify,
+    progressed: &Notify,
 ) -> Result<T, StoreError> {
     let progress = call.progress();
     let mut call = pin!(call);
@@ -167,10 +167,10 @@
     loop {
         tokio::select! {
             biased;
-            answer = &mut call => return answer,
+            reply = &mut call => return reply,
             () = progress.moved() => {
                 end = Instant::now() + limit;
-                moved.notify_one();
+                progressed.notify_one();
             }
             () = sleep_until(end) => {
                 return Err(match progress.bytes() {
--- a/crates/direct/src/follow/report.rs
+++ b/crates/direct/src/follow/events.rs
@@ -6,7 +6,7 @@
 /// A change of what the process believes.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Learned<'a> {
+pub enum FollowEvent<'a> {
     ConfigurationInForce {
         version: u64,
         store_era: Era,
--- a/crates/direct/src/follow/first.rs
+++ b/crates/direct/src/follow/initial_state.rs
@@ -11,7 +11,7 @@
     time::{Instant, sleep},
 };
 
-use super::report::Learned;
+use super::events::FollowEvent;
 use crate::{
     core::Core,
     event_log::LogPriority,
@@ -19,28 +19,28 @@
 };
 
 /// Time for which an entry that starts asks others before it reads the store.
-const TIME_LIMIT: Duration = Duration::from_millis(900);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 /// The same for a seed, which others wait for.
-const SEED_TIME_LIMIT: Duration = Duration::from_millis(60);
+const SEED_FETCH_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time after which the next seed is asked too.
-const NEXT_SEED: Duration = Duration::from_millis(50);
+const SEED_STAGGER: Duration = Duration::from_millis(50);
 /// Longest time for one answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before a seed is asked again; it may be about to start too.
-const PAUSE: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// What a seed told, and the way to it.
-pub struct FirstState {
+pub struct InitialState {
     /// The seed.
     pub from: SocketAddr,
     /// What it told.
-    pub told: Told,
+    pub reply: Told,
     /// Holds the connection to it, and how its clock runs.
     pub client: PeerClient,
 }
 
 /// Asks the seeds, one shortly after the other, until the first of them tells; `None` if none does.
-pub async fn hear(core: &Rc<Core>) -> Option<FirstState> {
+pub async fn fetch(core: &Rc<Core>) -> Option<InitialState> {
     let membership = &core.settings.membership;
     let own = core.settings.peers?;
     let is_seed = membership.seeds.contains(&own);
@@ -54,21 +54,21 @@
     seeds.rotate_left(first);
     // NB: a seed does not wait for the others, which would wait for it.
     let (need, limit) = match is_seed {
-        true => (Need::FirstStateNow, SEED_TIME_LIMIT),
-        false => (Need::FirstState, TIME_LIMIT),
+        true => (Need::FirstStateNow, SEED_FETCH_TIMEOUT),
+        false => (Need::FirstState, FETCH_TIMEOUT),
     };
     let end = Instant::now() + limit;
     let mut asking = JoinSet::new();
-    let hearing = Rc::default();
+    let receiving = Rc::default();
     for (place, seed) in seeds.into_iter().enumerate() {
-        let (core, hearing) = (Rc::clone(core), Rc::clone(&hearing));
+        let (core, receiving) = (Rc::clone(core), Rc::clone(&receiving));
         asking.spawn_local(async move {
-            sleep(NEXT_SEED * place as u32).await;
-            ask_until(&core, seed, need, end, &hearing).await
+            sleep(SEED_STAGGER * place as u32).await;
+            poll_seed(&core, seed, need, end, &receiving).await
         });
     }
-    while let Some(heard) = asking.join_next().await {
-        if let Ok(Some(first)) = heard {
+    while let Some(received) = asking.join_next().await {
+        if let Ok(Some(first)) = received {
             return Some(first);
         }
     }
@@ -79,38 +79,38 @@
 ///
 /// While `hearing` says that another has begun to tell the state, nobody else is asked for it: a large one
 /// would only take part of the link from it.
-async fn ask_until(
+async fn poll_seed(
     core: &Core,
     seed: SocketAddr,
     need: Need,
     end: Instant,
-    hearing: &Rc<Cell<usize>>,
-) -> Option<FirstState> {
-    let client = PeerClient::beside(hearing);
+    receiving: &Rc<Cell<usize>>,
+) -> Option<InitialState> {
+    let client = PeerClient::beside(receiving);
     let mut last = None;
-    while Instant::now() < end || hearing.get() > 0 {
-        if hearing.get() > 0 {
-            sleep(PAUSE).await;
+    while Instant::now() < end || receiving.get() > 0 {
+        if receiving.get() > 0 {
+            sleep(RETRY_DELAY).await;
             continue;
         }
         let question = Question {
             store: core.settings.store.address,
             after: Position::default(),
             need,
-            until: end.min(Instant::now() + ANSWER_LIMIT),
+            until: end.min(Instant::now() + REPLY_TIMEOUT),
         };
         match client.ask(&core.connect, &core.clock, seed, question).await {
-            Ok(told) => return Some(FirstState { from: seed, told, client }),
+            Ok(reply) => return Some(InitialState { from: seed, reply, client }),
             Err(error) => last = Some(error),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
-    note_failed(core, seed, last);
+    log_failure(core, seed, last);
     None
 }
 
-fn note_failed(core: &Core, seed: SocketAddr, error: Option<AskError>) {
+fn log_failure(core: &Core, seed: SocketAddr, error: Option<AskError>) {
     let error = error.map_or(String::from("no time was left"), |error| error.to_string());
-    let event = Learned::SourceFailed { entry: &seed.to_string(), error };
+    let event = FollowEvent::SourceFailed { entry: &seed.to_string(), error };
     core.event_log.record(LogPriority::State, &event);
 }
--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -5,7 +5,7 @@
 use pondwalk_store::{Fetched, Position, StoreEvent};
 use tokio::time::Instant;
 
-use super::{Follower, Heard, report::Learned, watching::NO_WAIT};
+use super::{Follower, StateSource, events::FollowEvent, watch::MIN_WATCH_WAIT};
 use crate::{
     event_log::LogPriority,
     membership::{AskError, Need, Question, Told},
@@ -13,54 +13,54 @@
 };
 
 /// Other entries that one which has lost the store asks between two calls to it.
-const ASKED_AROUND: usize = 6;
+const PEERS_PER_ROUND: usize = 6;
 /// Entries in a row that cannot be reached before the store is asked.
-const UNREACHED_IN_ROW: u32 = 3;
+const MAX_UNREACHABLE_IN_ROW: u32 = 3;
 /// Time for each entry over which those that hear nothing spread their questions to the store, so
 /// that an outage doesn't bring all of them there at once.
-const FALLBACK_SPREAD: Duration = Duration::from_millis(30);
+const FALLBACK_STAGGER: Duration = Duration::from_millis(30);
 /// Pause between two such questions; doubles with each in a row.
-pub const FIRST_FALLBACK_PAUSE: Duration = Duration::from_secs(3);
+pub const INITIAL_FALLBACK_BACKOFF: Duration = Duration::from_secs(3);
 /// Longest such pause.
-const LONGEST_FALLBACK_PAUSE: Duration = Duration::from_secs(12);
+const MAX_FALLBACK_BACKOFF: Duration = Duration::from_secs(12);
 
 impl Follower {
     /// Whether an entry that should learn from others must ask the store itself: none can be
     /// reached, or for long none has told anything of use.
     pub(super) fn should_fall_back(&self) -> bool {
-        if self.watching.is_moving() {
+        if self.watch_calls.is_receiving() {
             return false;
         }
-        if self.unreached >= UNREACHED_IN_ROW {
+        if self.unreachable_in_row >= MAX_UNREACHABLE_IN_ROW {
             return true;
         }
-        let spread = FALLBACK_SPREAD * self.core.members.rank() as u32;
-        self.core.clock.now() >= self.fallback_from && self.core.is_state_outdated(spread)
+        let spread = FALLBACK_STAGGER * self.core.members.rank() as u32;
+        self.core.clock.now() >= self.next_fallback_at && self.core.is_state_outdated(spread)
     }
 
     /// Asks the store beside the others, and puts off the next such question.
     pub(super) fn fall_back(&mut self, position: Position) {
-        self.unreached = 0;
-        self.note_source(None);
-        self.start_watch(position, NO_WAIT, StoreCause::Fallback);
-        self.fallback_from = self.core.clock.now() + self.fallback_pause;
-        self.fallback_pause = (self.fallback_pause * 2).min(LONGEST_FALLBACK_PAUSE);
+        self.unreachable_in_row = 0;
+        self.log_source_change(None);
+        self.start_watch(position, MIN_WATCH_WAIT, StoreCause::Fallback);
+        self.next_fallback_at = self.core.clock.now() + self.fallback_backoff;
+        self.fallback_backoff = (self.fallback_backoff * 2).min(MAX_FALLBACK_BACKOFF);
     }
 
     /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
     /// among those that are turned away.
-    pub(super) async fn ask_around(&mut self, position: Position) -> Position {
+    pub(super) async fn poll_peers(&mut self, position: Position) -> Position {
         let others = self.core.members.others(self.core.clock.now());
-        for _ in 0..ASKED_AROUND.min(others.len()) {
-            self.asked_around = (self.asked_around + 1) % others.len();
-            let (name, address) = &others[self.asked_around];
+        for _ in 0..PEERS_PER_ROUND.min(others.len()) {
+            self.peer_cursor = (self.peer_cursor + 1) % others.len();
+            let (name, address) = &others[self.peer_cursor];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
             let question = self.question(position, Need::ChangesNow, until);
             let asking = self.client.ask(&self.core.connect, &self.core.clock, *address, question);
             match asking.await {
-                Ok(told) => {
-                    let next = told.position.max(position);
-                    self.take_told(told, next);
+                Ok(reply) => {
+                    let next = reply.position.max(position);
+                    self.apply_peer_reply(reply, next);
                     return next;
                 }
                 // NB: that others have lost the store too is no news.
@@ -76,42 +76,42 @@
 
     /// Asks another entry once, unless an answer of the store comes before; `None` if all must be
     /// read anew.
-    pub(super) async fn learn_from(
+    pub(super) async fn poll_source(
         &mut self,
         name: &str,
         address: SocketAddr,
         position: Position,
     ) -> Option<Position> {
-        let question = self.question(position, Need::Changes, self.give_up_at());
+        let question = self.question(position, Need::Changes, self.reply_deadline());
         let asking = self.client.ask(&self.core.connect, &self.core.clock, address, question);
-        let told = tokio::select! {
+        let reply = tokio::select! {
             biased;
-            answered = self.watching.next() => return self.take_answer(answered, position),
-            told = asking => told,
+            outcome = self.watch_calls.next() => return self.handle_watch_reply(outcome, position),
+            reply = asking => reply,
         };
-        Some(self.take_or_leave(name, told, position))
+        Some(self.handle_peer_reply(name, reply, position))
     }
 
-    fn take_or_leave(
+    fn handle_peer_reply(
         &mut self,
         name: &str,
-        told: Result<Told, AskError>,
+        reply: Result<Told, AskError>,
         position: Position,
     ) -> Position {
-        self.core.members.note(name, told.as_ref().err(), self.core.clock.now());
-        match told {
-            Ok(told) => {
-                self.unreached = 0;
-                let next = told.position.max(position);
-                self.take_told(told, next);
+        self.core.members.note(name, reply.as_ref().err(), self.core.clock.now());
+        match reply {
+            Ok(reply) => {
+                self.unreachable_in_row = 0;
+                let next = reply.position.max(position);
+                self.apply_peer_reply(reply, next);
                 next
             }
             Err(error) => {
                 if error != AskError::Old {
                     self.core.initial_source.set(None);
-                    self.unreached += 1;
+                    self.unreachable_in_row += 1;
                 }
-                let event = Learned::SourceFailed { entry: name, error: error.to_string() };
+                let event = FollowEvent::SourceFailed { entry: name, error: error.to_string() };
                 self.core.event_log.record(LogPriority::State, &event);
                 position
             }
@@ -119,7 +119,7 @@
     }
 
     /// When an entry that says nothing is given up: when what it told before has grown too old.
-    fn give_up_at(&self) -> Instant {
+    fn reply_deadline(&self) -> Instant {
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
         let too_old = state.freshness.confirmed().unwrap_or_default() + times.oldest_told;
@@ -137,39 +137,39 @@
     }
 
     /// Takes in what another entry told, and from when it is; `position` is where that leads.
-    pub(super) fn take_told(&mut self, mut told: Told, position: Position) {
-        self.core.metrics.count_many(Counter::PeerBytesReceived, told.bytes);
-        if told.position.era != position.era {
+    pub(super) fn apply_peer_reply(&mut self, mut reply: Told, position: Position) {
+        self.core.metrics.count_many(Counter::PeerBytesReceived, reply.bytes);
+        if reply.position.era != position.era {
             // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
-            self.core.hear_from_above(std::mem::take(&mut told.news));
+            self.core.hear_from_above(std::mem::take(&mut reply.news));
             self.coordinator.wake();
             return;
         }
-        let confirmed = told.confirmed;
+        let confirmed = reply.confirmed;
         // NB: most entries make no calls to the store, and hear of its loss only with its return.
         let mut state = self.core.state.borrow_mut();
-        state.store_returned = state.store_returned.max(told.store_returned);
-        state.store_latency = told.store_takes;
+        state.store_returned = state.store_returned.max(reply.store_returned);
+        state.store_latency = reply.store_takes;
         drop(state);
-        self.watching.drop_known(position);
-        self.learns_from = Heard::FromOthers;
-        let news = std::mem::take(&mut told.news);
-        if told.whole {
+        self.watch_calls.drop_superseded(position);
+        self.applying_from = StateSource::Peer;
+        let news = std::mem::take(&mut reply.news);
+        if reply.whole {
             let entries: Vec<Fetched> =
-                told.into_events().into_iter().filter_map(written).collect();
-            self.take_whole(&entries, position);
+                reply.into_events().into_iter().filter_map(written_entry).collect();
+            self.apply_snapshot(&entries, position);
         } else {
-            self.take_changes(&told.into_events(), position);
+            self.apply_changes(&reply.into_events(), position);
         }
         self.core.hear_from_above(news);
         if let Some(confirmed) = confirmed {
-            self.confirm(confirmed, position, Heard::FromOthers);
+            self.confirm(confirmed, position, StateSource::Peer);
         }
         self.coordinator.wake();
     }
 }
 
-fn written(event: StoreEvent) -> Option<Fetched> {
+fn written_entry(event: StoreEvent) -> Option<Fetched> {
     match event {
         StoreEvent::Written(entry) => Some(entry),
         StoreEvent::Removed { .. } => None,
--- a/crates/direct/src/forecasts.rs
+++ b/crates/direct/src/forecasts.rs
@@ -9,13 +9,13 @@
 use crate::{catalog::ServiceId, core::Core, request::Job, state::State};
 
 /// Tokens read that count as much as one made in an answer's size; from the users' rules.
-const SIZE_OF_TOKEN_OUT: f64 = 10.0;
+const OUTPUT_TOKEN_SIZE: f64 = 10.0;
 /// Tokens read that take as much of a server's time as one made; from the users' figures of their
 /// engines (0.27 ms of each step for one more request, 0.053 ms for a token read).
-const MADE_AS_READ: f64 = 5.0;
+const READ_TOKENS_PER_OUTPUT_TOKEN: f64 = 5.0;
 /// Time that a typical answer of the largest model takes for each token of its size, as a part of
 /// the time to read one: half of a prompt's size is held already or made, not read.
-const TYPICAL_READ_PART: f64 = 0.5;
+const TYPICAL_READ_FRACTION: f64 = 0.5;
 
 /// What asking each of the route's models would cost a job that has used this part of its
 /// objective, servers in `avoid` left out; nothing if no server could take it.
@@ -25,18 +25,18 @@
     let allowed_ms = (job.deadline - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
     let mut state = core.state.borrow_mut();
     let State { fleets, engines, .. } = &mut *state;
-    let engine = engine_of(engines, job);
+    let engine = engine_for(engines, job);
     let Some(fleet) = fleets.get(&job.service.name) else { return Vec::new() };
     let mut terms = Vec::with_capacity(prices.len());
     for (position, price) in prices.into_iter().enumerate() {
         let number = position as ModelNumber;
-        let ask = ask_for(engine, job, number, avoid, VersionRule::Any);
+        let ask = placement_request(engine, job, number, avoid, VersionRule::Any);
         // NB: without a server for one model there is none for any.
         let Some(forecast) = fleet.forecast(&ask, core.clock.now()) else { return Vec::new() };
         let begins = used + forecast.begins_ms / objective_ms;
-        let making_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(ask.model);
-        let ends = (begins * objective_ms + making_ms) / allowed_ms;
-        let load = load_of(engine, job, forecast.read_ms, ask.read_ms_per_token);
+        let generation_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(ask.model);
+        let ends = (begins * objective_ms + generation_ms) / allowed_ms;
+        let load = relative_load(engine, job, forecast.read_ms, ask.read_ms_per_token);
         terms.push(Terms { model: ask.model, price, load, begins, ends });
     }
     terms
@@ -44,18 +44,18 @@
 
 /// Servers' time that an answer takes, by its size, as a multiple of a typical one's of the route's
 /// largest model.
-fn load_of(engine: &Engine, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
+fn relative_load(engine: &Engine, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
     let (tokens_in, tokens_out) =
         (f64::from(job.prompt.tokens_in), f64::from(job.prompt.tokens_out));
-    let size = (tokens_in + SIZE_OF_TOKEN_OUT * tokens_out).max(1.0);
-    let made_ms = MADE_AS_READ * tokens_out * read_ms_per_token;
+    let size = (tokens_in + OUTPUT_TOKEN_SIZE * tokens_out).max(1.0);
+    let output_ms = READ_TOKENS_PER_OUTPUT_TOKEN * tokens_out * read_ms_per_token;
     let last = job.route.models.len().saturating_sub(1) as ModelNumber;
     let largest = engine.read_ms_per_token(job.service_model(last));
-    (read_ms + made_ms) / size / (TYPICAL_READ_PART * largest)
+    (read_ms + output_ms) / size / (TYPICAL_READ_FRACTION * largest)
 }
 
 /// What a job asks of a server with the model at a position of its route's list.
-pub fn ask_for<'a>(
+pub fn placement_request<'a>(
     engine: &Engine,
     job: &'a Job,
     number: ModelNumber,
@@ -75,7 +75,7 @@
 }
 
 /// What is known of the engines of a job's service.
-pub fn engine_of<'a>(engines: &'a mut HashMap<ServiceId, Engine>, job: &Job) -> &'a mut Engine {
+pub fn engine_for<'a>(engines: &'a mut HashMap<ServiceId, Engine>, job: &Job) -> &'a mut Engine {
     let models = job.service.engine.as_ref().map_or(0, |engine| engine.models.len());
     let service = job.service.name.clone();
     engines.entry(service).or_insert_with(|| Engine::new(models.min(usize::from(u8::MAX)) as u8))
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -5,9 +5,9 @@
 use hdrhistogram::Histogram;
 
 /// Longest latency told apart, in milliseconds.
-const LONGEST_MS: u64 = 60_000;
+const MAX_LATENCY_MS: u64 = 60_000;
 /// Significant digits of latencies.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Quantiles told of each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
@@ -191,8 +191,8 @@
     }
 
     /// Counts several.
-    pub fn count_many(&self, counter: Counter, many: usize) {
-        *self.counters.borrow_mut().entry(counter).or_default() += many as u64;
+    pub fn count_many(&self, counter: Counter, n: usize) {
+        *self.counters.borrow_mut().entry(counter).or_default() += n as u64;
     }
 
     /// Counts a call to the store by its cause.
@@ -203,7 +203,10 @@
     /// Takes a time in.
     pub fn time(&self, timer: Timer, took: Duration) {
         let mut timers = self.timers.borrow_mut();
-        timers.entry(timer).or_insert_with(latencies).saturating_record(took.as_millis() as u64);
+        timers
+            .entry(timer)
+            .or_insert_with(new_latency_histogram)
+            .saturating_record(took.as_millis() as u64);
     }
 
     /// All of them, one a line.
@@ -230,7 +233,7 @@
 }
 
 /// An empty histogram that grows with what it is told.
-fn latencies() -> Histogram<u32> {
-    let bounded = Histogram::new_with_max(LONGEST_MS, DIGITS);
+fn new_latency_histogram() -> Histogram<u32> {
+    let bounded = Histogram::new_with_max(MAX_LATENCY_MS, SIGNIFICANT_DIGITS);
     bounded.unwrap_or_else(|_| unreachable!("the bounds are constants that the library takes"))
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -26,19 +26,19 @@
 
 /// Entries that are tried in turn before a question is given up. More that do not answer say that this entry is
 /// cut off itself.
-const MOST_ASKED: usize = 3;
+const MAX_GRANTERS_TRIED: usize = 3;
 /// Longest time for each of those that a stand-in asks, so that its own answer comes before its asker gives up.
-const PASSED_ON_LIMIT: Duration = Duration::from_millis(75);
+const FORWARDED_TIMEOUT: Duration = Duration::from_millis(75);
 /// Time for which an entry that did not answer is passed over.
-const PASS_OVER: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(2);
 /// Time after which a permit may be asked for again that nobody could grant.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(500);
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(500);
 /// Entries that did not answer which are remembered before those of long ago are forgotten.
-const MOST_SILENT: usize = 512;
+const MAX_UNRESPONSIVE: usize = 512;
 
 /// What an entry that grants permits is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct PermitQuestion {
+struct PermitRequest {
     service: String,
     server: ServerId,
     life: LifeMark,
@@ -52,7 +52,7 @@
 
 /// What came of asking for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum PermitAnswer {
+enum PermitResponse {
     /// One request may be sent.
     Given,
     /// None may, for so long.
@@ -66,7 +66,7 @@
 pub struct PermitState {
     buckets: RefCell<PermitBuckets>,
     /// Until when entries that did not answer are passed over.
-    silent: RefCell<HashMap<SocketAddr, Duration>>,
+    unresponsive: RefCell<HashMap<SocketAddr, Duration>>,
     /// Requests that wait for a permit, by service.
     waiting: RefCell<HashMap<ServiceId, usize>>,
 }
@@ -79,10 +79,10 @@
 
 impl PermitWaiter {
     /// Lets one more request of a service wait, unless `most` do.
-    pub fn enter(core: &Rc<Core>, service: &ServiceId, most: usize) -> Option<Self> {
+    pub fn enter(core: &Rc<Core>, service: &ServiceId, max: usize) -> Option<Self> {
         let mut waiting = core.permits.waiting.borrow_mut();
         let count = waiting.entry(service.clone()).or_default();
-        if *count >= most {
+        if *count >= max {
             return None;
         }
         *count += 1;
@@ -101,26 +101,26 @@
 
 impl PermitState {
     /// Whether an entry is passed over. One that did not answer is tried again by one request at a time.
-    fn is_passed_over(&self, address: SocketAddr, now: Duration) -> bool {
-        let mut silent = self.silent.borrow_mut();
-        let Some(until) = silent.get_mut(&address) else { return false };
+    fn should_skip(&self, address: SocketAddr, now: Duration) -> bool {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        let Some(until) = unresponsive.get_mut(&address) else { return false };
         if now < *until {
             return true;
         }
-        *until = now + PASS_OVER;
+        *until = now + UNRESPONSIVE_TIME;
         false
     }
 
-    fn pass_over(&self, address: SocketAddr, now: Duration) {
-        let mut silent = self.silent.borrow_mut();
-        if silent.len() >= MOST_SILENT {
-            silent.retain(|_, until| now < *until);
+    fn mark_unresponsive(&self, address: SocketAddr, now: Duration) {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        if unresponsive.len() >= MAX_UNRESPONSIVE {
+            unresponsive.retain(|_, until| now < *until);
         }
-        silent.insert(address, now + PASS_OVER);
+        unresponsive.insert(address, now + UNRESPONSIVE_TIME);
     }
 
-    fn has_answered(&self, address: SocketAddr) {
-        self.silent.borrow_mut().remove(&address);
+    fn mark_responsive(&self, address: SocketAddr) {
+        self.unresponsive.borrow_mut().remove(&address);
     }
 }
 
@@ -135,11 +135,11 @@
 }
 
 /// What an entry's walk along those that may grant a permit led to.
-enum Walk {
+enum GranterSearch {
     /// One of them decided.
-    Decided(PermitAnswer),
+    Decided(PermitResponse),
     /// It is this entry's turn.
-    OwnTurn(Granter),
+    Local(Granter),
     /// None of them answered.
     Unanswered(Option<AskError>),
 }
@@ -148,7 +148,7 @@
     /// Asks for a permit, and notes in the fleet what came of it.
     pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
         let said_ago = self.clock.now().saturating_sub(wanted.said_at);
-        let question = PermitQuestion {
+        let request = PermitRequest {
             service: service.to_string(),
             server: wanted.server,
             life: wanted.life,
@@ -156,59 +156,59 @@
             said_ago,
             is_passed_on: false,
         };
-        let answer = match self.decide_permit(&question).await {
+        let answer = match self.resolve_permit(&request).await {
             Ok(answer) => answer,
             Err(error) => {
                 let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
-                let event = PermitEvent::PermitUnanswered { server: &question.server, error };
+                let event = PermitEvent::PermitUnanswered { server: &request.server, error };
                 self.event_log.record(LogPriority::Failure, &event);
-                PermitAnswer::Refused { opens_in: UNANSWERED_PAUSE }
+                PermitResponse::Refused { opens_in: UNANSWERED_BACKOFF }
             }
         };
-        self.take_permit_answer(&service, &question, answer);
+        self.apply_permit_response(&service, &request, answer);
     }
 
-    fn take_permit_answer(
+    fn apply_permit_response(
         &self,
         service: &ServiceId,
-        question: &PermitQuestion,
-        answer: PermitAnswer,
+        request: &PermitRequest,
+        answer: PermitResponse,
     ) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(service) else { return };
         match answer {
-            PermitAnswer::Given => {
+            PermitResponse::Given => {
                 self.metrics.count(Counter::PermitsGiven);
-                fleet.take_permit(&question.server, Ok(()), now);
+                fleet.take_permit(&request.server, Ok(()), now);
             }
-            PermitAnswer::Refused { opens_in } => {
+            PermitResponse::Refused { opens_in } => {
                 self.metrics.count(Counter::PermitsRefused);
-                fleet.take_permit(&question.server, Err(now + opens_in), now);
+                fleet.take_permit(&request.server, Err(now + opens_in), now);
             }
-            PermitAnswer::Lifted { ago } => {
+            PermitResponse::Lifted { ago } => {
                 let at = now.saturating_sub(ago);
-                fleet.is_told_limit(&question.server, &question.life, None, at);
-                fleet.take_permit(&question.server, Err(now), now);
+                fleet.is_told_limit(&request.server, &request.life, None, at);
+                fleet.take_permit(&request.server, Err(now), now);
             }
         }
     }
 
     /// Decides about a permit, or lets those decide that come before this entry.
-    async fn decide_permit(
+    async fn resolve_permit(
         &self,
-        question: &PermitQuestion,
-    ) -> Result<PermitAnswer, Option<AskError>> {
-        match self.walk_granters(question).await {
-            Walk::Decided(answer) => Ok(answer),
-            Walk::OwnTurn(granter) => Ok(self.grant_permit(question, granter)),
-            Walk::Unanswered(error) => Err(error),
+        request: &PermitRequest,
+    ) -> Result<PermitResponse, Option<AskError>> {
+        match self.find_granter(request).await {
+            GranterSearch::Decided(answer) => Ok(answer),
+            GranterSearch::Local(granter) => Ok(self.grant_permit(request, granter)),
+            GranterSearch::Unanswered(error) => Err(error),
         }
     }
 
     /// Asks those that may grant a permit in turn, until one answers or it is this entry's turn.
-    async fn walk_granters(&self, question: &PermitQuestion) -> Walk {
-        let order = self.members.granting_order(u128::from(server_hash(&question.server)));
+    async fn find_granter(&self, request: &PermitRequest) -> GranterSearch {
+        let order = self.members.granting_order(u128::from(server_hash(&request.server)));
         // NB: an entry that is not listed yet may not know the others, which may grant the same.
         let is_listed = self.members.own_listed().is_some() || self.settings.peers.is_none();
         let mut error = None;
@@ -216,86 +216,86 @@
         for (place, (_, address)) in order.into_iter().enumerate() {
             let Some(address) = address else {
                 return match is_listed {
-                    true => Walk::OwnTurn(granter_at(place)),
-                    false => Walk::Unanswered(error),
+                    true => GranterSearch::Local(role_at(place)),
+                    false => GranterSearch::Unanswered(error),
                 };
             };
-            if asked == MOST_ASKED {
+            if asked == MAX_GRANTERS_TRIED {
                 break;
             }
-            if self.permits.is_passed_over(address, self.clock.now()) {
+            if self.permits.should_skip(address, self.clock.now()) {
                 continue;
             }
             asked += 1;
-            match self.ask_granter(address, question).await {
+            match self.query_granter(address, request).await {
                 Ok(answer) => {
-                    self.permits.has_answered(address);
-                    return Walk::Decided(answer);
+                    self.permits.mark_responsive(address);
+                    return GranterSearch::Decided(answer);
                 }
                 Err(failed) => {
-                    self.permits.pass_over(address, self.clock.now());
+                    self.permits.mark_unresponsive(address, self.clock.now());
                     error = Some(failed);
                 }
             }
         }
-        Walk::Unanswered(error)
+        GranterSearch::Unanswered(error)
     }
 
-    async fn ask_granter(
+    async fn query_granter(
         &self,
         address: SocketAddr,
-        question: &PermitQuestion,
-    ) -> Result<PermitAnswer, AskError> {
-        let answer = ask_question(self, address, PERMIT_PATH, question);
-        match question.is_passed_on {
-            true => timeout(PASSED_ON_LIMIT, answer).await.map_err(|_| AskError::Silent)?,
+        request: &PermitRequest,
+    ) -> Result<PermitResponse, AskError> {
+        let answer = ask_question(self, address, PERMIT_PATH, request);
+        match request.is_passed_on {
+            true => timeout(FORWARDED_TIMEOUT, answer).await.map_err(|_| AskError::Silent)?,
             false => answer.await,
         }
     }
 
     /// Answers another entry's question.
-    pub async fn handle_permit_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    pub async fn handle_permit_request(&self, request: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
-        let mut question: PermitQuestion = from_message(question, store)?;
-        let answer = match question.is_passed_on {
-            true => self.grant_permit(&question, self.own_place(&question.server)),
+        let mut request: PermitRequest = from_message(request, store)?;
+        let answer = match request.is_passed_on {
+            true => self.grant_permit(&request, self.local_role(&request.server)),
             false => {
-                question.is_passed_on = true;
-                let decided = self.decide_permit(&question).await;
-                decided.unwrap_or(PermitAnswer::Refused { opens_in: UNANSWERED_PAUSE })
+                request.is_passed_on = true;
+                let decided = self.resolve_permit(&request).await;
+                decided.unwrap_or(PermitResponse::Refused { opens_in: UNANSWERED_BACKOFF })
             }
         };
         to_message(store, &answer)
     }
 
     /// In which place this entry grants permits for a server.
-    fn own_place(&self, server: &str) -> Granter {
+    fn local_role(&self, server: &str) -> Granter {
         let order = self.members.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
-        place.map_or(Granter::StandIn, granter_at)
+        place.map_or(Granter::StandIn, role_at)
     }
 
     /// Grants a permit or refuses it, by the latest word on the server's limit.
-    fn grant_permit(&self, question: &PermitQuestion, granter: Granter) -> PermitAnswer {
+    fn grant_permit(&self, request: &PermitRequest, granter: Granter) -> PermitResponse {
         let now = self.clock.now();
-        let said_at = now.saturating_sub(question.said_ago);
-        let PermitQuestion { server, life, limit, .. } = question;
+        let said_at = now.saturating_sub(request.said_ago);
+        let PermitRequest { server, life, limit, .. } = request;
         let mut state = self.state.borrow_mut();
-        let fleet = state.fleets.get_mut(question.service.as_str());
+        let fleet = state.fleets.get_mut(request.service.as_str());
         let known = fleet.and_then(|fleet| {
             fleet.is_told_limit(server, life, Some(*limit), said_at);
             fleet.limit_of(server, life)
         });
         drop(state);
         let limit = match known {
-            Some((None, at)) => return PermitAnswer::Lifted { ago: now.saturating_sub(at) },
+            Some((None, at)) => return PermitResponse::Lifted { ago: now.saturating_sub(at) },
             Some((Some(known), _)) => known,
             None => *limit,
         };
         let taken = self.permits.buckets.borrow_mut().take(server, limit, granter, now);
         match taken {
-            Ok(()) => PermitAnswer::Given,
-            Err(until) => PermitAnswer::Refused { opens_in: until.saturating_sub(now) },
+            Ok(()) => PermitResponse::Given,
+            Err(until) => PermitResponse::Refused { opens_in: until.saturating_sub(now) },
         }
     }
 
@@ -315,6 +315,6 @@
     }
 }
 
-fn granter_at(place: usize) -> Granter {
+fn role_at(place: usize) -> Granter {
     if place == 0 { Granter::First } else { Granter::StandIn }
 }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -14,14 +14,14 @@
 use crate::{
     catalog::ServiceId,
     core::Core,
-    forecasts::engine_of,
+    forecasts::engine_for,
     membership::News,
     metrics::{Counter, Timer},
     request::Job,
     state::State,
 };
 
-use choice::find_by_rule;
+use choice::find_with_rule;
 pub use choice::{NextSend, PlacementError};
 
 /// A place at one backend server.
@@ -30,10 +30,10 @@
     job: Rc<Job>,
     ticket: Ticket,
     /// The model among those of its service.
-    number: ServiceModel,
+    model_index: ServiceModel,
     sent: Duration,
     /// Time until its answer began, in milliseconds, once it has.
-    took_ms: f64,
+    response_started_ms: f64,
     /// Whether another server could take the request.
     pub has_alternative: bool,
     /// Where the server listens.
@@ -58,10 +58,10 @@
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
         let session = job.session.unwrap_or_else(|| state.rng.random());
-        let found = find_by_rule(&mut state, job, next, Some(session), now, |fleet, ask, rng| {
+        let found = find_with_rule(&mut state, job, next, Some(session), now, |fleet, ask, rng| {
             let ticket = fleet.place(ask, now, rng)?;
-            let facts = fleet.facts(&ticket.server)?;
-            let (address, version) = (facts.address, facts.version.clone());
+            let server = fleet.facts(&ticket.server)?;
+            let (address, version) = (server.address, server.version.clone());
             let has_alternative = fleet.has_other(ask, &ticket.server, now);
             Some((ticket, address, version, has_alternative))
         });
@@ -75,11 +75,11 @@
         let (core, job) = (Rc::clone(core), Rc::clone(job));
         Ok(Placement {
             core,
-            number: job.service_model(next.model),
+            model_index: job.service_model(next.model),
             job,
             ticket,
             sent: now,
-            took_ms: 0.0,
+            response_started_ms: 0.0,
             has_alternative,
             address,
             version,
@@ -121,24 +121,24 @@
 
     /// How much later than on an idle server the answer began, in milliseconds.
     pub fn queued_ms(&self) -> f64 {
-        (self.took_ms - self.ticket.expected_ms).max(0.0)
+        (self.response_started_ms - self.ticket.expected_ms).max(0.0)
     }
 
     /// The answer has begun.
     pub fn on_response_started(&mut self) {
         let now = self.core.clock.now();
-        let took_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
-        self.took_ms = took_ms;
-        let late_ms = (took_ms - self.ticket.due_ms()).max(0.0);
+        let response_started_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
+        self.response_started_ms = response_started_ms;
+        let late_ms = (response_started_ms - self.ticket.due_ms()).max(0.0);
         self.core.metrics.time(Timer::ServerQueue, Duration::from_secs_f64(late_ms / 1_000.0));
         let mut state = self.core.state.borrow_mut();
         let State { fleets, engines, .. } = &mut *state;
         if self.core.settings.policy.learned_engines && self.ticket.ahead_ms <= 0.0 {
-            let engine = engine_of(engines, &self.job);
-            engine.note_beginning(self.number, self.ticket.read_tokens, took_ms);
+            let engine = engine_for(engines, &self.job);
+            engine.note_beginning(self.model_index, self.ticket.read_tokens, response_started_ms);
         }
         if let Some(fleet) = fleets.get_mut(&self.job.service.name) {
-            fleet.began(&mut self.ticket, took_ms, now);
+            fleet.began(&mut self.ticket, response_started_ms, now);
         }
     }
 
@@ -158,10 +158,10 @@
         if !learns || self.model.is_none() || tokens_out == 0 {
             return;
         }
-        let making_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.took_ms;
+        let generation_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.response_started_ms;
         let mut state = self.core.state.borrow_mut();
-        let engine = engine_of(&mut state.engines, &self.job);
-        engine.note_token_ms(self.number, making_ms / f64::from(tokens_out));
+        let engine = engine_for(&mut state.engines, &self.job);
+        engine.note_token_ms(self.model_index, generation_ms / f64::from(tokens_out));
     }
 
     /// The server answered, with a failure of its own or not; true if a roll-out is off by it.
@@ -172,14 +172,14 @@
             fleet.answered(&self.ticket, failed, now);
         }
         drop(state);
-        self.note_evidence(failed)
+        self.record_evidence(failed)
     }
 
     /// The answer did not begin in the time given, which counts as a failure of the server and its version; true
     /// if a roll-out is off.
     pub fn on_response_timeout(&self) -> bool {
         self.on_connection_broken();
-        self.note_evidence(true)
+        self.record_evidence(true)
     }
 
     /// Service of the server.
@@ -195,7 +195,7 @@
         }
     }
 
-    fn note_evidence(&self, failed: bool) -> bool {
+    fn record_evidence(&self, failed: bool) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(&self.job.service.name) else { return false };
@@ -229,9 +229,9 @@
         let service = &self.job.service.name;
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(service);
-        let is_news = fleet.is_some_and(|fleet| fleet.unreached(&self.ticket, why, now));
+        let is_new = fleet.is_some_and(|fleet| fleet.unreached(&self.ticket, why, now));
         drop(state);
-        if is_news {
+        if is_new {
             self.core.metrics.count(Counter::ServersPresumedCold);
             let (fleet, server) = (service.to_string(), self.ticket.server.clone());
             self.core.tell_news(News::Unreached { fleet, server });
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -11,7 +11,7 @@
 use super::Placement;
 use crate::{
     core::Core,
-    forecasts::{ask_for, engine_of},
+    forecasts::{engine_for, placement_request},
     request::Job,
     state::State,
 };
@@ -51,7 +51,7 @@
         let mut state = core.state.borrow_mut();
         let certainty =
             |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| fleet.certainty(ask, now);
-        find_by_rule(&mut state, job, next, job.session, now, certainty)
+        find_with_rule(&mut state, job, next, job.session, now, certainty)
     }
 
     /// The permit that a request needs first where it would go to a server that names a rate limit.
@@ -64,7 +64,7 @@
         let session = job.session.unwrap_or_else(|| state.rng.random());
         let wanted =
             |fleet: &mut Fleet, ask: &Ask<'_>, rng: &mut SmallRng| fleet.want_permit(ask, now, rng);
-        find_by_rule(&mut state, job, next, Some(session), now, wanted).ok()
+        find_with_rule(&mut state, job, next, Some(session), now, wanted).ok()
     }
 
     /// Permits that may come before `until` for a request that no server takes without one, at most.
@@ -74,12 +74,12 @@
         let permits = |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| {
             Some(fleet.permits_before(ask, until, now))
         };
-        find_by_rule(&mut state, job, next, job.session, now, permits).unwrap_or_default()
+        find_with_rule(&mut state, job, next, job.session, now, permits).unwrap_or_default()
     }
 }
 
 /// Finds something for a send by the rule of its session's version; a request without a session may go to any.
-pub(super) fn find_by_rule<T>(
+pub(super) fn find_with_rule<T>(
     state: &mut State,
     job: &Job,
     next: NextSend<'_>,
@@ -95,16 +95,16 @@
         (Some(roll_out), Some(session)) => roll_out.rule(session, pinned, next.failed, now),
         _ => VersionRule::Any,
     };
-    let ask = ask_for(engine_of(engines, job), job, next.model, next.avoid, rule);
+    let ask = placement_request(engine_for(engines, job), job, next.model, next.avoid, rule);
     let target = roll_out.map(|one| one.target().as_str());
-    by_rule(fleet, &ask, target, now, |fleet, ask| find(fleet, ask, rng))
+    find_with_fallback(fleet, &ask, target, now, |fleet, ask| find(fleet, ask, rng))
 }
 
 /// Finds something by the rule; where a version has no server open, at any other than the one on trial.
 ///
 /// NB: not where its servers are merely cold or pause. A session that went to another version for a moment
 /// would be on two of them.
-fn by_rule<T>(
+fn find_with_fallback<T>(
     fleet: &mut Fleet,
     ask: &Ask<'_>,
     target: Option<&str>,
@@ -114,22 +114,22 @@
     if let Some(found) = find(fleet, ask) {
         return Ok(found);
     }
-    let no_place = why_none(fleet, ask, now);
+    let reason = unavailability(fleet, ask, now);
     let (VersionRule::Only(_), Some(target)) = (ask.versions, target) else {
-        return Err(no_place);
+        return Err(reason);
     };
-    if matches!(no_place, PlacementError::Unavailable(_)) {
-        return Err(no_place);
+    if matches!(reason, PlacementError::Unavailable(_)) {
+        return Err(reason);
     }
     let other = Ask { versions: VersionRule::Except(target), ..*ask };
-    find(fleet, &other).ok_or_else(|| match why_none(fleet, &other, now) {
-        PlacementError::NoServer => no_place,
+    find(fleet, &other).ok_or_else(|| match unavailability(fleet, &other, now) {
+        PlacementError::NoServer => reason,
         other => other,
     })
 }
 
 /// Why no server may take a request now.
-fn why_none(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> PlacementError {
+fn unavailability(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> PlacementError {
     match fleet.opens_at(ask, now) {
         Some(opening) => PlacementError::Unavailable(opening),
         None if fleet.has_leaving(ask, now) => PlacementError::AllDraining,
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -3,22 +3,22 @@
 //! An end counts here at once. It is told to all others after a moment, in which other servers may end
 //! too: what ends several servers that it did not run on is not the request. A good end is told as well.
 
-mod ask;
-mod good;
-mod lease;
-mod report;
-mod seen;
+mod clearance;
+mod crashes;
+mod events;
+mod probe;
+mod probe_lease;
 mod stored;
 
 use std::time::Duration;
 
 use pondwalk_decide::direct::{Content, Grant, Probe, Quarantine, ServerEnd, Standing};
 
-pub use good::{PendingClearances, speak_for_good_contents};
-pub use lease::{ProbeLease, ReleasedProbes, give_back_probes};
-pub use report::QuarantineEvent;
-pub use seen::SeenCrashes;
-pub use stored::{MOST_STORED, QUARANTINE_KEY, StoredQuarantine};
+pub use clearance::{PendingClearances, publish_clearances};
+pub use crashes::SeenCrashes;
+pub use events::QuarantineEvent;
+pub use probe_lease::{ProbeLease, ReleasedProbes, release_probes};
+pub use stored::{MAX_STORED_CRASHES, QUARANTINE_KEY, StoredQuarantine};
 
 use crate::{
     content::content_text,
@@ -30,15 +30,15 @@
 };
 
 /// Ends that an entry tells another which has heard nothing from it before.
-const MOST_IN_SUMMARY: usize = 1_024;
+const MAX_SUMMARY_CRASHES: usize = 1_024;
 /// Time after the start in which no probe is granted where others could have granted one: those that
 /// were under way when the process ended before are over then, or known to have ended a server.
-const SETTLING: Duration = Duration::from_secs(5);
+const STARTUP_GRACE: Duration = Duration::from_secs(5);
 /// Time beyond its deadline for which a probe may be under way.
-const LEASE_SLACK: Duration = Duration::from_secs(1);
+const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 /// One end with the time since it was seen.
-pub type AgedEnd = (ServerEnd, Duration);
+pub type AgedCrash = (ServerEnd, Duration);
 
 impl Core {
     /// Whether a request may run.
@@ -57,19 +57,19 @@
     }
 
     /// Hears of ends that another entry saw.
-    pub fn receive_crashes(&self, ends: &[AgedEnd], age: Duration) {
+    pub fn receive_crashes(&self, crashes: &[AgedCrash], age: Duration) {
         let now = self.clock.now();
-        for (end, more) in ends {
-            let at = now.saturating_sub(age + *more);
+        for (crash, extra_age) in crashes {
+            let at = now.saturating_sub(age + *extra_age);
             let mut state = self.state.borrow_mut();
-            let is_new = state.quarantine.note_end(*end, at, now);
+            let is_new = state.quarantine.note_end(*crash, at, now);
             if is_new {
-                state.good_contents.note_end(end.content);
+                state.good_contents.note_end(crash.content);
             }
             drop(state);
             if is_new {
-                self.note_if_held(end.content);
-                self.speak_for(end.content);
+                self.log_if_quarantined(crash.content);
+                self.queue_clearance(crash.content);
             }
         }
     }
@@ -77,18 +77,18 @@
     /// Hears of a good end at another entry.
     pub fn receive_clearance(&self, content: Content, from: &str, age: Duration) {
         let at = self.clock.now().saturating_sub(age);
-        let ends = self.state.borrow_mut().quarantine.note_whole(content, at);
-        self.note_cleared(content, ends, from);
+        let crashes = self.state.borrow_mut().quarantine.note_whole(content, at);
+        self.log_cleared(content, crashes, from);
     }
 
     /// What an entry that has heard nothing from this one is to know.
     pub fn crash_summary(&self) -> Option<News> {
-        let ends = self.state.borrow().quarantine.weightiest(MOST_IN_SUMMARY, self.clock.now());
+        let ends = self.state.borrow().quarantine.weightiest(MAX_SUMMARY_CRASHES, self.clock.now());
         (!ends.is_empty()).then_some(News::Ended { ends })
     }
 
     /// The ends of contents that may not run freely, with the time since each.
-    pub fn held_ends(&self) -> Vec<AgedEnd> {
+    pub fn quarantined_crashes(&self) -> Vec<AgedCrash> {
         let state = self.state.borrow();
         if state.quarantine.is_empty() {
             Vec::new()
@@ -102,42 +102,42 @@
         let now = self.clock.now();
         let order = self.members.granting_order(content);
         let place = order.iter().position(|(name, _)| *name == self.settings.name);
-        let settled_at = SETTLING.saturating_sub(self.clock.uptime());
-        if order.len() > 1 && !settled_at.is_zero() {
-            return Grant::Refused { until: now + settled_at };
+        let grace_left = STARTUP_GRACE.saturating_sub(self.clock.uptime());
+        if order.len() > 1 && !grace_left.is_zero() {
+            return Grant::Refused { until: now + grace_left };
         }
-        let probe = Probe { content, lease: lease + LEASE_SLACK, is_first: place == Some(0) };
+        let probe = Probe { content, lease: lease + LEASE_MARGIN, is_first: place == Some(0) };
         self.state.borrow_mut().quarantine.grant(probe, now)
     }
 
     /// Forgets contents that nothing has been seen of for long.
-    pub fn forget_old_ends(&self) {
+    pub fn forget_old_crashes(&self) {
         let now = self.clock.now();
         self.state.borrow_mut().quarantine.forget_old(now);
     }
 
     /// Logs that a content is held from now on.
-    fn note_if_held(&self, content: Content) {
+    fn log_if_quarantined(&self, content: Content) {
         let now = self.clock.now();
         let state = self.state.borrow();
         if state.good_contents.holds(content) {
             return;
         }
         let Standing::Held { until } = state.quarantine.standing(content, now) else { return };
-        let ends = state.quarantine.ends(content);
+        let crashes = state.quarantine.ends(content);
         drop(state);
         self.metrics.count(Counter::ContentsQuarantined);
         let event = QuarantineEvent::ContentHeld {
             content: &content_text(content),
-            servers_ended: ends,
+            servers_ended: crashes,
             for_ms: until.saturating_sub(now).as_millis() as u64,
         };
         self.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Logs that a content is cleared of so many ends, if it was held by them.
-    fn note_cleared(&self, content: Content, ends: usize, from: &str) {
-        if !Quarantine::holds_from(ends) {
+    fn log_cleared(&self, content: Content, crashes: usize, from: &str) {
+        if !Quarantine::holds_from(crashes) {
             return;
         }
         let event = QuarantineEvent::ContentCleared { content: &content_text(content), from };
--- a/crates/direct/src/quarantine/good.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -9,27 +9,27 @@
 
 /// Ends of servers from which others are told that a content is cleared of them. A single one holds
 /// nothing; where many servers end it would double the messages, some two hundred on a day with trouble.
-const TOLD_FROM: usize = 2;
+const MIN_CRASHES_TO_PUBLISH: usize = 2;
 /// Turns over which entries spread their word for a content that came to a good end there.
-const SPEAKERS: usize = 10;
+const JITTER_STEPS: usize = 10;
 /// Time between two of them.
-const SPEAK_INTERVAL: Duration = Duration::from_millis(30);
+const JITTER_STEP: Duration = Duration::from_millis(30);
 
 /// Contents that others hold and that came to a good end here.
 #[derive(Debug, Default)]
 pub struct PendingClearances {
     contents: RefCell<Vec<Content>>,
-    filled: Notify,
+    changed: Notify,
 }
 
 /// Clears contents that others hold and that came to a good end here, for as long as the process runs.
-pub async fn speak_for_good_contents(core: Rc<Core>) {
+pub async fn publish_clearances(core: Rc<Core>) {
     // NB: many entries may know; the first one's word reaches the others while they wait.
     loop {
-        core.pending_clearances.filled.notified().await;
-        sleep(SPEAK_INTERVAL * core.members.spread(SPEAKERS) as u32).await;
+        core.pending_clearances.changed.notified().await;
+        sleep(JITTER_STEP * core.members.spread(JITTER_STEPS) as u32).await;
         for content in core.pending_clearances.contents.take() {
-            if core.is_held_though_good(content) {
+            if core.can_clear(content) {
                 core.clear(content);
             }
         }
@@ -48,23 +48,23 @@
     }
 
     /// Has a content cleared that others hold and that came to a good end here.
-    pub(super) fn speak_for(&self, content: Content) {
-        if self.is_held_though_good(content) {
+    pub(super) fn queue_clearance(&self, content: Content) {
+        if self.can_clear(content) {
             self.pending_clearances.contents.borrow_mut().push(content);
-            self.pending_clearances.filled.notify_one();
+            self.pending_clearances.changed.notify_one();
         }
     }
 
-    fn is_held_though_good(&self, content: Content) -> bool {
+    fn can_clear(&self, content: Content) -> bool {
         let state = self.state.borrow();
         let is_held = state.quarantine.standing(content, self.clock.now()) != Standing::Free;
         is_held && state.good_contents.holds(content)
     }
 
     fn clear(&self, content: Content) {
-        let ends = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
-        if ends >= TOLD_FROM {
-            self.note_cleared(content, ends, &self.settings.name);
+        let crashes = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
+        if crashes >= MIN_CRASHES_TO_PUBLISH {
+            self.log_cleared(content, crashes, &self.settings.name);
             self.tell_news(News::Cleared { content });
         }
     }
--- a/crates/direct/src/quarantine/ask.rs
+++ b/crates/direct/src/quarantine/probe.rs
@@ -6,7 +6,7 @@
 use pondwalk_decide::direct::{Content, Grant};
 use serde::{Deserialize, Serialize};
 
-use super::{AgedEnd, ProbeLease, QuarantineEvent};
+use super::{AgedCrash, ProbeLease, QuarantineEvent};
 use crate::{
     content::content_text,
     core::Core,
@@ -18,13 +18,13 @@
 
 /// Entries that are asked in turn. One that is gone is passed over; more than three in a row say that
 /// this entry is cut off itself.
-const MOST_ASKED: usize = 3;
+const MAX_GRANTERS_TRIED: usize = 3;
 /// Pause before a request may be tried again whose probe nobody could grant.
-const UNANSWERED_PAUSE: Duration = Duration::from_secs(1);
+const UNANSWERED_BACKOFF: Duration = Duration::from_secs(1);
 
 /// What an entry that grants probes is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ProbeQuestion {
+pub enum ProbeRequest {
     /// For leave to run a content once.
     Ask {
         /// The content.
@@ -32,7 +32,7 @@
         /// Longest time that the run may take.
         lease: Duration,
         /// The ends that the asker knows of, which may not have come to the other yet.
-        ends: Vec<AgedEnd>,
+        ends: Vec<AgedCrash>,
     },
     /// To take it back, since it was of no use.
     GiveBack(Content),
@@ -40,7 +40,7 @@
 
 /// Tells whether it may.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ProbeAnswer {
+pub enum ProbeResponse {
     /// It is taken back.
     TakenBack,
     /// It may run once.
@@ -61,20 +61,22 @@
         let lease = job.deadline.saturating_sub(self.clock.now());
         let content = job.content();
         let mut error = None;
-        for (name, address) in self.members.granting_order(content).into_iter().take(MOST_ASKED) {
+        for (name, address) in
+            self.members.granting_order(content).into_iter().take(MAX_GRANTERS_TRIED)
+        {
             let Some(address) = address else {
                 let grant = self.grant_probe(content, lease);
-                return self.take_grant(job, grant, None, &name);
+                return self.accept_grant(job, grant, None, &name);
             };
-            match self.ask_at(address, content, lease).await {
-                Ok(ProbeAnswer::Given) => {
-                    return self.take_grant(job, Grant::Given, Some(address), &name);
+            match self.request_probe_at(address, content, lease).await {
+                Ok(ProbeResponse::Given) => {
+                    return self.accept_grant(job, Grant::Given, Some(address), &name);
                 }
-                Ok(ProbeAnswer::Probed) => return Err(Grant::Probed),
-                Ok(ProbeAnswer::Refused { opens_in }) => {
+                Ok(ProbeResponse::Probed) => return Err(Grant::Probed),
+                Ok(ProbeResponse::Refused { opens_in }) => {
                     return Err(Grant::Refused { until: self.clock.now() + opens_in });
                 }
-                Ok(ProbeAnswer::TakenBack) => error = Some(MessageError::Contradictory.into()),
+                Ok(ProbeResponse::TakenBack) => error = Some(MessageError::Contradictory.into()),
                 Err(failed) => error = Some(failed),
             }
         }
@@ -85,22 +87,22 @@
             error,
         };
         self.event_log.record(LogPriority::Failure, &event);
-        Err(Grant::Refused { until: self.clock.now() + UNANSWERED_PAUSE })
+        Err(Grant::Refused { until: self.clock.now() + UNANSWERED_BACKOFF })
     }
 
-    async fn ask_at(
+    async fn request_probe_at(
         &self,
         address: SocketAddr,
         content: Content,
         lease: Duration,
-    ) -> Result<ProbeAnswer, AskError> {
+    ) -> Result<ProbeResponse, AskError> {
         let ends = self.state.borrow().quarantine.ends_of(content, self.clock.now());
-        self.exchange(address, &ProbeQuestion::Ask { content, lease, ends }).await
+        self.exchange(address, &ProbeRequest::Ask { content, lease, ends }).await
     }
 
     /// Tells the entry that granted a probe that it was of no use.
-    pub async fn tell_given_back(&self, address: SocketAddr, question: ProbeQuestion) {
-        if let Err(error) = self.exchange(address, &question).await {
+    pub async fn send_probe_release(&self, address: SocketAddr, request: ProbeRequest) {
+        if let Err(error) = self.exchange(address, &request).await {
             let event = QuarantineEvent::ProbeNotGivenBack { error: error.to_string() };
             self.event_log.record(LogPriority::Failure, &event);
         }
@@ -109,35 +111,35 @@
     async fn exchange(
         &self,
         address: SocketAddr,
-        question: &ProbeQuestion,
-    ) -> Result<ProbeAnswer, AskError> {
-        ask_question(self, address, PROBE_PATH, question).await
+        request: &ProbeRequest,
+    ) -> Result<ProbeResponse, AskError> {
+        ask_question(self, address, PROBE_PATH, request).await
     }
 
     /// Answers another entry's question.
-    pub fn handle_probe_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    pub fn handle_probe_request(&self, request: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
-        let (content, lease) = match from_message(question, store)? {
-            ProbeQuestion::Ask { content, lease, ends } => {
+        let (content, lease) = match from_message(request, store)? {
+            ProbeRequest::Ask { content, lease, ends } => {
                 self.receive_crashes(&ends, Duration::ZERO);
                 (content, lease)
             }
-            ProbeQuestion::GiveBack(content) => {
+            ProbeRequest::GiveBack(content) => {
                 self.state.borrow_mut().quarantine.give_back(content);
-                return to_message(store, &ProbeAnswer::TakenBack);
+                return to_message(store, &ProbeResponse::TakenBack);
             }
         };
         let answer = match self.grant_probe(content, lease) {
-            Grant::Given => ProbeAnswer::Given,
-            Grant::Probed => ProbeAnswer::Probed,
+            Grant::Given => ProbeResponse::Given,
+            Grant::Probed => ProbeResponse::Probed,
             Grant::Refused { until } => {
-                ProbeAnswer::Refused { opens_in: until.saturating_sub(self.clock.now()) }
+                ProbeResponse::Refused { opens_in: until.saturating_sub(self.clock.now()) }
             }
         };
         to_message(store, &answer)
     }
 
-    fn take_grant(
+    fn accept_grant(
         self: &Rc<Self>,
         job: &Job,
         grant: Grant,
--- a/crates/direct/src/quarantine/lease.rs
+++ b/crates/direct/src/quarantine/probe_lease.rs
@@ -9,14 +9,14 @@
 use pondwalk_decide::direct::Content;
 use tokio::sync::Notify;
 
-use super::ask::ProbeQuestion;
+use super::probe::ProbeRequest;
 use crate::core::Core;
 
 /// Leave that was given and is to be given back.
 #[derive(Debug, Default)]
 pub struct ReleasedProbes {
     probes: RefCell<Vec<(Content, Option<SocketAddr>)>>,
-    filled: Notify,
+    changed: Notify,
 }
 
 /// Leave to run a content once. It is given back when dropped, unless a server was reached.
@@ -48,21 +48,21 @@
         if !self.has_reached.get() {
             let released_probes = &self.core.released_probes;
             released_probes.probes.borrow_mut().push((self.content, self.granted_by));
-            released_probes.filled.notify_one();
+            released_probes.changed.notify_one();
         }
     }
 }
 
 /// Gives leave back to the entries that granted it, for as long as the process runs.
-pub async fn give_back_probes(core: Rc<Core>) {
+pub async fn release_probes(core: Rc<Core>) {
     loop {
-        core.released_probes.filled.notified().await;
+        core.released_probes.changed.notified().await;
         for (content, granted_by) in core.released_probes.probes.take() {
             match granted_by {
                 None => core.state.borrow_mut().quarantine.give_back(content),
                 // NB: one that cannot be told takes the probe for used up.
                 Some(address) => {
-                    core.tell_given_back(address, ProbeQuestion::GiveBack(content)).await
+                    core.send_probe_release(address, ProbeRequest::GiveBack(content)).await
                 }
             }
         }
--- a/crates/direct/src/quarantine/stored.rs
+++ b/crates/direct/src/quarantine/stored.rs
@@ -9,12 +9,12 @@
 use pondwalk_decide::direct::ServerEnd;
 use serde::{Deserialize, Serialize};
 
-use super::AgedEnd;
+use super::AgedCrash;
 
 /// Key of the record.
 pub const QUARANTINE_KEY: &str = "pondwalk/quarantine";
 /// Ends that the record holds at most, some 100 bytes each. A few contents end servers at a time.
-pub const MOST_STORED: usize = 256;
+pub const MAX_STORED_CRASHES: usize = 256;
 
 /// The record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     /// When it was written, in milliseconds of Unix time by the writer's clock.
     pub written_ms: u64,
     /// The ends, with the time since each when it was written.
-    pub ends: Vec<AgedEnd>,
+    pub ends: Vec<AgedCrash>,
 }
 
 impl StoredQuarantine {
@@ -32,7 +32,7 @@
     }
 
     /// Whether it holds an end.
-    pub fn holds(&self, end: &ServerEnd) -> bool {
-        self.ends.iter().any(|(held, _)| held.id == end.id)
+    pub fn contains(&self, crash: &ServerEnd) -> bool {
+        self.ends.iter().any(|(stored, _)| stored.id == crash.id)
     }
 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -154,27 +154,29 @@
     pub fn retry_after(self, outage: Option<Duration>) -> Option<Duration> {
         match (self, outage) {
             // NB: without an outage the configuration is being read, which takes some milliseconds.
-            (Refusal::NotConfigured, None) => Some(PAUSE_WHILE_READING),
+            (Refusal::NotConfigured, None) => Some(LOADING_RETRY_AFTER),
             (Refusal::NotConfigured, Some(outage)) => {
-                let (least, most) = START_PAUSES;
-                Some(outage.clamp(least, most))
+                let (min, max) = START_RETRY_AFTER;
+                Some(outage.clamp(min, max))
             }
             (Refusal::Stale, _) => Some(Duration::from_millis(500)),
             (Refusal::Closing, _) => Some(Duration::from_millis(50)),
             (Refusal::AllCold { available_in }, _) => {
-                let (least, most) = COLD_PAUSES;
-                Some(available_in.clamp(least, most))
+                let (min, max) = COLD_RETRY_AFTER;
+                Some(available_in.clamp(min, max))
             }
             // NB: those that replace them are heard of within a heartbeat of their start, or once the store is
             // back.
-            (Refusal::AllDraining, None) => Some(PAUSE_FOR_REPLACEMENT),
+            (Refusal::AllDraining, None) => Some(DRAINING_RETRY_AFTER),
             (Refusal::AllDraining, Some(outage)) => {
-                Some(outage.clamp(PAUSE_FOR_REPLACEMENT, START_PAUSES.1))
+                Some(outage.clamp(DRAINING_RETRY_AFTER, START_RETRY_AFTER.1))
             }
             (Refusal::AllBackingOff { available_in } | Refusal::AllLimited { available_in }, _) => {
-                Some(available_in.max(SHORTEST_BACKOFF))
+                Some(available_in.max(MIN_BACKOFF_RETRY_AFTER))
+            }
+            (Refusal::CrashesServers { available_in }, _) => {
+                Some(available_in.max(MIN_QUARANTINE_RETRY_AFTER))
             }
-            (Refusal::CrashesServers { available_in }, _) => Some(available_in.max(SHORTEST_HOLD)),
             (Refusal::NoServer | Refusal::NoServerInAllowedRegions | Refusal::TurnedAway, _) => {
                 Some(Duration::from_millis(200))
             }
@@ -184,27 +186,28 @@
 }
 
 /// Pause for callers while an entry reads its first configuration.
-const PAUSE_WHILE_READING: Duration = Duration::from_millis(50);
+const LOADING_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Shortest and longest pause for callers of an entry that started without the store. An outage is
 /// expected to last about as long again as it has lasted; a caller that tries only once more is
 /// not served if it comes back too soon, and only late if it comes back too late.
-const START_PAUSES: (Duration, Duration) = (Duration::from_millis(1_000), Duration::from_secs(4));
+const START_RETRY_AFTER: (Duration, Duration) =
+    (Duration::from_millis(1_000), Duration::from_secs(4));
 
 /// Shortest and longest pause for callers while all servers are cold. Room comes several times a second
 /// for each server, and servers are cold for some seconds.
-const COLD_PAUSES: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+const COLD_RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
 /// Pause for callers while all servers leave: a server tells of itself each second or so, and word of it takes
 /// about as long.
-const PAUSE_FOR_REPLACEMENT: Duration = Duration::from_secs(1);
+const DRAINING_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Shortest pause for callers while all servers pause, or have got what they take.
-const SHORTEST_BACKOFF: Duration = Duration::from_millis(200);
+const MIN_BACKOFF_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Shortest pause for callers of a request that is held: a run of it may be under way.
-const SHORTEST_HOLD: Duration = Duration::from_millis(200);
+const MIN_QUARANTINE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Headers that concern one connection only.
-const CONNECTION_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -225,7 +228,7 @@
         .flat_map(|text| text.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -46,7 +46,7 @@
 /// A step in the life of the process.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum LifeEvent<'a> {
+enum LifecycleEvent<'a> {
     Started {
         data_centre: &'a str,
         callers: SocketAddr,
@@ -65,10 +65,10 @@
         .enable_all()
         .build()
         .map_err(RunError::Runtime)?;
-    LocalSet::new().block_on(&runtime, live(settings, dialect, port))
+    LocalSet::new().block_on(&runtime, run_local(settings, dialect, port))
 }
 
-async fn live(settings: DirectSettings, dialect: Dialect, port: Port) -> Result<(), RunError> {
+async fn run_local(settings: DirectSettings, dialect: Dialect, port: Port) -> Result<(), RunError> {
     let event_log = EventLog::to_stdout(&settings.name, settings.log_lines_per_s)?;
     let callers = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
@@ -85,7 +85,7 @@
     let core = entry.core();
     let membership = &core.settings.membership;
     let longest_answer_ms = |bound| membership.times.longest_answer(bound).as_millis() as u64;
-    let event = LifeEvent::Started {
+    let event = LifecycleEvent::Started {
         data_centre: &core.settings.data_centre,
         callers: core.settings.callers,
         store: core.settings.store.address,
@@ -121,7 +121,7 @@
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
             // NB: settings take effect at the next start; all that changes lies in the store.
-            _ = hang_up.recv() => entry.core().event_log.record(LogPriority::State, &LifeEvent::ReloadAsked),
+            _ = hang_up.recv() => entry.core().event_log.record(LogPriority::State, &LifecycleEvent::ReloadAsked),
         }
     }
 }
--- a/crates/direct/src/server_signals.rs
+++ b/crates/direct/src/server_signals.rs
@@ -40,22 +40,24 @@
         // NB: a 429 that ran is an answer to the caller, about the caller's own rate.
         let asks_entry = status == StatusCode::SERVICE_UNAVAILABLE
             || (not_run && status == StatusCode::TOO_MANY_REQUESTS);
-        let backoff = text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(read_retry_after);
-        let is_draining = text(headers, &dialect.leaving).is_some_and(|text| text == "1");
-        let limit = limit_word(dialect, headers, status.is_success() && is_authentic);
+        let backoff =
+            header_text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(read_retry_after);
+        let is_draining =
+            header_text(headers, &dialect.leaving).is_some_and(|header_text| header_text == "1");
+        let limit = reported_limit(dialect, headers, status.is_success() && is_authentic);
         ServerSignals { is_draining, backoff, limit }
     }
 }
 
 /// What a head says of its server's rate limit; `is_whole_word` tells whether a head without a limit lifts it.
-fn limit_word(dialect: &Dialect, headers: &HeaderMap, is_whole_word: bool) -> LimitWord {
+fn reported_limit(dialect: &Dialect, headers: &HeaderMap, is_authoritative: bool) -> LimitWord {
     if !headers.contains_key(&dialect.limit) {
-        return if is_whole_word { LimitWord::Unnamed } else { LimitWord::Unsaid };
+        return if is_authoritative { LimitWord::Unnamed } else { LimitWord::Unsaid };
     }
-    let limit = text(headers, &dialect.limit).map(ServerLimit::try_from);
+    let limit = header_text(headers, &dialect.limit).map(ServerLimit::try_from);
     limit.and_then(Result::ok).map_or(LimitWord::Unsaid, LimitWord::Named)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     Some(headers.get(name)?.to_str().ok()?.trim())
 }
--- a/crates/direct/src/sse.rs
+++ b/crates/direct/src/sse.rs
@@ -18,32 +18,32 @@
 /// Gathers bytes until events are whole.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    pending: BytesMut,
+    buffer: BytesMut,
     searched: usize,
 }
 
 impl EventSplitter {
     /// Takes bytes in.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.pending.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// All events that are whole, if any is.
     pub fn pop_complete(&mut self) -> Option<CompleteEvents> {
-        let Some(end) = end_of_last_event(&self.pending, self.searched) else {
+        let Some(end) = end_of_last_event(&self.buffer, self.searched) else {
             // NB: an empty line may be split, so the last bytes are looked at again.
-            self.searched = self.pending.len().saturating_sub(3);
+            self.searched = self.buffer.len().saturating_sub(3);
             return None;
         };
         self.searched = 0;
-        let bytes = self.pending.split_to(end).freeze();
+        let bytes = self.buffer.split_to(end).freeze();
         let last_id = last_id(&bytes);
         Some(CompleteEvents { bytes, last_id })
     }
 
     /// Whether bytes of an unfinished event are left.
     pub fn has_partial_event(&self) -> bool {
-        !self.pending.is_empty()
+        !self.buffer.is_empty()
     }
 }
 
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -20,13 +20,13 @@
 };
 
 /// Longest time that a request of a session may run, by which its memory outlasts its end.
-const LONGEST_REQUEST_S: f64 = 25.0;
+const MAX_REQUEST_S: f64 = 25.0;
 /// Longest time for which a server's word that it is cold is believed. Servers are cold for some
 /// seconds; one that tells hours would be lost for good.
-const LONGEST_WARM_UP: Duration = Duration::from_secs(60);
+const MAX_WARM_UP: Duration = Duration::from_secs(60);
 /// Heartbeats after which a server that is back has told so: it tells with its first one, and the
 /// store hands that on within another.
-const HEARTBEATS_TO_TELL: u32 = 2;
+const HEARTBEATS_TO_REPORT: u32 = 2;
 
 /// The part of it that changes with what is learned.
 pub struct State {
@@ -68,17 +68,17 @@
     pub rng: SmallRng,
     /// Limits on further sends, of which `extra` is what all entries share.
     limits: WindowLimits,
-    home: String,
-    weighed: Weighed,
+    local_data_centre: String,
+    scoring_terms: Weighed,
     cold_bound: Option<ColdBound>,
-    sharers: Sharers,
+    bound_sharing: Sharers,
 }
 
 impl State {
     /// Knows nothing yet; `seed` starts its random numbers.
     pub fn new(settings: &DirectSettings, seed: u64) -> Self {
         let retries = settings.retries;
-        let memory_s = settings.session_ttl.as_secs_f64() + LONGEST_REQUEST_S;
+        let memory_s = settings.session_ttl.as_secs_f64() + MAX_REQUEST_S;
         State {
             catalog: None,
             freshness: Freshness::new(settings.state_bound, settings.key_bound),
@@ -104,8 +104,8 @@
                 window: retries.window,
                 rounding: 0.0,
             },
-            home: settings.data_centre.clone(),
-            weighed: Weighed {
+            local_data_centre: settings.data_centre.clone(),
+            scoring_terms: Weighed {
                 named_servers: settings.policy.named_servers,
                 delays: settings.policy.delays,
                 told_loads: settings.policy.told_loads,
@@ -113,9 +113,9 @@
             cold_bound: settings.warm_up.map(|warm_up| ColdBound {
                 overshoot: warm_up.overshoot,
                 tolerance: warm_up.tolerance,
-                told_after: warm_up.heartbeat * HEARTBEATS_TO_TELL,
+                told_after: warm_up.heartbeat * HEARTBEATS_TO_REPORT,
             }),
-            sharers: match settings.peers {
+            bound_sharing: match settings.peers {
                 Some(_) => Sharers::new(&settings.name),
                 None => Sharers::alone(&settings.name),
             },
@@ -125,11 +125,11 @@
     /// The servers of a service.
     pub fn fleet(&mut self, service: &ServiceId) -> &mut Fleet {
         let pacing = self.pacing(service);
-        let State { fleets, home, weighed, sharers, evacuated, .. } = self;
+        let State { fleets, local_data_centre, scoring_terms, bound_sharing, evacuated, .. } = self;
         fleets.entry(service.clone()).or_insert_with(|| {
-            let mut fleet = Fleet::weighing(home, *weighed);
+            let mut fleet = Fleet::weighing(local_data_centre, *scoring_terms);
             fleet.set_pacing(pacing);
-            fleet.set_sharers(sharers);
+            fleet.set_sharers(bound_sharing);
             evacuated.iter().for_each(|data_centre| fleet.evacuate(data_centre));
             fleet
         })
@@ -152,12 +152,12 @@
     }
 
     /// The bounds over all entries are shared by those of these names.
-    pub fn set_sharers<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
-        self.sharers.are(names);
+    pub fn set_bound_sharing<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
+        self.bound_sharing.are(names);
         let limits = self.own_limits();
         self.budgets.values_mut().for_each(|budget| budget.set_limits(limits));
         for fleet in self.fleets.values_mut() {
-            fleet.set_sharers(&self.sharers);
+            fleet.set_sharers(&self.bound_sharing);
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// The servers of a data centre may be used again. Returns whether that is new.
-    pub fn take_back(&mut self, data_centre: &str, now: Duration) -> bool {
+    pub fn reinstate(&mut self, data_centre: &str, now: Duration) -> bool {
         let was_evacuated = self.evacuated.remove(data_centre);
         if was_evacuated {
             self.fleets.values_mut().for_each(|fleet| fleet.take_back(data_centre, now));
@@ -179,8 +179,8 @@
     /// This entry's part of the limits on further sends.
     fn own_limits(&self) -> WindowLimits {
         WindowLimits {
-            extra: self.limits.extra * self.sharers.part(),
-            rounding: self.sharers.rounding(),
+            extra: self.limits.extra * self.bound_sharing.part(),
+            rounding: self.bound_sharing.rounding(),
             ..self.limits
         }
     }
@@ -194,12 +194,14 @@
     /// Learns of a backend server, or of a change of it. Returns whether it has started anew under its
     /// identity; what was seen of its life before is forgotten then.
     pub fn put_server(&mut self, server: BackendServer, now: Duration) -> bool {
-        let before = self.service_of.insert(server.id.clone(), server.service.clone());
+        let previous_service = self.service_of.insert(server.id.clone(), server.service.clone());
         // NB: one that starts again under its identity may belong to another service.
-        if let Some(before) = before.filter(|before| *before != server.service) {
-            self.fleet(&before).remove(&server.id);
+        if let Some(previous_service) =
+            previous_service.filter(|previous_service| *previous_service != server.service)
+        {
+            self.fleet(&previous_service).remove(&server.id);
         }
-        let facts = ServerFacts {
+        let info = ServerFacts {
             id: server.id.clone(),
             born_ms: server.born_ms,
             address: server.address,
@@ -209,34 +211,34 @@
             ready: server.state == ServerState::Ready,
             cold_until: match server.warm_up_left {
                 Duration::ZERO => Duration::ZERO,
-                left => now + left.min(LONGEST_WARM_UP),
+                left => now + left.min(MAX_WARM_UP),
             },
         };
         let fleet = self.fleet(&server.service);
-        let is_born_anew = fleet.is_born_anew(&facts);
-        fleet.put(facts);
-        if is_born_anew && let Some(roll_out) = self.roll_outs.get_mut(&server.service) {
+        let is_restarted = fleet.is_born_anew(&info);
+        fleet.put(info);
+        if is_restarted && let Some(roll_out) = self.roll_outs.get_mut(&server.service) {
             roll_out.forget_server(&server.id);
         }
-        is_born_anew
+        is_restarted
     }
 
     /// Whether what is told of a backend server is known already.
-    pub fn knows_server(&self, server: &BackendServer) -> bool {
+    pub fn is_server_known(&self, server: &BackendServer) -> bool {
         let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
-        known.is_some_and(|facts| {
-            facts.born_ms == server.born_ms
-                && facts.address == server.address
-                && facts.version == server.version
-                && facts.ready == (server.state == ServerState::Ready)
+        known.is_some_and(|info| {
+            info.born_ms == server.born_ms
+                && info.address == server.address
+                && info.version == server.version
+                && info.ready == (server.state == ServerState::Ready)
                 && server.warm_up_left.is_zero()
         })
     }
 
     /// Whether a backend server is known to leave in the life that is spoken of.
-    pub fn is_leaving(&self, server: &BackendServer) -> bool {
+    pub fn is_draining(&self, server: &BackendServer) -> bool {
         let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
-        known.is_some_and(|facts| !facts.ready && facts.born_ms == server.born_ms)
+        known.is_some_and(|info| !info.ready && info.born_ms == server.born_ms)
     }
 
     /// The store lists a backend server no longer, and may have lost it while away.
@@ -247,7 +249,7 @@
     }
 
     /// Forgets the backend servers that lapsed and did not come back in time, and tells which.
-    pub fn take_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
+    pub fn remove_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
         let lapsed = self.fleets.values_mut().flat_map(|fleet| fleet.take_lapsed(now));
         let lapsed: Vec<ServerId> = lapsed.collect();
         for id in &lapsed {
--- a/crates/direct/src/upstream.rs
+++ b/crates/direct/src/upstream.rs
@@ -22,15 +22,15 @@
 
 /// Longest time for a connection to open. One opens in a few milliseconds; a first packet that
 /// is dropped at a full queue is sent again only after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after which unacknowledged bytes end a connection.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time without bytes after which a connection is probed, and between probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Bytes of an answer that are read before anybody takes them; what a caller who reads slowly leaves beyond them
 /// stays with the server.
-const READ_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// A two-way stream of bytes.
 pub trait Duplex: AsyncRead + AsyncWrite + Unpin {}
@@ -109,11 +109,13 @@
     until: Instant,
     may_send: impl FnOnce() -> bool,
 ) -> Result<Exchange, SendError> {
-    let limit = until.min(Instant::now() + CONNECT_LIMIT);
-    let stream = timeout_at(limit, connect(address)).await.map_err(silent)?.map_err(unreached)?;
-    let handshake = http1::Builder::new().max_buf_size(READ_BYTES).handshake(TokioIo::new(stream));
+    let limit = until.min(Instant::now() + CONNECT_TIMEOUT);
+    let stream =
+        timeout_at(limit, connect(address)).await.map_err(not_reached)?.map_err(connect_error)?;
+    let handshake =
+        http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(TokioIo::new(stream));
     let handshake = handshake.await;
-    let (mut sender, connection) = handshake.map_err(silent)?;
+    let (mut sender, connection) = handshake.map_err(not_reached)?;
     if !may_send() {
         return Err(SendError::Withheld);
     }
@@ -130,20 +132,21 @@
 /// Lets a connection to a silent peer fail in seconds.
 pub fn set_tcp_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL);
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
-fn unreached(error: io::Error) -> SendError {
+fn connect_error(error: io::Error) -> SendError {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => {
             SendError::NotSent { why: Unreached::Refused, detail: error.to_string() }
         }
-        _ => silent(error),
+        _ => not_reached(error),
     }
 }
 
-fn silent(error: impl ToString) -> SendError {
+fn not_reached(error: impl ToString) -> SendError {
     SendError::NotSent { why: Unreached::Silent, detail: error.to_string() }
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -32,26 +32,26 @@
 const USAGE_KEY: &str = "pondwalk/usage-reporter";
 
 /// Time between two looks at what is to be told or reported.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two readings of the time of day.
-const READING_INTERVAL: Duration = Duration::from_secs(10);
+const CLOCK_READ_INTERVAL: Duration = Duration::from_secs(10);
 /// Least time between two tellings of an entry. What it has not told is lost with it.
-const LEAST_TELLING_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 /// The same for each entry: together they tell at most 400 times a second.
-const TELLING_OF_ONE: Duration = Duration::from_micros(2_500);
+const PUBLISH_INTERVAL_PER_ENTRY: Duration = Duration::from_micros(2_500);
 /// Part of the delay allowed in which counts gather after a window's end, besides the time between two
 /// tellings.
-const GATHER_PART: f64 = 0.2;
+const GATHER_FRACTION: f64 = 0.2;
 /// Part of that delay for which an entry that heard only part of a window leaves it to others.
-const PARTLY_INFORMED_PART: f64 = 0.2;
+const PARTIAL_COUNTS_FRACTION: f64 = 0.2;
 /// Part of that delay for which others leave to the holder what is due.
-const TO_HOLDER_PART: f64 = 0.1;
+const HOLDER_FIRST_FRACTION: f64 = 0.1;
 /// Windows ahead of the time of day for which counts are believed; clocks of machines differ.
-const MOST_AHEAD: u64 = 2;
+const MAX_WINDOWS_AHEAD: u64 = 2;
 /// Pause after a call that came to nothing; each costs the platform something.
-const CALL_PAUSE: Duration = Duration::from_millis(500);
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Longest wait for the answer to a call. It comes in milliseconds.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A step of the task, under the name of the event.
 #[derive(Debug, Serialize)]
@@ -86,9 +86,9 @@
     time: RefCell<TrueTime>,
     reporter: RefCell<Reporter>,
     /// Since when all counts reach this entry.
-    informed_since: Cell<Option<Duration>>,
+    complete_since: Cell<Option<Duration>>,
     /// Whether the record in the store cannot be read: it is another version's, and left to that.
-    is_foreign: Cell<bool>,
+    is_unreadable: Cell<bool>,
 }
 
 impl Usage {
@@ -100,8 +100,8 @@
             totals: RefCell::default(),
             time: RefCell::default(),
             reporter: RefCell::new(Reporter::new(name, incarnation, settings.lease)),
-            informed_since: Cell::default(),
-            is_foreign: Cell::default(),
+            complete_since: Cell::default(),
+            is_unreadable: Cell::default(),
         }
     }
 
@@ -120,19 +120,19 @@
 
     /// The windows that could be reported at a time of day, if counts take `gathering` to arrive where some
     /// entry may have more to tell.
-    fn due(&self, unix_ms: u64, gathering: Duration, now: Duration) -> DueWindows {
+    fn due_windows(&self, unix_ms: u64, gathering: Duration, now: Duration) -> DueWindows {
         let waited_for = unix_ms.saturating_sub(whole_ms(gathering));
         let latest = self.window_of(unix_ms).saturating_sub(1);
         let (from_ms, to_ms) = (latest * self.interval_ms(), (latest + 1) * self.interval_ms());
         let is_whole = self.totals.borrow().have_all_told(from_ms, to_ms)
-            && self.is_informed_of(latest, now, unix_ms);
+            && self.has_complete_counts(latest, now, unix_ms);
         let newest_complete =
             if is_whole { latest } else { self.window_of(waited_for).saturating_sub(1) };
         DueWindows { oldest_in_time: self.oldest_in_time(unix_ms), newest_complete }
     }
 
     /// The first window that can still be reported and whose words are not written.
-    fn first_open(&self, unix_ms: u64) -> WindowId {
+    fn first_open_window(&self, unix_ms: u64) -> WindowId {
         let written = self.reporter.borrow().newest_written();
         let after = written.map_or(0, |written| written.saturating_add(1));
         after.max(self.oldest_in_time(unix_ms))
@@ -140,18 +140,18 @@
 
     /// Whether counts of a window are of use at a time of day.
     fn is_open(&self, window: WindowId, unix_ms: u64) -> bool {
-        let newest = self.window_of(unix_ms) + MOST_AHEAD;
-        (self.first_open(unix_ms)..=newest).contains(&window)
+        let newest = self.window_of(unix_ms) + MAX_WINDOWS_AHEAD;
+        (self.first_open_window(unix_ms)..=newest).contains(&window)
     }
 
     /// Whether this entry has heard all counts of a window from its beginning.
-    fn is_informed_of(&self, window: WindowId, now: Duration, unix_ms: u64) -> bool {
-        let Some(since) = self.informed_since.get() else { return false };
+    fn has_complete_counts(&self, window: WindowId, now: Duration, unix_ms: u64) -> bool {
+        let Some(since) = self.complete_since.get() else { return false };
         let since_ms = unix_ms.saturating_sub(whole_ms(now.saturating_sub(since)));
         window * self.interval_ms() >= since_ms
     }
 
-    fn part_of_delay(&self, part: f64) -> Duration {
+    fn fraction_of_delay(&self, part: f64) -> Duration {
         self.settings.usage_delay.mul_f64(part)
     }
 }
@@ -187,12 +187,12 @@
         item: &Item,
         window: WindowId,
         counts: &UsageCounts,
-        told_ms: u64,
+        published_ms: u64,
     ) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut time = usage.time.borrow_mut();
-        time.hear(&item.origin, told_ms, now.saturating_sub(item.age));
+        time.hear(&item.origin, published_ms, now.saturating_sub(item.age));
         let Some(unix_ms) = time.unix_ms(now) else { return };
         drop(time);
         if !usage.is_open(window, unix_ms) {
@@ -200,29 +200,29 @@
             self.event_log.record(LogPriority::State, &UsageEvent::CountsIgnored { from, window });
             return;
         }
-        let teller = (item.origin.clone(), item.incarnation);
+        let publisher = (item.origin.clone(), item.incarnation);
         let mut totals = usage.totals.borrow_mut();
-        totals.hear_until(&item.origin, told_ms);
-        totals.hear(teller, item.number, window, counts.clone());
+        totals.hear_until(&item.origin, published_ms);
+        totals.hear(publisher, item.number, window, counts.clone());
     }
 
     /// Hears of the era that the store is in, before what it holds.
-    pub fn learn_usage_era(&self, era: Era) {
+    pub fn apply_usage_era(&self, era: Era) {
         let Some(usage) = &self.usage else { return };
         usage.reporter.borrow_mut().enter_era(era, self.clock.now());
     }
 
     /// Hears what the store holds of the task, or that its record is gone.
-    pub fn learn_usage_record(&self, entry: Option<&Fetched>) {
+    pub fn apply_usage_record(&self, entry: Option<&Fetched>) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut reporter = usage.reporter.borrow_mut();
-        usage.is_foreign.set(false);
+        usage.is_unreadable.set(false);
         let Some(entry) = entry else { return reporter.learn(None, now) };
         match serde_json::from_slice::<ReporterRecord>(&entry.value) {
             Ok(record) => reporter.learn(Some((record, entry.revision)), now),
             Err(error) => {
-                usage.is_foreign.set(true);
+                usage.is_unreadable.set(true);
                 let error = error.to_string();
                 self.event_log.record(LogPriority::State, &UsageEvent::RecordUnreadable { error });
             }
@@ -230,47 +230,47 @@
     }
 
     /// Time between two tellings of what this entry has counted.
-    fn usage_telling_interval(&self) -> Duration {
-        (TELLING_OF_ONE * self.members.count() as u32).max(LEAST_TELLING_INTERVAL)
+    fn usage_publish_interval(&self) -> Duration {
+        (PUBLISH_INTERVAL_PER_ENTRY * self.members.count() as u32).max(MIN_PUBLISH_INTERVAL)
     }
 
     /// Tells the counts that have changed.
-    fn tell_counts(&self, usage: &Usage) {
+    fn publish_counts(&self, usage: &Usage) {
         let Some(unix_ms) = usage.time.borrow().own_unix_ms(self.clock.now()) else { return };
         let mut meter = usage.meter.borrow_mut();
-        meter.forget_before(usage.first_open(unix_ms));
+        meter.forget_before(usage.first_open_window(unix_ms));
         meter.open(usage.window_of(unix_ms));
-        let untold = meter.take_untold();
+        let unpublished = meter.take_untold();
         drop(meter);
-        for (window, counts) in untold {
+        for (window, counts) in unpublished {
             self.tell_news(News::Used { window, counts, unix_ms });
         }
     }
 }
 
 /// Tells other entries what this one has counted, for as long as the process runs.
-pub async fn tell_usage(core: Rc<Core>) {
+pub async fn publish_usage(core: Rc<Core>) {
     let Some(usage) = &core.usage else { return };
     let mut read_at = Duration::ZERO;
-    let mut tell_at = Duration::ZERO;
+    let mut publish_at = Duration::ZERO;
     let mut source = None;
     loop {
         let now = core.clock.now();
         if now >= read_at {
-            read_at = now + READING_INTERVAL;
+            read_at = now + CLOCK_READ_INTERVAL;
             usage.time.borrow_mut().note_reading(core.clock.unix_ms(), now);
         }
         // NB: who was told before may be gone, and with it what it had not passed on.
-        let heard_by = core.parents();
-        if source.as_ref() != Some(&heard_by) {
-            source = Some(heard_by);
+        let parents = core.parents();
+        if source.as_ref() != Some(&parents) {
+            source = Some(parents);
             usage.meter.borrow_mut().tell_again();
         }
-        if now >= tell_at {
-            tell_at = now + core.usage_telling_interval();
-            core.tell_counts(usage);
+        if now >= publish_at {
+            publish_at = now + core.usage_publish_interval();
+            core.publish_counts(usage);
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -278,20 +278,20 @@
 pub async fn report_usage(core: Rc<Core>, port: Port, coordinator: Rc<Coordinator>) {
     let (Some(usage), Some(report)) = (&core.usage, &port.report_usage) else { return };
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
         while let Some(step) = next_step(&core, usage, &coordinator) {
-            let has_moved = match step {
+            let has_progressed = match step {
                 ReporterStep::Write(record, expected) => {
                     write(&core, usage, &coordinator, record, expected).await
                 }
                 ReporterStep::Call(record, until) => {
-                    let limit = until.saturating_sub(core.clock.now()).min(CALL_LIMIT);
+                    let limit = until.saturating_sub(core.clock.now()).min(CALL_TIMEOUT);
                     let calling = report(report_of(&record), limit);
-                    note_called(&core, usage, &record, calling.await)
+                    record_call(&core, usage, &record, calling.await)
                 }
             };
-            if !has_moved {
-                sleep(CALL_PAUSE).await;
+            if !has_progressed {
+                sleep(CALL_RETRY_DELAY).await;
             }
         }
     }
@@ -301,28 +301,28 @@
 fn next_step(core: &Core, usage: &Usage, coordinator: &Coordinator) -> Option<ReporterStep> {
     let now = core.clock.now();
     if !core.receives_all_gossip() {
-        usage.informed_since.set(None);
-    } else if usage.informed_since.get().is_none() {
-        usage.informed_since.set(Some(now));
+        usage.complete_since.set(None);
+    } else if usage.complete_since.get().is_none() {
+        usage.complete_since.set(Some(now));
     }
     // NB: an entry that asks others hears too late who was first.
-    if matches!(core.source(), Source::Entry { .. }) || usage.is_foreign.get() {
+    if matches!(core.source(), Source::Entry { .. }) || usage.is_unreadable.get() {
         return None;
     }
     if core.outage().is_some() || core.state.borrow().catalog.is_none() {
         return None;
     }
     let unix_ms = usage.time.borrow().unix_ms(now)?;
-    let gathering = usage.part_of_delay(GATHER_PART) + core.usage_telling_interval();
-    let windows = usage.due(unix_ms, gathering, now);
+    let gathering = usage.fraction_of_delay(GATHER_FRACTION) + core.usage_publish_interval();
+    let windows = usage.due_windows(unix_ms, gathering, now);
     let mut order = ReporterOrder {
-        by_place: coordinator.wait_in_order(),
-        to_holder: usage.part_of_delay(TO_HOLDER_PART),
+        by_place: coordinator.rotation_delay(),
+        to_holder: usage.fraction_of_delay(HOLDER_FIRST_FRACTION),
     };
-    let next = usage.first_open(unix_ms);
+    let next = usage.first_open_window(unix_ms);
     usage.totals.borrow_mut().forget_before(next);
-    if !usage.is_informed_of(next, now, unix_ms) {
-        order.by_place += usage.part_of_delay(PARTLY_INFORMED_PART);
+    if !usage.has_complete_counts(next, now, unix_ms) {
+        order.by_place += usage.fraction_of_delay(PARTIAL_COUNTS_FRACTION);
     }
     let mut reporter = usage.reporter.borrow_mut();
     reporter.next(windows, order, now, |window| usage.totals.borrow().total(window))
@@ -379,7 +379,7 @@
 }
 
 /// Takes in what became of a call; tells whether that has brought the task forward.
-fn note_called(
+fn record_call(
     core: &Core,
     usage: &Usage,
     record: &ReporterRecord,
