--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -33,7 +33,7 @@
     catalog::ServiceId,
     core::Core,
     event_log::LogPriority,
-    membership::{MOST_SESSIONS, News},
+    membership::{Gossip, MAX_SESSIONS_PER_ITEM},
     metrics::{Counter, StoreCause, Timer},
     port::{Port, Progress},
 };
@@ -138,7 +138,7 @@
         if is_due_everywhere && membership.ordered_steps {
             self.rotation_delay()
         } else {
-            JITTER_RANGE * self.core.members.spread(JITTER_STEPS) as u32 / JITTER_STEPS as u32
+            JITTER_RANGE * self.core.members.hash_slot(JITTER_STEPS) as u32 / JITTER_STEPS as u32
         }
     }
 
@@ -150,7 +150,7 @@
     /// Longest time until an entry hears what was just written to the store.
     fn propagation_time(&self) -> Duration {
         let times = &self.core.settings.membership.times;
-        times.oldest_in_calm() + self.core.state.borrow().store_latency
+        times.normal_confirmation_age() + self.core.state.borrow().store_latency
     }
 
     fn is_awaiting_outcome(&self, service: &ServiceId) -> bool {
@@ -209,7 +209,7 @@
             self.publish_bad_version(service);
         }
         let mut outgoing = None;
-        if written == Err(StoreError::AnswerLost) {
+        if written == Err(StoreError::ResponseLost) {
             let until = self.core.clock.now() + self.propagation_time();
             self.unconfirmed_until.borrow_mut().insert(service.clone(), until);
         }
@@ -221,17 +221,17 @@
             roll_out.learn_stage(stage, self.core.clock.now());
             self.lost_steps.borrow_mut().remove(service);
             let (service, stage) = (service.to_string(), stage.into());
-            outgoing = Some(News::Stage { service, target: progress.target, stage });
+            outgoing = Some(Gossip::Stage { service, target: progress.target, stage });
         }
         if let Some(news) = outgoing {
-            self.core.tell_news(news);
+            self.core.publish_gossip(news);
         }
     }
 
     /// Tells the other entries of a bad version that the store could not be told of.
     fn publish_bad_version(&self, service: &ServiceId) {
         let Some(target) = self.target_of(service) else { return };
-        self.core.tell_news(News::Bad { service: service.to_string(), target });
+        self.core.publish_gossip(Gossip::Bad { service: service.to_string(), target });
     }
 
     /// Tells what this entry has seen of the versions on trial.
@@ -242,10 +242,10 @@
         for (service, roll_out) in &mut self.core.state.borrow_mut().roll_outs {
             if let Some(seen) = roll_out.take_seen(now, interval) {
                 let (service, target) = (service.to_string(), roll_out.target().clone());
-                outgoing.push(News::Seen { service, target, seen });
+                outgoing.push(Gossip::Seen { service, target, seen });
             }
         }
-        outgoing.into_iter().for_each(|news| self.core.tell_news(news));
+        outgoing.into_iter().for_each(|news| self.core.publish_gossip(news));
     }
 
     /// Time between two tellings of what this entry has seen. All entries together tell no more
@@ -273,9 +273,9 @@
     /// Tells which sessions that the trial would move run through this entry already.
     fn publish_kept_sessions(&self, service: &ServiceId, target: String) {
         let sessions = self.kept_sessions(service, &target);
-        for batch in sessions.chunks(MOST_SESSIONS) {
+        for batch in sessions.chunks(MAX_SESSIONS_PER_ITEM) {
             let (service, sessions) = (service.to_string(), batch.to_vec());
-            self.core.tell_news(News::Kept { service, target: target.clone(), sessions });
+            self.core.publish_gossip(Gossip::Kept { service, target: target.clone(), sessions });
         }
         self.update_roll_out(service, &target, RollOut::note_kept_told);
     }
--- a/crates/direct/src/coordinator/apply.rs
+++ b/crates/direct/src/coordinator/apply.rs
@@ -1,7 +1,7 @@
 //! What entries learn of roll-outs from the store: orders, stages, doubts and kept sessions.
 
 use pondwalk_decide::direct::{RollOut, Stage};
-use pondwalk_store::Fetched;
+use pondwalk_store::StoreEntry;
 use serde::de::DeserializeOwned;
 
 use super::{
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// Learns the last change of a key, or that the key is gone.
-    pub fn apply_revision(&self, key: &str, entry: Option<&Fetched>) {
+    pub fn apply_revision(&self, key: &str, entry: Option<&StoreEntry>) {
         if is_usage_key(key) && key == self.usage_key() {
             self.core.apply_usage_record(entry);
         }
@@ -66,7 +66,7 @@
         let within_ms = order.within.as_millis() as u64;
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
         self.core.event_log.record(LogPriority::State, &event);
-        self.core.apply_news_of(service);
+        self.core.reapply_gossip_of(service);
         self.apply_stored_state(service);
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Forgets the revisions of keys that a whole reading does not show.
-    pub fn retain_listed(&self, entries: &[Fetched]) {
+    pub fn retain_listed(&self, entries: &[StoreEntry]) {
         let usage_key = self.usage_key();
         if entries.iter().all(|entry| entry.key != usage_key) {
             self.core.apply_usage_record(None);
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -16,7 +16,7 @@
     clock::Clock,
     dialect::Dialect,
     event_log::EventLog,
-    membership::{LEAST_INFORMED, NewsLog, Outbox, Roster, Source, roots},
+    membership::{ChangeSource, GossipLog, MIN_GOSSIP_TARGETS, Members, Outbox, root_count},
     metrics::Metrics,
     permits::PermitState,
     quarantine::{PendingClearances, ReleasedProbes, SeenCrashes},
@@ -56,15 +56,15 @@
     /// Whether the process is to end.
     pub shutdown: Cell<ShutdownPhase>,
     /// The entries that are listed.
-    pub members: Roster,
+    pub members: Members,
     /// Random number of this life of the process, by which other entries tell it from the next.
     pub incarnation: u64,
     /// Entry that told the first state, as long as no other is known.
     pub initial_source: Cell<Option<SocketAddr>>,
     /// News that all entries are to hear.
-    pub gossip: RefCell<NewsLog>,
+    pub gossip: RefCell<GossipLog>,
     /// News that only goes up the tree.
-    pub gossip_for_parents: RefCell<NewsLog>,
+    pub gossip_for_parents: RefCell<GossipLog>,
     /// Items of news that this entry has told.
     pub gossip_sent: Cell<u64>,
     /// News to be passed on.
@@ -98,7 +98,7 @@
         seed: u64,
     ) -> Self {
         let state = State::new(&settings, seed);
-        let members = Roster::new(&settings);
+        let members = Members::new(&settings);
         let incarnation = SmallRng::seed_from_u64(seed).random();
         let usage = settings.usage.map(|usage| Usage::new(&settings.name, incarnation, usage));
         Core {
@@ -112,8 +112,8 @@
             members,
             incarnation,
             initial_source: Cell::new(None),
-            gossip: RefCell::new(NewsLog::for_all()),
-            gossip_for_parents: RefCell::new(NewsLog::for_above()),
+            gossip: RefCell::new(GossipLog::for_all()),
+            gossip_for_parents: RefCell::new(GossipLog::for_roots()),
             gossip_sent: Cell::new(0),
             outbox: Outbox::default(),
             state_changed: Notify::new(),
@@ -137,12 +137,14 @@
 
     /// Where this entry learns of changes. While nobody is listed yet, the entry that told the first
     /// state tells the rest, and a seed must expect to be that one.
-    pub fn source(&self) -> Source {
+    pub fn source(&self) -> ChangeSource {
         match (self.members.source(self.clock.now()), self.initial_source.get()) {
-            (Source::StoreAlone, Some(address)) => {
-                Source::Entry { name: address.to_string(), address }
+            (ChangeSource::StoreStandalone, Some(address)) => {
+                ChangeSource::Entry { name: address.to_string(), address }
+            }
+            (ChangeSource::StoreStandalone, None) if self.other_seeds().next().is_some() => {
+                ChangeSource::Store
             }
-            (Source::StoreAlone, None) if self.other_seeds().next().is_some() => Source::Store,
             (source, _) => source,
         }
     }
@@ -157,17 +159,17 @@
     /// nobody is listed yet, the seeds take the place of the roots.
     pub fn parents(&self) -> Vec<SocketAddr> {
         match self.source() {
-            Source::Entry { address, .. } => vec![address],
-            Source::Store if self.members.count() == 0 => self.other_seeds().collect(),
-            Source::Store => self.members.other_roots(self.clock.now()),
-            Source::StoreAlone => Vec::new(),
+            ChangeSource::Entry { address, .. } => vec![address],
+            ChangeSource::Store if self.members.count() == 0 => self.other_seeds().collect(),
+            ChangeSource::Store => self.members.other_roots(self.clock.now()),
+            ChangeSource::StoreStandalone => Vec::new(),
         }
     }
 
     /// Whether all news that goes up reaches this entry: it asks the store, or stands next in order to.
     pub fn receives_all_gossip(&self) -> bool {
-        let asks_store = !matches!(self.source(), Source::Entry { .. });
-        asks_store || self.members.rank() < roots(self.members.count()).max(LEAST_INFORMED)
+        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
+        asks_store || self.members.rank() < root_count(self.members.count()).max(MIN_GOSSIP_TARGETS)
     }
 
     /// Age of the last confirmation by the store that the state rests on, if any.
@@ -192,7 +194,7 @@
     /// Counters, histograms, and where this entry stands among the others, one a line.
     pub fn metrics_text(&self) -> String {
         let mut text = self.metrics.text();
-        let asks_store = !matches!(self.source(), Source::Entry { .. });
+        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
         let state = self.state.borrow();
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -104,7 +104,7 @@
         let coordinator = Rc::clone(&self.coordinator);
         spawn_local(async move { coordinator.run().await });
         let coordinator = Rc::clone(&self.coordinator);
-        spawn_local(membership::pass_on(Rc::clone(&self.core)));
+        spawn_local(membership::forward_gossip(Rc::clone(&self.core)));
         spawn_local(quarantine::publish_clearances(Rc::clone(&self.core)));
         spawn_local(quarantine::release_probes(Rc::clone(&self.core)));
         if self.core.usage.is_some() {
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -17,7 +17,7 @@
     time::Duration,
 };
 
-use pondwalk_store::{Fetched, Listing, Position, StoreError, StoreEvent, WatchReply};
+use pondwalk_store::{Listing, Position, StoreEntry, StoreError, StoreEvent, WatchReply};
 use pondwalk_types::{DataCentreId, ServerId};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -29,7 +29,7 @@
     coordinator::Coordinator,
     core::Core,
     event_log::LogPriority,
-    membership::{self, ENTRY_PREFIX, News, PeerClient, Source},
+    membership::{self, ChangeSource, ENTRY_PREFIX, Gossip, PeerClient},
     metrics::{Counter, StoreCause, Timer},
     port::Port,
 };
@@ -132,18 +132,18 @@
     /// all must be read anew.
     async fn sync_next(&mut self, position: Position) -> Option<Position> {
         match self.core.source() {
-            Source::Entry { name, address } => {
+            ChangeSource::Entry { name, address } => {
                 if self.should_fall_back() {
                     self.fall_back(position);
                 }
                 self.log_source_change(Some(&name));
                 self.poll_source(&name, address, position).await
             }
-            Source::Store => {
+            ChangeSource::Store => {
                 self.log_source_change(None);
                 self.poll_store(position).await
             }
-            Source::StoreAlone => {
+            ChangeSource::StoreStandalone => {
                 self.log_source_change(None);
                 self.watch_alone(position).await
             }
@@ -151,7 +151,7 @@
     }
 
     fn is_alone(&self) -> bool {
-        self.core.source() == Source::StoreAlone
+        self.core.source() == ChangeSource::StoreStandalone
     }
 
     fn log_source_change(&mut self, entry: Option<&str>) {
@@ -168,14 +168,14 @@
         let Some(address) = self.core.settings.peers else { return };
         let own = membership::Listing { address, link_mbps: self.core.settings.link_mbps };
         let now = self.core.clock.now();
-        if self.core.members.own_listed() == Some(own) || now < self.next_listing_at {
+        if self.core.members.own_listing() == Some(own) || now < self.next_listing_at {
             return;
         }
         self.next_listing_at = now + LISTING_GRACE + self.core.state.borrow().store_latency;
         if std::mem::replace(&mut self.has_announced, true) {
             self.coordinator.list_self(own).await;
         } else {
-            self.core.tell_news(News::Joined { listing: own });
+            self.core.publish_gossip(Gossip::Joined { listing: own });
         }
     }
 
@@ -183,16 +183,16 @@
         for event in events {
             self.apply_event(event);
         }
-        self.core.state.borrow_mut().replica.extend(events, position);
+        self.core.state.borrow_mut().replica.apply_changes(events, position);
     }
 
-    fn apply_snapshot(&mut self, entries: &[Fetched], position: Position) {
+    fn apply_snapshot(&mut self, entries: &[StoreEntry], position: Position) {
         self.is_restoring = self.is_restored(position);
         if self.is_restoring {
             self.on_store_restored(entries, position);
             self.coordinator.clear_stored();
         }
-        self.core.state.borrow_mut().replica.restart(entries, position);
+        self.core.state.borrow_mut().replica.reset(entries, position);
         self.core.apply_usage_era(position.era);
         self.retain_listed(entries);
         for entry in entries {
@@ -224,7 +224,7 @@
             Ok(outcome) => self.handle_list_reply(outcome).await,
             Err(_) => {
                 if !self.list_calls.is_receiving() {
-                    self.on_store_failure(&StoreError::AnswerLost);
+                    self.on_store_failure(&StoreError::ResponseLost);
                 }
                 None
             }
@@ -290,7 +290,7 @@
         self.coordinator.wake();
         // NB: to an entry that asks the store, the store stays lost while only others can tell of
         // it; it goes on to probe it at long intervals.
-        let asks_others = matches!(self.core.source(), Source::Entry { .. });
+        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
         if source == StateSource::Peer && !asks_others {
             return;
         }
@@ -315,7 +315,7 @@
     }
 
     /// The store was restored from a copy, and lacks what was written to it after that.
-    fn on_store_restored(&mut self, entries: &[Fetched], position: Position) {
+    fn on_store_restored(&mut self, entries: &[StoreEntry], position: Position) {
         let mut state = self.core.state.borrow_mut();
         let before = state.replica.position();
         // NB: a store that is restored was away, even if nobody noticed.
@@ -325,7 +325,7 @@
             .event_log
             .record(LogPriority::State, &FollowEvent::StoreRestored { before, position });
         let listed = entries.iter().filter_map(|entry| entry.key.strip_prefix(ENTRY_PREFIX));
-        self.core.members.are_stored(&listed.collect());
+        self.core.members.set_stored(&listed.collect());
         // NB: whoever is not listed any more tells the others, as at its start.
         self.has_announced = false;
         self.next_listing_at = Duration::ZERO;
--- a/crates/direct/src/follow/apply.rs
+++ b/crates/direct/src/follow/apply.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use pondwalk_store::{Fetched, StoreEvent};
+use pondwalk_store::{StoreEntry, StoreEvent};
 use pondwalk_types::DataCentreId;
 
 use super::{Follower, StateSource, events::FollowEvent};
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn apply_written(&self, entry: &Fetched) {
+    pub(super) fn apply_written(&self, entry: &StoreEntry) {
         self.coordinator.apply_revision(&entry.key, Some(entry));
         self.apply_entry_listing(&entry.key, Some(&entry.value));
         match self.port.decode_entry(entry) {
@@ -48,7 +48,7 @@
                 None
             }
         };
-        if self.core.members.learn(name, listing) {
+        if self.core.members.update(name, listing) {
             self.core.update_bound_shares();
         }
     }
@@ -204,7 +204,7 @@
     }
 
     /// Forgets the servers and evacuations that a whole reading does not show.
-    pub(super) fn retain_listed(&self, entries: &[Fetched]) {
+    pub(super) fn retain_listed(&self, entries: &[StoreEntry]) {
         let mut shown = HashSet::new();
         let mut evacuated = HashSet::new();
         for entry in entries {
--- a/crates/direct/src/follow/initial_state.rs
+++ b/crates/direct/src/follow/initial_state.rs
@@ -15,7 +15,7 @@
 use crate::{
     core::Core,
     event_log::LogPriority,
-    membership::{AskError, Need, PeerClient, Question, Told},
+    membership::{PeerClient, PeerError, StateRequest, StateRequestKind, StateUpdate},
 };
 
 /// Time for which an entry that starts asks others before it reads the store.
@@ -34,7 +34,7 @@
     /// The seed.
     pub from: SocketAddr,
     /// What it told.
-    pub reply: Told,
+    pub reply: StateUpdate,
     /// Holds the connection to it, and how its clock runs.
     pub client: PeerClient,
 }
@@ -50,12 +50,12 @@
         return None;
     }
     // NB: each entry starts with another one, so that no seed is asked by all.
-    let first = core.members.spread(seeds.len());
+    let first = core.members.hash_slot(seeds.len());
     seeds.rotate_left(first);
     // NB: a seed does not wait for the others, which would wait for it.
-    let (need, limit) = match is_seed {
-        true => (Need::FirstStateNow, SEED_FETCH_TIMEOUT),
-        false => (Need::FirstState, FETCH_TIMEOUT),
+    let (kind, limit) = match is_seed {
+        true => (StateRequestKind::FirstStateNow, SEED_FETCH_TIMEOUT),
+        false => (StateRequestKind::FirstState, FETCH_TIMEOUT),
     };
     let end = Instant::now() + limit;
     let mut asking = JoinSet::new();
@@ -64,7 +64,7 @@
         let (core, receiving) = (Rc::clone(core), Rc::clone(&receiving));
         asking.spawn_local(async move {
             sleep(SEED_STAGGER * place as u32).await;
-            poll_seed(&core, seed, need, end, &receiving).await
+            poll_seed(&core, seed, kind, end, &receiving).await
         });
     }
     while let Some(received) = asking.join_next().await {
@@ -82,24 +82,24 @@
 async fn poll_seed(
     core: &Core,
     seed: SocketAddr,
-    need: Need,
+    kind: StateRequestKind,
     end: Instant,
     receiving: &Rc<Cell<usize>>,
 ) -> Option<InitialState> {
-    let client = PeerClient::beside(receiving);
+    let client = PeerClient::with_receiving(receiving);
     let mut last = None;
     while Instant::now() < end || receiving.get() > 0 {
         if receiving.get() > 0 {
             sleep(RETRY_DELAY).await;
             continue;
         }
-        let question = Question {
+        let question = StateRequest {
             store: core.settings.store.address,
             after: Position::default(),
-            need,
-            until: end.min(Instant::now() + REPLY_TIMEOUT),
+            kind,
+            deadline: end.min(Instant::now() + REPLY_TIMEOUT),
         };
-        match client.ask(&core.connect, &core.clock, seed, question).await {
+        match client.request_state(&core.connect, &core.clock, seed, question).await {
             Ok(reply) => return Some(InitialState { from: seed, reply, client }),
             Err(error) => last = Some(error),
         }
@@ -109,7 +109,7 @@
     None
 }
 
-fn log_failure(core: &Core, seed: SocketAddr, error: Option<AskError>) {
+fn log_failure(core: &Core, seed: SocketAddr, error: Option<PeerError>) {
     let error = error.map_or(String::from("no time was left"), |error| error.to_string());
     let event = FollowEvent::SourceFailed { entry: &seed.to_string(), error };
     core.event_log.record(LogPriority::State, &event);
--- a/crates/direct/src/follow/peers.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -2,13 +2,13 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 use tokio::time::Instant;
 
 use super::{Follower, StateSource, events::FollowEvent, watch::MIN_WATCH_WAIT};
 use crate::{
     event_log::LogPriority,
-    membership::{AskError, Need, Question, Told},
+    membership::{PeerError, StateRequest, StateRequestKind, StateUpdate},
     metrics::{Counter, StoreCause},
 };
 
@@ -50,13 +50,14 @@
     /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
     /// among those that are turned away.
     pub(super) async fn poll_peers(&mut self, position: Position) -> Position {
-        let others = self.core.members.others(self.core.clock.now());
+        let others = self.core.members.reachable_peers(self.core.clock.now());
         for _ in 0..PEERS_PER_ROUND.min(others.len()) {
             self.peer_cursor = (self.peer_cursor + 1) % others.len();
             let (name, address) = &others[self.peer_cursor];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
-            let question = self.question(position, Need::ChangesNow, until);
-            let asking = self.client.ask(&self.core.connect, &self.core.clock, *address, question);
+            let question = self.question(position, StateRequestKind::ChangesNow, until);
+            let asking =
+                self.client.request_state(&self.core.connect, &self.core.clock, *address, question);
             match asking.await {
                 Ok(reply) => {
                     let next = reply.position.max(position);
@@ -64,9 +65,9 @@
                     return next;
                 }
                 // NB: that others have lost the store too is no news.
-                Err(AskError::Old) => {}
+                Err(PeerError::Stale) => {}
                 Err(error) => {
-                    self.core.members.note(name, Some(&error), self.core.clock.now());
+                    self.core.members.record_result(name, Some(&error), self.core.clock.now());
                     return position;
                 }
             }
@@ -82,8 +83,9 @@
         address: SocketAddr,
         position: Position,
     ) -> Option<Position> {
-        let question = self.question(position, Need::Changes, self.reply_deadline());
-        let asking = self.client.ask(&self.core.connect, &self.core.clock, address, question);
+        let question = self.question(position, StateRequestKind::Changes, self.reply_deadline());
+        let asking =
+            self.client.request_state(&self.core.connect, &self.core.clock, address, question);
         let reply = tokio::select! {
             biased;
             outcome = self.watch_calls.next() => return self.handle_watch_reply(outcome, position),
@@ -95,10 +97,10 @@
     fn handle_peer_reply(
         &mut self,
         name: &str,
-        reply: Result<Told, AskError>,
+        reply: Result<StateUpdate, PeerError>,
         position: Position,
     ) -> Position {
-        self.core.members.note(name, reply.as_ref().err(), self.core.clock.now());
+        self.core.members.record_result(name, reply.as_ref().err(), self.core.clock.now());
         match reply {
             Ok(reply) => {
                 self.unreachable_in_row = 0;
@@ -107,7 +109,7 @@
                 next
             }
             Err(error) => {
-                if error != AskError::Old {
+                if error != PeerError::Stale {
                     self.core.initial_source.set(None);
                     self.unreachable_in_row += 1;
                 }
@@ -122,26 +124,27 @@
     fn reply_deadline(&self) -> Instant {
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
-        let too_old = state.freshness.confirmed().unwrap_or_default() + times.oldest_told;
+        let too_old =
+            state.freshness.confirmed().unwrap_or_default() + times.max_peer_confirmation_age;
         // NB: where the store answers late every state is as old, and told anew at each interval.
         let hold = match state.store_latency > times.exchange {
-            true => times.hold_while_old.max(times.confirm_interval + times.exchange),
-            false => times.hold_while_old,
+            true => times.stale_hold_time.max(times.confirm_interval + times.exchange),
+            false => times.stale_hold_time,
         };
         let until = too_old.max(self.core.clock.now() + hold) + times.exchange;
         self.core.clock.instant(until)
     }
 
-    fn question(&self, after: Position, need: Need, until: Instant) -> Question {
-        Question { store: self.core.settings.store.address, after, need, until }
+    fn question(&self, after: Position, kind: StateRequestKind, deadline: Instant) -> StateRequest {
+        StateRequest { store: self.core.settings.store.address, after, kind, deadline }
     }
 
     /// Takes in what another entry told, and from when it is; `position` is where that leads.
-    pub(super) fn apply_peer_reply(&mut self, mut reply: Told, position: Position) {
+    pub(super) fn apply_peer_reply(&mut self, mut reply: StateUpdate, position: Position) {
         self.core.metrics.count_many(Counter::PeerBytesReceived, reply.bytes);
         if reply.position.era != position.era {
             // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
-            self.core.hear_from_above(std::mem::take(&mut reply.news));
+            self.core.receive_from_parent(std::mem::take(&mut reply.gossip));
             self.coordinator.wake();
             return;
         }
@@ -153,15 +156,15 @@
         drop(state);
         self.watch_calls.drop_superseded(position);
         self.applying_from = StateSource::Peer;
-        let news = std::mem::take(&mut reply.news);
+        let news = std::mem::take(&mut reply.gossip);
         if reply.whole {
-            let entries: Vec<Fetched> =
+            let entries: Vec<StoreEntry> =
                 reply.into_events().into_iter().filter_map(written_entry).collect();
             self.apply_snapshot(&entries, position);
         } else {
             self.apply_changes(&reply.into_events(), position);
         }
-        self.core.hear_from_above(news);
+        self.core.receive_from_parent(news);
         if let Some(confirmed) = confirmed {
             self.confirm(confirmed, position, StateSource::Peer);
         }
@@ -169,7 +172,7 @@
     }
 }
 
-fn written_entry(event: StoreEvent) -> Option<Fetched> {
+fn written_entry(event: StoreEvent) -> Option<StoreEntry> {
     match event {
         StoreEvent::Written(entry) => Some(entry),
         StoreEvent::Removed { .. } => None,
--- a/crates/direct/src/follow/watch.rs
+++ b/crates/direct/src/follow/watch.rs
@@ -180,7 +180,7 @@
         let from = oldest.max(confirmed);
         let is_silent = self.core.clock.now().saturating_sub(from) > limit;
         if is_silent && !self.watch_calls.is_receiving() && !self.store_lost {
-            self.on_store_failure(&StoreError::AnswerLost);
+            self.on_store_failure(&StoreError::ResponseLost);
         }
     }
 }
--- a/crates/direct/src/quarantine/clearance.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -5,7 +5,7 @@
 use pondwalk_decide::direct::{Content, Standing};
 use tokio::{sync::Notify, time::sleep};
 
-use crate::{core::Core, membership::News, request::Job};
+use crate::{core::Core, membership::Gossip, request::Job};
 
 /// Ends of servers from which others are told that a content is cleared of them. A single one holds
 /// nothing; where many servers end it would double the messages, some two hundred on a day with trouble.
@@ -27,7 +27,7 @@
     // NB: many entries may know; the first one's word reaches the others while they wait.
     loop {
         core.pending_clearances.changed.notified().await;
-        sleep(JITTER_STEP * core.members.spread(JITTER_STEPS) as u32).await;
+        sleep(JITTER_STEP * core.members.hash_slot(JITTER_STEPS) as u32).await;
         for content in core.pending_clearances.contents.take() {
             if core.can_clear(content) {
                 core.clear(content);
@@ -65,7 +65,7 @@
         let crashes = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
         if crashes >= MIN_CRASHES_TO_PUBLISH {
             self.log_cleared(content, crashes, &self.settings.name);
-            self.tell_news(News::Cleared { content });
+            self.publish_gossip(Gossip::Cleared { content });
         }
     }
 }
--- a/crates/direct/src/quarantine/crashes.rs
+++ b/crates/direct/src/quarantine/crashes.rs
@@ -16,7 +16,7 @@
 
 use super::{AgedCrash, QuarantineEvent};
 use crate::{
-    catalog::ServiceId, core::Core, event_log::LogPriority, membership::News, metrics::Counter,
+    catalog::ServiceId, core::Core, event_log::LogPriority, membership::Gossip, metrics::Counter,
     placement::Placement, request::Job, state::State,
 };
 
@@ -185,7 +185,7 @@
         self.metrics.count_many(Counter::CrashesNotReported, omitted);
         published.truncate(MAX_PUBLISHED_CRASHES);
         for batch in published.chunks(MAX_CRASHES_PER_MESSAGE) {
-            self.tell_news(News::Ended { ends: batch.to_vec() });
+            self.publish_gossip(Gossip::Ended { ends: batch.to_vec() });
         }
     }
 
--- a/crates/direct/src/quarantine/probe.rs
+++ b/crates/direct/src/quarantine/probe.rs
@@ -11,7 +11,7 @@
     content::content_text,
     core::Core,
     event_log::LogPriority,
-    membership::{AskError, MessageError, PROBE_PATH, ask_question, from_message, to_message},
+    membership::{MessageError, PROBE_PATH, PeerError, from_message, query_peer, to_message},
     metrics::Counter,
     request::Job,
 };
@@ -95,7 +95,7 @@
         address: SocketAddr,
         content: Content,
         lease: Duration,
-    ) -> Result<ProbeResponse, AskError> {
+    ) -> Result<ProbeResponse, PeerError> {
         let ends = self.state.borrow().quarantine.ends_of(content, self.clock.now());
         self.exchange(address, &ProbeRequest::Ask { content, lease, ends }).await
     }
@@ -112,8 +112,8 @@
         &self,
         address: SocketAddr,
         request: &ProbeRequest,
-    ) -> Result<ProbeResponse, AskError> {
-        ask_question(self, address, PROBE_PATH, request).await
+    ) -> Result<ProbeResponse, PeerError> {
+        query_peer(self, address, PROBE_PATH, request).await
     }
 
     /// Answers another entry's question.
--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -84,7 +84,7 @@
         Entry::new(settings, dialect, port, upstream::tcp_connector(), event_log, rand::random());
     let core = entry.core();
     let membership = &core.settings.membership;
-    let longest_answer_ms = |bound| membership.times.longest_answer(bound).as_millis() as u64;
+    let longest_answer_ms = |bound| membership.times.max_store_response(bound).as_millis() as u64;
     let event = LifecycleEvent::Started {
         data_centre: &core.settings.data_centre,
         callers: core.settings.callers,
--- a/crates/direct/src/server_signals.rs
+++ b/crates/direct/src/server_signals.rs
@@ -7,7 +7,7 @@
     header::{HeaderName, RETRY_AFTER},
 };
 use pondwalk_decide::direct::{LimitWord, ServerLimit};
-use pondwalk_types::read_retry_after;
+use pondwalk_types::parse_retry_after;
 
 use crate::dialect::Dialect;
 
@@ -41,7 +41,7 @@
         let asks_entry = status == StatusCode::SERVICE_UNAVAILABLE
             || (not_run && status == StatusCode::TOO_MANY_REQUESTS);
         let backoff =
-            header_text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(read_retry_after);
+            header_text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(parse_retry_after);
         let is_draining =
             header_text(headers, &dialect.leaving).is_some_and(|header_text| header_text == "1");
         let limit = reported_limit(dialect, headers, status.is_success() && is_authentic);
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -15,7 +15,7 @@
     CallEnd, DueWindows, Reporter, ReporterOrder, ReporterRecord, ReporterStep, TrueTime,
     UsageCounts, UsageMeter, UsageTotals, WindowId, WriteEnd,
 };
-use pondwalk_store::{Change, Era, Expect, Fetched, StoreError};
+use pondwalk_store::{Change, Era, Expect, StoreEntry, StoreError};
 use serde::Serialize;
 use tokio::time::sleep;
 
@@ -23,7 +23,7 @@
     coordinator::Coordinator,
     core::Core,
     event_log::LogPriority,
-    membership::{Item, News, Source},
+    membership::{ChangeSource, Gossip, GossipItem},
     metrics::{Counter, StoreCause},
     port::{Port, ReportError, UsageReport},
 };
@@ -184,7 +184,7 @@
     /// An entry told what it has counted.
     pub fn receive_usage_counts(
         &self,
-        item: &Item,
+        item: &GossipItem,
         window: WindowId,
         counts: &UsageCounts,
         published_ms: u64,
@@ -213,7 +213,7 @@
     }
 
     /// Hears what the store holds of the task, or that its record is gone.
-    pub fn apply_usage_record(&self, entry: Option<&Fetched>) {
+    pub fn apply_usage_record(&self, entry: Option<&StoreEntry>) {
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut reporter = usage.reporter.borrow_mut();
@@ -243,7 +243,7 @@
         let unpublished = meter.take_untold();
         drop(meter);
         for (window, counts) in unpublished {
-            self.tell_news(News::Used { window, counts, unix_ms });
+            self.publish_gossip(Gossip::Used { window, counts, unix_ms });
         }
     }
 }
@@ -306,7 +306,7 @@
         usage.complete_since.set(Some(now));
     }
     // NB: an entry that asks others hears too late who was first.
-    if matches!(core.source(), Source::Entry { .. }) || usage.is_unreadable.get() {
+    if matches!(core.source(), ChangeSource::Entry { .. }) || usage.is_unreadable.get() {
         return None;
     }
     if core.outage().is_some() || core.state.borrow().catalog.is_none() {
@@ -352,7 +352,7 @@
         // NB: the record of an era before is read by nobody any more.
         Ok(position) if position.era != era => WriteEnd::Unknown,
         Ok(position) => WriteEnd::Done(position.revision),
-        Err(StoreError::AnswerLost | StoreError::AnswerStopped(_) | StoreError::Malformed) => {
+        Err(StoreError::ResponseLost | StoreError::ResponseStalled(_) | StoreError::Malformed) => {
             WriteEnd::Unknown
         }
         Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseLapsed) => {
