--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The store's operations in the project's own terms.
+//! Client of the key-value store over the JSON gateway of the etcd v3 API.
 
 use std::{fmt, future::Future, pin::Pin, sync::Arc, time::Duration};
 
@@ -12,47 +12,47 @@
     WATCH_PATH, WatchCreate, WatchReply, WatchRequest,
 };
 
-/// Failures of the store, told apart by what the caller may conclude.
+/// Failures of a call to the store, classified by whether a write may have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// A condition did not hold; nothing was written.
-    #[error("another writer was first")]
+    #[error("another write came first")]
     Conflict,
     /// The call did not reach the store; nothing was written.
-    #[error("the store cannot be reached")]
+    #[error("the store is unreachable")]
     Unreachable,
-    /// The answer was lost; a write may have taken effect.
-    #[error("the store's answer was lost")]
+    /// The response was lost; a write may have taken effect.
+    #[error("the store's response was lost")]
     ResponseLost,
-    /// The answer stopped coming after so many bytes.
-    #[error("the store's answer stopped after {0} bytes")]
+    /// The response stalled after this many bytes.
+    #[error("the store's response stalled after {0} bytes")]
     ResponseStalled(usize),
-    /// The store answered with something that cannot be read.
-    #[error("the store's answer cannot be read")]
+    /// The response, or a value in it, cannot be decoded.
+    #[error("the store's response cannot be decoded")]
     Malformed,
-    /// The lease has lapsed.
-    #[error("the lease has lapsed")]
+    /// The lease has expired.
+    #[error("the lease has expired")]
     LeaseLapsed,
 }
 
-/// Future of one call: the reply's JSON text.
+/// Future of a call; resolves to the JSON text of the response.
 pub type CallFuture = Pin<Box<dyn Future<Output = Result<String, StoreError>> + Send>>;
 
-/// Carries a path, a JSON body and a time limit to the store.
+/// Sends a JSON body to a path of the store, with a timeout.
 pub type Transport = Arc<dyn Fn(&'static str, String, Duration) -> CallFuture + Send + Sync>;
 
-/// A value read, with the revision to compare with on the next write.
+/// A key and its value, with the revision that the next conditional write refers to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreEntry {
     /// Full key.
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Revision of the last change.
+    /// Revision of the key's last change.
     pub revision: u64,
 }
 
-/// What must hold of a key for a write to happen.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
     /// The key does not exist.
@@ -68,22 +68,22 @@
     pub key: String,
     /// New value.
     pub value: Vec<u8>,
-    /// Condition.
+    /// Precondition.
     pub expect: Expect,
-    /// Lease that owns the key, if any.
+    /// Lease that the key is attached to, if any.
     pub lease: Option<u64>,
 }
 
-/// What a watch brought.
+/// Outcome of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchOutcome {
     /// The keys that changed.
     Changed(Vec<StoreEntry>),
-    /// Nothing changed within the wait.
+    /// No key changed during the wait.
     Unchanged,
 }
 
-/// Handle on the platform's key-value service.
+/// Client of the platform's key-value store; clones share the transport.
 #[derive(Clone)]
 pub struct Store {
     transport: Transport,
@@ -97,12 +97,12 @@
 }
 
 impl Store {
-    /// Builds a handle that gives up on a call after `timeout`.
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(transport: Transport, timeout: Duration) -> Self {
         Store { transport, timeout }
     }
 
-    /// Reads one key.
+    /// Reads one key; `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<StoreEntry>, StoreError> {
         Ok(self.range(key, String::new()).await?.pop())
     }
@@ -112,7 +112,11 @@
         self.range(prefix, prefix_end(prefix)).await
     }
 
-    /// Writes all changes or none; returns the revision they got.
+    /// Writes all changes atomically; returns the revision of the write.
+    ///
+    /// # Errors
+    ///
+    /// `Conflict` if a precondition does not hold; `ResponseLost` if the outcome is unknown.
     pub async fn commit(&self, changes: Vec<Change>) -> Result<u64, StoreError> {
         let request = TxnRequest {
             compare: changes.iter().map(compare).collect(),
@@ -122,27 +126,31 @@
         if !reply.succeeded {
             return Err(StoreError::Conflict);
         }
-        number(&reply.header.revision)
+        parse_number(&reply.header.revision)
     }
 
-    /// Takes out a lease; returns its id.
+    /// Creates a lease; returns its id.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let request = LeaseRequest { ttl_s: ttl.as_secs().to_string(), id: "0".into() };
         let reply: LeaseReply = self.call(LEASE_GRANT_PATH, &request, self.timeout).await?;
-        number(&reply.id)
+        parse_number(&reply.id)
     }
 
     /// Renews a lease.
+    ///
+    /// # Errors
+    ///
+    /// `LeaseLapsed` if the lease has expired.
     pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
         let request = LeaseRequest { ttl_s: String::new(), id: lease.to_string() };
         let reply: LeaseReply = self.call(LEASE_KEEP_ALIVE_PATH, &request, self.timeout).await?;
-        if number(&reply.ttl_s)? == 0 {
+        if parse_number(&reply.ttl_s)? == 0 {
             return Err(StoreError::LeaseLapsed);
         }
         Ok(())
     }
 
-    /// Waits until a key under `prefix` changes after `revision`, at most for `wait`.
+    /// Waits until a key that starts with `prefix` changes after `revision`, at most for `wait`.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -157,7 +165,7 @@
         let body = WatchRequest { create_request };
         match self.call::<_, WatchReply>(WATCH_PATH, &body, wait).await {
             Ok(reply) => {
-                let kvs = reply.result.events.iter().map(|event| fetched(&event.kv));
+                let kvs = reply.result.events.iter().map(|event| to_entry(&event.kv));
                 Ok(WatchOutcome::Changed(kvs.collect::<Result<_, _>>()?))
             }
             Err(StoreError::ResponseLost) => Ok(WatchOutcome::Unchanged),
@@ -168,7 +176,7 @@
     async fn range(&self, key: &str, end: String) -> Result<Vec<StoreEntry>, StoreError> {
         let request = RangeRequest { key: STANDARD.encode(key), range_end: STANDARD.encode(end) };
         let reply: RangeReply = self.call(RANGE_PATH, &request, self.timeout).await?;
-        reply.kvs.iter().map(fetched).collect()
+        reply.kvs.iter().map(to_entry).collect()
     }
 
     async fn call<B: Serialize, R: DeserializeOwned>(
@@ -183,10 +191,10 @@
     }
 }
 
-/// The first key after all keys that start with `prefix`.
+/// The exclusive end of the range of all keys that start with `prefix`.
 fn prefix_end(prefix: &str) -> String {
     let mut end = prefix.to_owned();
-    // NB: keys are ASCII and never end in the last ASCII character.
+    // NB: prefixes are ASCII and never end in the last ASCII character.
     if let Some(last) = end.pop() {
         end.push(char::from(last as u8 + 1));
     }
@@ -216,15 +224,15 @@
     }
 }
 
-fn fetched(kv: &KeyValue) -> Result<StoreEntry, StoreError> {
+fn to_entry(kv: &KeyValue) -> Result<StoreEntry, StoreError> {
     let key = STANDARD.decode(&kv.key).map_err(|_| StoreError::Malformed)?;
     Ok(StoreEntry {
         key: String::from_utf8(key).map_err(|_| StoreError::Malformed)?,
         value: STANDARD.decode(&kv.value).map_err(|_| StoreError::Malformed)?,
-        revision: number(&kv.mod_revision)?,
+        revision: parse_number(&kv.mod_revision)?,
     })
 }
 
-fn number(text: &str) -> Result<u64, StoreError> {
+fn parse_number(text: &str) -> Result<u64, StoreError> {
     text.parse().map_err(|_| StoreError::Malformed)
 }
--- a/crates/store/src/gateway.rs
+++ b/crates/store/src/gateway.rs
@@ -1,4 +1,4 @@
-//! JSON messages of the etcd v3 gateway, as far as pondwalk uses them.
+//! JSON messages of the etcd v3 gateway that pondwalk uses.
 //!
 //! Keys and values are base64; 64-bit numbers are decimal strings.
 
@@ -15,10 +15,10 @@
 /// Path that opens a watch.
 pub const WATCH_PATH: &str = "/v3/watch";
 
-/// Common header of replies.
+/// Common header of responses.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Header {
-    /// The store's revision when it answered.
+    /// Revision of the store at the time of the response.
     #[serde(default)]
     pub revision: String,
 }
@@ -55,7 +55,7 @@
     pub kvs: Vec<KeyValue>,
 }
 
-/// Condition of a transaction: the key's last change has this revision.
+/// Condition of a transaction on the revision of a key's last change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
@@ -65,7 +65,7 @@
     pub target: String,
     /// Always `EQUAL`.
     pub result: String,
-    /// Revision expected; `0` for a key that does not exist.
+    /// Expected revision; `0` for a key that does not exist.
     pub mod_revision: String,
 }
 
@@ -77,18 +77,18 @@
     pub key: String,
     /// Base64 value.
     pub value: String,
-    /// Lease that owns the key, `0` for none.
+    /// Lease that the key is attached to; `0` for none.
     pub lease: String,
 }
 
 /// One operation of a transaction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TxnOp {
-    /// The write.
+    /// Write of one key.
     pub request_put: PutRequest,
 }
 
-/// Writes all of `success` if all of `compare` hold.
+/// Performs the writes in `success` atomically if all conditions in `compare` hold.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
@@ -108,7 +108,7 @@
     pub succeeded: bool,
 }
 
-/// Asks for a lease, or renews one.
+/// Creates or renews a lease.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
@@ -120,14 +120,14 @@
     pub id: String,
 }
 
-/// Reply with the lease; a time to live of `0` means it has lapsed.
+/// Reply with the lease; a time to live of `0` means that the lease has expired.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseReply {
     /// Time to live, in seconds.
     #[serde(rename = "TTL")]
     pub ttl_s: String,
-    /// The lease.
+    /// Lease id.
     #[serde(rename = "ID")]
     pub id: String,
 }
@@ -136,11 +136,11 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Range and start revision of the watch.
     pub create_request: WatchCreate,
 }
 
-/// Body of a watch.
+/// Parameters of a watch.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
@@ -148,29 +148,29 @@
     pub key: String,
     /// Base64 end of the range, empty for a single key.
     pub range_end: String,
-    /// First revision of interest.
+    /// First revision to report.
     pub start_revision: String,
 }
 
-/// One line of a watch's stream.
+/// One line of the response stream of a watch.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchReply {
-    /// The line's content.
+    /// Content of the line.
     pub result: WatchResult,
 }
 
-/// Changes seen by a watch.
+/// Changes reported by a watch.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResult {
     /// Common header.
     pub header: Header,
-    /// Changes, oldest first; empty when the watch has just opened.
+    /// Changes, oldest first; empty in the line that confirms the creation of the watch.
     pub events: Vec<WatchEvent>,
 }
 
-/// One change seen by a watch.
+/// One change reported by a watch.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The transport over HTTP.
+//! HTTP transport.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     gateway::WATCH_PATH,
 };
 
-/// Builds a transport that posts to the gateway at `address`.
+/// Creates a transport that posts requests to the gateway at `address`.
 pub fn http_transport(address: SocketAddr) -> Transport {
     let client = reqwest::Client::new();
     Arc::new(move |path, body, wait| {
@@ -38,7 +38,7 @@
     tokio::time::timeout(wait, exchange).await.unwrap_or(Err(StoreError::ResponseLost))
 }
 
-/// Reads a watch's stream up to the first line that carries a change.
+/// Reads the response stream of a watch up to the first line with a change.
 async fn first_events(reply: reqwest::Response) -> Result<String, StoreError> {
     let mut stream = reply.bytes_stream();
     let mut pending = Vec::new();
@@ -56,7 +56,7 @@
 }
 
 fn classify(error: reqwest::Error) -> StoreError {
-    // NB: any other status may come after the write took effect.
+    // NB: every other status may be sent after the write took effect.
     let unavailable = error.status() == Some(reqwest::StatusCode::SERVICE_UNAVAILABLE);
     if error.is_connect() || unavailable {
         return StoreError::Unreachable;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! A narrow client of the platform's key-value service.
+//! Client of the platform's key-value store.
 //!
-//! [`Store`] speaks the JSON gateway of the etcd v3 API; its transport is a closure, so that
-//! tests put a fake in its place. [`StorePort`] is the same service as a set of closures, for
-//! roles that run on stores of other wire forms.
+//! [`Store`] uses the JSON gateway of the etcd v3 API; its transport is a closure that tests can
+//! replace. [`StorePort`] is an interface to the same operations as a set of closures, for
+//! roles that run on stores with other protocols.
 
 mod client;
 #[cfg(feature = "gateway")]
--- a/crates/store/src/port.rs
+++ b/crates/store/src/port.rs
@@ -1,4 +1,4 @@
-//! The store as a set of calls, for code that must not know in which form they travel.
+//! Protocol-independent interface to the store, as a set of closures.
 
 use std::{
     cell::Cell,
@@ -15,72 +15,72 @@
 
 use crate::client::{Change, StoreEntry, StoreError};
 
-/// Future of one call, on the thread that made it.
+/// Future of a call; not `Send`, since it runs on the thread that made the call.
 pub type PortFuture<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>>>>;
 
-/// How far the answer to a call has come. Clones share it.
+/// Progress of receiving a response. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct ReadProgress {
-    inner: Rc<Come>,
+    inner: Rc<Received>,
 }
 
 #[derive(Debug, Default)]
-struct Come {
+struct Received {
     bytes: Cell<usize>,
-    first: Cell<Option<Instant>>,
-    last: Cell<Option<Instant>>,
-    moved: Notify,
+    first_byte_at: Cell<Option<Instant>>,
+    last_byte_at: Cell<Option<Instant>>,
+    changed: Notify,
 }
 
 impl ReadProgress {
-    /// So many more bytes of the answer have come.
+    /// Records that `bytes` more bytes of the response were received.
     pub fn record(&self, bytes: usize) {
         self.inner.bytes.set(self.inner.bytes.get() + bytes);
         let now = Instant::now();
-        self.inner.first.set(self.inner.first.get().or(Some(now)));
-        self.inner.last.set(Some(now));
-        self.inner.moved.notify_one();
+        self.inner.first_byte_at.set(self.inner.first_byte_at.get().or(Some(now)));
+        self.inner.last_byte_at.set(Some(now));
+        self.inner.changed.notify_one();
     }
 
-    /// Bytes that have come so far.
+    /// Number of bytes received so far.
     pub fn bytes(&self) -> usize {
         self.inner.bytes.get()
     }
 
-    /// When the first of them came, if any has.
+    /// Time at which the first byte was received, if any.
     pub fn first_byte_at(&self) -> Option<Instant> {
-        self.inner.first.get()
+        self.inner.first_byte_at.get()
     }
 
-    /// When the last of them came, if any has.
+    /// Time at which the last byte so far was received, if any.
     pub fn last_byte_at(&self) -> Option<Instant> {
-        self.inner.last.get()
+        self.inner.last_byte_at.get()
     }
 
-    /// Waits for more of the answer, or returns at once if some came since the last wait.
+    /// Waits for more bytes; returns at once if some were received since the last wait.
     pub async fn changed(&self) {
-        self.inner.moved.notified().await;
+        self.inner.changed.notified().await;
     }
 }
 
-/// A reading call under way. It has no time limit of its own: an answer may be large and come over
-/// a narrow link, so whoever waits judges by its progress.
+/// A read call in flight. It has no timeout of its own: a response may be large and the link slow,
+/// so the caller decides by the progress when to abort.
 pub struct PortCall<T> {
-    answer: PortFuture<T>,
+    response: PortFuture<T>,
     progress: ReadProgress,
 }
 
 impl<T> PortCall<T> {
-    /// Makes a call, which notes the progress of its answer.
+    /// Wraps the future that `make` returns; that future records its progress in the value passed to `make`.
     pub fn new<F>(make: impl FnOnce(ReadProgress) -> F) -> Self
     where
         F: Future<Output = Result<T, StoreError>> + 'static,
     {
         let progress = ReadProgress::default();
-        PortCall { answer: Box::pin(make(progress.clone())), progress }
+        PortCall { response: Box::pin(make(progress.clone())), progress }
     }
 
-    /// How far its answer has come.
+    /// Progress of the response.
     pub fn progress(&self) -> ReadProgress {
         self.progress.clone()
     }
@@ -90,7 +90,7 @@
     type Output = Result<T, StoreError>;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
-        self.answer.as_mut().poll(context)
+        self.response.as_mut().poll(context)
     }
 }
 
@@ -100,43 +100,41 @@
     }
 }
 
-/// Number of a history of the store: it rises by one when the store is restored from a copy. 0 where the
-/// store names none.
+/// Counts how often the store was restored from a backup; 0 if the store does not report it.
 pub type Era = u64;
 
-/// A place in the history of the store.
+/// A position in the history of the store, ordered by era and then by revision.
 ///
-/// NB: a restored store gives revisions out again, so they are compared within one era only; every place of
-/// a later era comes after all of an earlier one.
+/// NB: a restored store reuses revisions, so revisions are comparable only within an era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// Era that the revision belongs to.
+    /// Era of the revision.
     pub era: Era,
-    /// Number of the last change within it.
+    /// Number of the last change within the era.
     pub revision: u64,
 }
 
-/// All keys under a prefix, as one or more reads found them.
+/// All keys with a prefix, collected by one or more reads.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Keys with their values.
+    /// Keys with their values, in key order.
     pub entries: Vec<StoreEntry>,
-    /// Place from which a watch misses nothing: that of the first read.
+    /// Position of the first read, from which a watch misses no change.
     pub position: Position,
 }
 
-/// One change that a watch brought.
+/// One change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreEvent {
     /// The key was written.
     Written(StoreEntry),
-    /// The key is gone.
+    /// The key was removed.
     Removed {
         /// The key.
         key: String,
-        /// Revision of its removal.
+        /// Revision of the removal.
         revision: u64,
     },
 }
@@ -151,32 +149,32 @@
     }
 }
 
-/// What a watch brought.
+/// Reply to a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchReply {
-    /// The changes in order, none if the wait ran out, and the place to go on from.
+    /// The changes, oldest first and none after a timeout, and the position to continue from.
     ///
-    /// NB: the changes follow the revision asked for only if the place is of the era that it belongs to.
+    /// NB: the changes directly follow the requested revision only if the position has the same era.
     Changes(Vec<StoreEvent>, Position),
-    /// The history after the given revision is gone; read everything anew.
+    /// The history after the requested revision was compacted; all keys must be read again.
     HistoryGone,
 }
 
-/// Reads all keys under a prefix.
+/// Reads all keys with a prefix.
 pub type ListCall = Rc<dyn Fn(String) -> PortCall<Listing>>;
-/// Waits for changes under a prefix after a revision, at most for a time.
+/// Waits for changes of keys with a prefix after a revision, at most for a time.
 pub type WatchCall = Rc<dyn Fn(String, u64, Duration) -> PortCall<WatchReply>>;
-/// Writes all changes or none, and returns their place in the history.
+/// Writes all changes atomically; returns the position of the write.
 pub type CommitCall = Rc<dyn Fn(Vec<Change>) -> PortFuture<Position>>;
 
-/// The calls to a key-value service that a process on one thread makes.
+/// Calls to a key-value store, for use on one thread.
 #[derive(Clone)]
 pub struct StorePort {
-    /// Reads all keys under a prefix.
+    /// Reads all keys with a prefix.
     pub list: ListCall,
     /// Waits for changes.
     pub watch: WatchCall,
-    /// Writes under conditions.
+    /// Writes conditionally.
     pub commit: CommitCall,
 }
 
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,28 +1,28 @@
-//! Type aliases for the identifiers used across process boundaries.
+//! Type aliases of identifiers used across process boundaries.
 
-/// Identifies one caller request from end to end; also the billing key.
+/// Id of a caller's request from end to end; also the billing key.
 pub type RequestId = String;
-/// Names a customer whose requests are billed and limited together.
+/// Name of a customer whose requests are billed and limited together.
 pub type WorkspaceId = String;
-/// Names a region, which holds one or more data centres.
+/// Name of a region, which contains one or more data centres.
 pub type RegionId = String;
-/// Names a conversation within one workspace.
+/// Name of a conversation within a workspace.
 pub type SessionId = String;
-/// Names a model version as `MODEL/VERSION`, or a plain service by its bare name.
+/// Name of a model version as `MODEL/VERSION`, or of a plain service.
 pub type VersionId = String;
-/// Names one backend server.
+/// Name of a backend server.
 pub type ServerId = String;
-/// Names one data centre.
+/// Name of a data centre.
 pub type DataCentreId = String;
-/// Names a kind of work, such as `briefing`.
+/// Name of a kind of work, such as `briefing`.
 pub type TaskId = String;
-/// Names one pondwalk process for as long as its settings stay the same.
+/// Name of a pondwalk process, stable across restarts with the same settings.
 pub type InstanceId = String;
-/// Counts accepted configurations; strictly increasing, zero before the first.
+/// Number of a configuration; strictly increasing, zero before the first accepted configuration.
 pub type Generation = u64;
-/// Numbers the attempts made by one entry incarnation.
+/// Number of an attempt, unique within one incarnation of an entry.
 pub type AttemptId = u64;
-/// Drawn at random when a process starts; tells its restarts apart.
+/// Random number drawn when a process starts, which distinguishes its restarts.
 pub type Incarnation = u64;
-/// Names a model without its version.
+/// Name of a model without its version.
 pub type ModelId = String;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, units and the checked policy that all of pondwalk shares.
+//! Identifiers, the checked policy and refusals, shared by all crates.
 
 pub mod backoff;
 mod decimal;
--- a/crates/types/src/policy.rs
+++ b/crates/types/src/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration after checking: one value per generation.
+//! The operators' checked configuration, one value per generation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,12 +6,12 @@
 
 use crate::{ModelId, TaskId, TokenUsage, VersionId, WorkspaceId};
 
-/// Price of a version, in the currency of the operators' spend caps.
+/// Price of a version, in the currency of the spend caps.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Price {
-    /// Price of a thousand prompt tokens.
+    /// Price of 1,000 prompt tokens.
     pub prompt_per_1k_tokens: f64,
-    /// Price of a thousand output tokens.
+    /// Price of 1,000 output tokens.
     pub output_per_1k_tokens: f64,
 }
 
@@ -24,77 +24,77 @@
     }
 }
 
-/// Whether a version may take new sessions or new work.
+/// Whether a version accepts new sessions and new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// Takes new sessions and new work.
+    /// Accepts new sessions and new requests.
     #[default]
     Live,
-    /// Takes work of old sessions only.
+    /// Accepts requests of existing sessions only.
     Retiring,
-    /// Takes no new work at all.
+    /// Accepts no new requests.
     Withdrawn,
 }
 
-/// What the operators say of one version.
+/// Price and state of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionSpec {
-    /// What its tokens cost.
+    /// Price of the version's tokens.
     pub price: Price,
-    /// Whether it may take work.
+    /// Whether the version accepts requests.
     pub state: VersionState,
 }
 
-/// A new version that takes over from an old one step by step.
+/// A new version that gradually replaces an old one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RollOut {
     /// The new version.
     pub version: VersionId,
-    /// The version it is compared with and takes over from.
+    /// The version that it is compared with and replaces.
     pub replaces: VersionId,
 }
 
-/// Quality asked of the answers to one task.
+/// Required quality of the answers to one task.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TaskPolicy {
-    /// The quality, from 0 to 1, at which an answer meets the target.
+    /// Lowest quality of an answer that meets the target, from 0 to 1.
     pub quality_target: f64,
-    /// The share of answers, from 0 to 1, that must meet it.
+    /// Required share of answers that meet the target, from 0 to 1.
     pub target_share: f64,
 }
 
-/// What becomes of a session whose version is withdrawn.
+/// What happens to a session when its version is withdrawn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WithdrawalPolicy {
-    /// The session ends and a new one starts on another version; the caller is told.
+    /// The session ends and a new one starts on another version; the response reports it.
     #[default]
     Restart,
-    /// Its requests are refused, truly not run.
+    /// Requests of the session are refused without being run.
     Refuse,
 }
 
-/// One workspace's rights, targets and limits.
+/// Permissions, targets and limits of one workspace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspacePolicy {
-    /// Versions it may use.
+    /// Versions that the workspace may use.
     pub allowed_versions: BTreeSet<VersionId>,
-    /// Plain services it may use.
+    /// Plain services that the workspace may use.
     pub allowed_services: BTreeSet<VersionId>,
-    /// Quality targets by task; a task not listed is not allowed when `only_listed_tasks`.
+    /// Quality targets by task.
     pub tasks: BTreeMap<TaskId, TaskPolicy>,
-    /// Whether a task without a target is refused.
+    /// Whether tasks without a target are refused.
     pub only_listed_tasks: bool,
-    /// What it may spend in a day; absent means without limit.
+    /// Daily spend cap; `None` for no cap.
     pub spend_cap: Option<f64>,
-    /// From 0 (shed first) to 9 (shed last).
+    /// Priority from 0 (shed first) to 9 (shed last).
     pub priority: u8,
-    /// Weight of its fair share when servers are short.
+    /// Weight in the fair sharing of scarce servers.
     pub share_weight: f64,
-    /// What becomes of its sessions on a withdrawn version.
+    /// What happens to sessions on a withdrawn version.
     pub on_withdrawal: WithdrawalPolicy,
-    /// SHA-256 digests, in lower-case hex, of the keys its callers present.
+    /// SHA-256 digests, in lower-case hex, of the API keys of the workspace's callers.
     pub keys_sha256: BTreeSet<String>,
 }
 
@@ -114,26 +114,26 @@
     }
 }
 
-/// Everything the operators decide, checked and complete.
+/// The complete checked configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Policy {
     /// Model versions by name.
     pub versions: BTreeMap<VersionId, VersionSpec>,
-    /// Prices by model, for versions that have none of their own.
+    /// Prices by model, for versions without a price of their own.
     pub model_prices: BTreeMap<ModelId, Price>,
     /// Plain services by name.
     pub services: BTreeSet<VersionId>,
-    /// Roll-outs under way.
+    /// Roll-outs in progress.
     pub roll_outs: Vec<RollOut>,
     /// Workspaces by name.
     pub workspaces: BTreeMap<WorkspaceId, WorkspacePolicy>,
 }
 
-/// Stands for all services in a workspace's list.
+/// Wildcard for all services in a workspace's list.
 pub const ALL_SERVICES: &str = "*";
 
 impl Policy {
-    /// The price of a version: its own, or its model's; `None` if neither is known.
+    /// The price of a version, or of its model if the version has none; `None` if neither has a price.
     pub fn price_of(&self, version: &str) -> Option<Price> {
         if let Some(spec) = self.versions.get(version) {
             return Some(spec.price);
@@ -142,7 +142,7 @@
         self.model_prices.get(model).copied()
     }
 
-    /// Adds a version at its model's price; `false` if that has none.
+    /// Adds a version at its model's price; returns `false` if the version has no price.
     pub fn add_version(&mut self, version: &str) -> bool {
         let Some(price) = self.price_of(version) else {
             return false;
@@ -152,7 +152,7 @@
         true
     }
 
-    /// Adds a service, for those workspaces too that may use all services.
+    /// Adds a service, and allows it for all workspaces with the wildcard.
     pub fn add_service(&mut self, service: &str) {
         self.services.insert(service.to_owned());
         for workspace in self.workspaces.values_mut() {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Whether a workspace's request may start on a version, without regard to sessions.
+    /// Whether a workspace's request may run on a version, regardless of sessions.
     pub fn may_run(&self, workspace: &WorkspacePolicy, version: &VersionId) -> bool {
         if self.services.contains(version) {
             return workspace.allowed_services.contains(version);
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,34 +1,34 @@
-//! Why a request got no answer, and whether any of it ran.
+//! Reasons for refused and failed requests, and whether they were executed.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::{Generation, VersionId};
 
-/// Whether a backend server may have acted on a request.
+/// Whether a backend server executed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Executed {
     /// No byte of the request reached a backend server.
     No,
-    /// A backend server ran it.
+    /// A backend server executed the request.
     Yes,
-    /// The request may have reached a backend server, and nothing tells whether it ran.
+    /// The request may have reached a backend server; whether it was executed is unknown.
     Unknown,
 }
 
-/// A typed reason for not answering a request.
+/// Why a request was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Refusal {
-    /// No workspace owns the key presented.
+    /// The caller's key belongs to no workspace.
     #[error("the caller's key belongs to no workspace")]
     UnknownCaller,
     /// The workspace may not use the version.
     #[error("version {0} is not allowed for this workspace")]
     VersionNotAllowed(VersionId),
-    /// The version takes no new work.
+    /// The version accepts no new requests.
     #[error("version {0} is withdrawn")]
     VersionWithdrawn(VersionId),
-    /// The version takes no new sessions.
+    /// The version accepts no new sessions.
     #[error("version {0} takes no new sessions")]
     VersionRetiring(VersionId),
     /// The task is not listed for the workspace.
@@ -40,80 +40,80 @@
     /// The request is malformed.
     #[error("{0}")]
     BadRequest(BadRequest),
-    /// No live server hosts an allowed version.
+    /// No live backend server hosts an allowed version.
     #[error("no backend server can run this request now")]
     NoServer,
     /// Every queue that could take the request is full.
     #[error("all queues are full; retry after {retry_after_ms} ms")]
     Overloaded {
-        /// When the caller should come back.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The deadline cannot be met any more.
+    /// The deadline can no longer be met.
     #[error("the deadline of {deadline_ms} ms cannot be met")]
     TooLate {
-        /// The deadline the caller stated.
+        /// The caller's deadline, in milliseconds.
         deadline_ms: u64,
     },
-    /// The workspace has spent its cap.
+    /// The workspace has reached its spend cap.
     #[error("the workspace's spend cap is used up")]
     SpendCap,
-    /// The server is leaving.
+    /// The backend server is draining.
     #[error("the backend server is leaving")]
     Draining,
-    /// The idempotency key is already claimed by another run.
+    /// The idempotency key is already claimed by another request.
     #[error("this idempotency key was already used; its first run stands")]
     DuplicateKey,
-    /// A claim could not be made durable, so the request was not started.
+    /// The claim on the idempotency key could not be stored, so the request was not started.
     #[error("the platform's store cannot record the claim; not run")]
     ClaimUnavailable,
-    /// The agent's configuration is newer than what the entry decided by.
+    /// The agent's configuration is newer than the one used by the entry's decision.
     #[error("decided by generation {decided}, but {current} is in force")]
     StaleGeneration {
-        /// The generation the decision used.
+        /// Generation used by the decision.
         decided: Generation,
-        /// The generation in force at the agent.
+        /// Generation in force at the agent.
         current: Generation,
     },
-    /// The process has no configuration that it may act on.
+    /// The process has no valid configuration.
     #[error("no configuration is in force")]
     NoConfiguration,
-    /// The backend server answered with an error.
+    /// The backend server responded with an error.
     #[error("the backend server failed")]
     BackendFailed,
-    /// The answer broke off before its end.
+    /// The response ended prematurely.
     #[error("the answer broke off")]
     Cut,
-    /// Contact was lost after the request may have been handed over.
+    /// The connection was lost after the request may have reached the backend server.
     #[error("contact with the backend server was lost")]
     ContactLost,
 }
 
-/// What is wrong with a caller's request.
+/// Why a caller's request is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum BadRequest {
-    /// The body is not the JSON expected.
+    /// The body is not the expected JSON.
     #[error("the body is not a valid JSON request")]
     Body,
-    /// A header cannot be read.
+    /// The value of a header is invalid.
     #[error("header {0} cannot be read")]
     Header(String),
     /// The body is larger than the limit.
     #[error("the body is larger than {limit_bytes} bytes")]
     TooLarge {
-        /// The limit in force.
+        /// The limit in bytes.
         limit_bytes: u64,
     },
-    /// A read took too long.
+    /// The body was not received within the read timeout.
     #[error("the body did not arrive in time")]
     TooSlow,
-    /// The model named in the request is not known.
+    /// The request names an unknown model.
     #[error("model {0} is not known")]
     UnknownModel(String),
 }
 
 impl Refusal {
-    /// A short stable code for callers, counters and logs.
+    /// Stable code for callers, metrics and logs.
     pub fn code(&self) -> &'static str {
         match self {
             Refusal::UnknownCaller => "unknown_caller",
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Whether another backend server may succeed where this one refused.
+    /// Whether the request may succeed on another backend server.
     pub fn is_retryable_elsewhere(&self) -> bool {
         matches!(
             self,
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -1,34 +1,34 @@
-//! What a request asks a backend server to do and what it used up.
+//! Kinds of work for backend servers, and token usage.
 
 use serde::{Deserialize, Serialize};
 
 use crate::VersionId;
 
-/// Tokens counted for one run.
+/// Token counts of one run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenUsage {
-    /// Tokens read from the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output_tokens: u64,
 }
 
-/// Where a request is to run.
+/// Work that a request requires of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
-    /// Chat completions on a model version.
+    /// Chat completion on a model version.
     Chat(VersionId),
-    /// A call passed through to a plain service.
+    /// Call forwarded to a plain service.
     Service {
-        /// The service's name.
+        /// Name of the service.
         service: VersionId,
-        /// The path and query to call, starting with a slash.
+        /// Path and query of the call, starting with a slash.
         path: String,
     },
 }
 
 impl Work {
-    /// The version or service that is to do the work.
+    /// The version or service required.
     pub fn version(&self) -> &VersionId {
         match self {
             Work::Chat(version) => version,
--- a/crates/types/tests/retry_after.rs
+++ b/crates/types/tests/retry_after.rs
@@ -1,11 +1,11 @@
-//! For how long a server asks to be sent nothing, and what is passed over.
+//! Parsing of `retry-after` headers.
 
 use std::time::Duration;
 
 use pondwalk_types::parse_retry_after;
 
 #[test]
-fn seconds_are_read_with_fractions() {
+fn seconds_with_fractions_are_parsed() {
     assert_eq!(parse_retry_after("2"), Some(Duration::from_secs(2)));
     assert_eq!(parse_retry_after(" 0.25 "), Some(Duration::from_millis(250)));
     assert_eq!(parse_retry_after("86400"), Some(Duration::from_secs(86_400)));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_no_number_of_seconds_is_passed_over() {
+fn values_that_are_not_positive_seconds_are_ignored() {
     let dates = ["Wed, 21 Oct 2015 07:28:00 GMT"];
     let words = ["inf", "infinity", "+inf", "-inf", "NaN", "soon", ""];
     let numbers =
