--- a/crates/direct/src/follow/others.rs
+++ b/crates/direct/src/follow/others.rs
@@ -7,8 +7,8 @@
 
 use super::{Follower, Heard, report::Learned, watching::NO_WAIT};
 use crate::{
-    journal::Rank,
-    membership::{AskError, Need, Question, Told},
+    event_log::LogPriority,
+    membership::{PeerError, StateRequest, StateRequestKind, StateUpdate},
     metrics::{Counter, StoreCause},
 };
 
@@ -34,8 +34,8 @@
         if self.unreached >= UNREACHED_IN_ROW {
             return true;
         }
-        let spread = FALLBACK_SPREAD * self.core.roster.rank() as u32;
-        self.core.clock.now() >= self.fallback_from && self.core.is_out_of_date(spread)
+        let spread = FALLBACK_SPREAD * self.core.members.rank() as u32;
+        self.core.clock.now() >= self.fallback_from && self.core.is_state_outdated(spread)
     }
 
     /// Asks the store beside the others, and puts off the next such question.
@@ -50,13 +50,14 @@
     /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
     /// among those that are turned away.
     pub(super) async fn ask_around(&mut self, position: Position) -> Position {
-        let others = self.core.roster.others(self.core.clock.now());
+        let others = self.core.members.reachable_peers(self.core.clock.now());
         for _ in 0..ASKED_AROUND.min(others.len()) {
             self.asked_around = (self.asked_around + 1) % others.len();
             let (name, address) = &others[self.asked_around];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
-            let question = self.question(position, Need::ChangesNow, until);
-            let asking = self.client.ask(&self.core.connect, &self.core.clock, *address, question);
+            let question = self.question(position, StateRequestKind::ChangesNow, until);
+            let asking =
+                self.client.request_state(&self.core.connect, &self.core.clock, *address, question);
             match asking.await {
                 Ok(told) => {
                     let next = told.position.max(position);
@@ -64,9 +65,9 @@
                     return next;
                 }
                 // NB: that others have lost the store too is no news.
-                Err(AskError::Old) => {}
+                Err(PeerError::Stale) => {}
                 Err(error) => {
-                    self.core.roster.note(name, Some(&error), self.core.clock.now());
+                    self.core.members.record_result(name, Some(&error), self.core.clock.now());
                     return position;
                 }
             }
@@ -82,8 +83,9 @@
         address: SocketAddr,
         position: Position,
     ) -> Option<Position> {
-        let question = self.question(position, Need::Changes, self.give_up_at());
-        let asking = self.client.ask(&self.core.connect, &self.core.clock, address, question);
+        let question = self.question(position, StateRequestKind::Changes, self.give_up_at());
+        let asking =
+            self.client.request_state(&self.core.connect, &self.core.clock, address, question);
         let told = tokio::select! {
             biased;
             answered = self.watching.next() => return self.take_answer(answered, position),
@@ -95,10 +97,10 @@
     fn take_or_leave(
         &mut self,
         name: &str,
-        told: Result<Told, AskError>,
+        told: Result<StateUpdate, PeerError>,
         position: Position,
     ) -> Position {
-        self.core.roster.note(name, told.as_ref().err(), self.core.clock.now());
+        self.core.members.record_result(name, told.as_ref().err(), self.core.clock.now());
         match told {
             Ok(told) => {
                 self.unreached = 0;
@@ -107,12 +109,12 @@
                 next
             }
             Err(error) => {
-                if error != AskError::Old {
-                    self.core.told_by.set(None);
+                if error != PeerError::Stale {
+                    self.core.initial_source.set(None);
                     self.unreached += 1;
                 }
                 let event = Learned::SourceFailed { entry: name, error: error.to_string() };
-                self.core.journal.note(Rank::State, &event);
+                self.core.event_log.record(LogPriority::State, &event);
                 position
             }
         }
@@ -125,7 +127,7 @@
         let too_old =
             state.freshness.confirmed().unwrap_or_default() + times.max_peer_confirmation_age;
         // NB: where the store answers late every state is as old, and told anew at each interval.
-        let hold = match state.store_takes > times.exchange {
+        let hold = match state.store_latency > times.exchange {
             true => times.stale_hold_time.max(times.confirm_interval + times.exchange),
             false => times.stale_hold_time,
         };
@@ -133,28 +135,28 @@
         self.core.clock.instant(until)
     }
 
-    fn question(&self, after: Position, need: Need, until: Instant) -> Question {
-        Question { store: self.core.settings.store.address, after, need, until }
+    fn question(&self, after: Position, kind: StateRequestKind, deadline: Instant) -> StateRequest {
+        StateRequest { store: self.core.settings.store.address, after, kind, deadline }
     }
 
     /// Takes in what another entry told, and from when it is; `position` is where that leads.
-    pub(super) fn take_told(&mut self, mut told: Told, position: Position) {
-        self.core.metrics.count_many(Counter::PeerBytesHeard, told.bytes);
+    pub(super) fn take_told(&mut self, mut told: StateUpdate, position: Position) {
+        self.core.metrics.count_many(Counter::PeerBytesReceived, told.bytes);
         if told.position.era != position.era {
             // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
-            self.core.hear_from_above(std::mem::take(&mut told.news));
-            self.conductor.wake();
+            self.core.receive_from_parent(std::mem::take(&mut told.gossip));
+            self.coordinator.wake();
             return;
         }
         let confirmed = told.confirmed;
         // NB: most entries make no calls to the store, and hear of its loss only with its return.
         let mut state = self.core.state.borrow_mut();
         state.store_returned = state.store_returned.max(told.store_returned);
-        state.store_takes = told.store_takes;
+        state.store_latency = told.store_takes;
         drop(state);
         self.watching.drop_known(position);
         self.learns_from = Heard::FromOthers;
-        let news = std::mem::take(&mut told.news);
+        let news = std::mem::take(&mut told.gossip);
         if told.whole {
             let entries: Vec<StoreEntry> =
                 told.into_events().into_iter().filter_map(written).collect();
@@ -162,11 +164,11 @@
         } else {
             self.take_changes(&told.into_events(), position);
         }
-        self.core.hear_from_above(news);
+        self.core.receive_from_parent(news);
         if let Some(confirmed) = confirmed {
             self.confirm(confirmed, position, Heard::FromOthers);
         }
-        self.conductor.wake();
+        self.coordinator.wake();
     }
 }
 
