--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,6 +1,6 @@
-//! Time of one decision, warm, by the number of servers.
+//! Time of one routing decision with learned estimates, by the number of servers.
 
-// NB: the macros below write functions without documentation.
+// NB: the macros below generate functions without documentation.
 #![allow(missing_docs)]
 
 use std::{hint::black_box, time::Duration};
@@ -25,27 +25,27 @@
         policy.versions.insert(format!("model{version}/1"), spec);
     }
     for workspace in 0..WORKSPACES {
-        let mut rights = WorkspacePolicy {
+        let mut workspace_policy = WorkspacePolicy {
             allowed_versions: policy.versions.keys().cloned().collect(),
             ..WorkspacePolicy::default()
         };
         for task in 0..TASKS {
             let target = TaskPolicy { quality_target: 0.7, target_share: 0.9 };
-            rights.tasks.insert(format!("task{task}"), target);
+            workspace_policy.tasks.insert(format!("task{task}"), target);
         }
-        policy.workspaces.insert(format!("workspace{workspace}"), rights);
+        policy.workspaces.insert(format!("workspace{workspace}"), workspace_policy);
     }
     policy
 }
 
-struct Warm {
+struct WarmRouter {
     router: Router,
     rng: Pcg64Mcg,
     names: Vec<(String, String)>,
     next: usize,
 }
 
-impl Warm {
+impl WarmRouter {
     fn new(servers: usize) -> Self {
         let mut router = Router::new("dc1");
         router.install(1, &policy());
@@ -62,7 +62,7 @@
         let names = (0..WORKSPACES * TASKS)
             .map(|n| (format!("workspace{}", n % WORKSPACES), format!("task{}", n % TASKS)));
         let names = names.collect();
-        let mut warm = Warm { router, rng: Pcg64Mcg::seed_from_u64(1), names, next: 0 };
+        let mut warm = WarmRouter { router, rng: Pcg64Mcg::seed_from_u64(1), names, next: 0 };
         (0..WARM_UP_REQUESTS).for_each(|_| warm.decide(true));
         warm
     }
@@ -85,32 +85,32 @@
             repeatable: true,
             streaming: false,
         };
-        let begun = self.router.begin(now, &mut self.rng, black_box(&request));
-        let Ok((mut flight, step)) = begun else {
+        let started = self.router.begin(now, &mut self.rng, black_box(&request));
+        let Ok((mut in_flight, run)) = started else {
             return;
         };
-        black_box(&step);
+        black_box(&run);
         if !learn {
-            self.router.abandon(&mut flight, 0.0);
+            self.router.abandon(&mut in_flight, 0.0);
             return;
         }
         let service_time = Duration::from_millis(500);
         self.router.on_run_finished(
             now,
-            &mut flight,
+            &mut in_flight,
             FinishedRun { output_tokens: 100, service_time },
         );
         let quality = (self.next % 100) as f64 / 100.0;
         let rating = Some((quality, Duration::from_millis(100)));
-        self.router.on_rating(now, &mut self.rng, &mut flight, rating);
-        self.router.abandon(&mut flight, 0.0);
+        self.router.on_rating(now, &mut self.rng, &mut in_flight, rating);
+        self.router.abandon(&mut in_flight, 0.0);
     }
 }
 
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decision");
     for servers in [20, 100, 400, 1_600] {
-        let mut warm = Warm::new(servers);
+        let mut warm = WarmRouter::new(servers);
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter(|| warm.decide(false));
         });
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,8 +1,8 @@
-//! Budgets: retries, and money.
+//! Retry and spend budgets.
 
-use crate::tuning::{RETRIES_PER_REQUEST, RETRY_SAVINGS};
+use crate::tuning::{MAX_RETRY_TOKENS, RETRIES_PER_REQUEST};
 
-/// Keeps retries in proportion to first attempts, so that overload does not multiply.
+/// Limits retries to a share of first attempts, so that retries do not amplify overload.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     tokens: f64,
@@ -10,17 +10,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: RETRY_SAVINGS }
+        RetryBudget { tokens: MAX_RETRY_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Adds the retry share of one first attempt.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(RETRY_SAVINGS);
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Withdraws one retry; returns whether the budget covered it.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -30,9 +30,9 @@
     }
 }
 
-/// What a workspace may still spend at this process.
+/// The part of a workspace's spend cap that this process may use.
 ///
-/// NB: the fleet's cap is cut into slices that processes lease; this is one slice.
+/// Processes take the cap of the fleet in slices; this is the sum of the slices taken here.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SpendBudget {
     limit: Option<f64>,
@@ -41,33 +41,33 @@
 }
 
 impl SpendBudget {
-    /// Sets the slice in force; `None` means without limit.
+    /// Sets the limit; `None` means unlimited.
     pub fn set_limit(&mut self, limit: Option<f64>) {
         self.limit = limit;
     }
 
-    /// Whether a run of this cost still fits.
-    pub fn affords(&self, cost: f64) -> bool {
+    /// Whether the budget covers a further run of this cost.
+    pub fn can_afford(&self, cost: f64) -> bool {
         self.limit.is_none_or(|limit| self.spent + self.reserved + cost <= limit)
     }
 
-    /// What is neither spent nor set aside; `None` means without limit.
-    pub fn left(&self) -> Option<f64> {
+    /// Amount neither spent nor reserved; `None` means unlimited.
+    pub fn remaining(&self) -> Option<f64> {
         self.limit.map(|limit| limit - self.spent - self.reserved)
     }
 
-    /// Sets money aside for a run that is about to start.
+    /// Reserves the expected cost of a run that is about to start.
     pub fn reserve(&mut self, cost: f64) {
         self.reserved += cost;
     }
 
-    /// Gives back what was set aside and counts what was really spent.
+    /// Releases a reservation and records the actual cost.
     pub fn settle(&mut self, reserved: f64, spent: f64) {
         self.reserved = (self.reserved - reserved).max(0.0);
         self.spent += spent;
     }
 
-    /// What was spent so far.
+    /// Amount spent so far.
     pub fn spent(&self) -> f64 {
         self.spent
     }
--- a/crates/decide/src/estimate.rs
+++ b/crates/decide/src/estimate.rs
@@ -1,4 +1,4 @@
-//! What is known of each version: quality, service time, length and failures by task.
+//! Estimates for each version and task: quality, service time, output length, failures, lateness.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use crate::{
     histogram::{QualityHistogram, TimeHistogram},
     intern::{TaskIx, VersionIx},
-    plan::from_ms,
+    plan::duration_from_ms,
     tuning::{
-        MEAN_GAIN, OUTPUT_PRIOR_TOKENS, QUALITY_PRIOR_CHEAPEST, QUALITY_PRIOR_DEAREST,
-        QUALITY_PRIOR_WEIGHT, SERVICE_PRIOR_MS, TIME_PRIOR_FADED, TIME_PRIOR_ON_TIME,
-        TIME_PRIOR_WEIGHT,
+        OUTPUT_PRIOR_TOKENS, PRIOR_ON_TIME_PROBABILITY, QUALITY_PRIOR_CHEAPEST,
+        QUALITY_PRIOR_DEAREST, QUALITY_PRIOR_WEIGHT, RUNNING_MEAN_GAIN, SERVICE_PRIOR_MS,
+        TIME_PRIOR_MAX_OBSERVATIONS, TIME_PRIOR_WEIGHT,
     },
 };
 
@@ -23,14 +23,14 @@
 }
 
 impl RunningMean {
-    /// Takes in an observation.
+    /// Adds an observation.
     pub fn add(&mut self, value: f64) {
         self.count = self.count.saturating_add(1);
-        let gain = MEAN_GAIN.max(1.0 / f64::from(self.count));
+        let gain = RUNNING_MEAN_GAIN.max(1.0 / f64::from(self.count));
         self.value += gain * (value - self.value);
     }
 
-    /// Whether anything was observed.
+    /// Whether there has been an observation.
     pub fn is_known(&self) -> bool {
         self.count > 0
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// How often something happened out of how many times, with slow forgetting.
+/// Share of events that were hits; old events lose weight over time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Rate {
     hits: f64,
@@ -49,7 +49,7 @@
 }
 
 impl Rate {
-    /// Takes in one case.
+    /// Adds one event.
     pub fn add(&mut self, hit: bool) {
         const WINDOW: f64 = 1_000.0;
         if self.total >= WINDOW {
@@ -60,71 +60,72 @@
         self.hits += f64::from(u8::from(hit));
     }
 
-    /// The rate, given a prior rate that counts as `weight` cases.
+    /// The rate from 0 to 1, combined with a prior rate that counts as `weight` events.
     pub fn with_prior(&self, prior: f64, weight: f64) -> f64 {
         (self.hits + prior * weight) / (self.total + weight)
     }
 }
 
-/// What is known of one version on one task.
+/// Estimates for one version on one task.
 #[derive(Debug, Clone, Default)]
 pub struct VersionTask {
     /// Ratings of its answers.
     pub quality: QualityHistogram,
-    /// Times its runs took on a server.
-    pub service: TimeHistogram,
-    /// Mean of those times, in milliseconds.
+    /// Service times of its runs.
+    pub service_time: TimeHistogram,
+    /// Mean service time, in milliseconds.
     pub service_ms: RunningMean,
-    /// Tokens in its answers.
+    /// Mean number of tokens in its answers.
     pub output_tokens: RunningMean,
-    /// Runs that failed.
+    /// Share of runs that failed.
     pub failures: Rate,
-    /// Answers that came after their deadline.
+    /// Share of answers delivered after their deadline.
     pub late: Rate,
 }
 
-/// What is known of one version on all tasks.
+/// Estimates for one version over all tasks.
 #[derive(Debug, Clone)]
 struct Version {
     price: Price,
-    /// Factor on times that the price suggests where nothing better is known.
-    guessed_slowness: f64,
-    /// Place in the order of prices, from 0 for the cheapest to 1 for the dearest.
+    /// Relative service time inferred from the price; used until both versions compared have runs.
+    prior_slowness: f64,
+    /// Rank by price, from 0 for the cheapest version to 1 for the most expensive.
     price_rank: f64,
     service_ms: RunningMean,
     tasks: Vec<VersionTask>,
 }
 
-/// What is known of one task whatever the version.
+/// Estimates for one task over all versions.
 #[derive(Debug, Clone, Default)]
 struct Task {
+    /// The version with the most observed runs of the task.
     anchor: Option<VersionIx>,
+    /// Mean time allowed by callers, in milliseconds.
     deadline_ms: RunningMean,
 }
 
-/// How often a second version met the target after a first one had missed it.
+/// How often `second` met the target of `task` after another version had missed it.
 #[derive(Debug, Clone, Copy)]
-struct Rescue {
+struct Escalation {
     second: VersionIx,
     task: TaskIx,
     met: Rate,
 }
 
-/// What is known of all versions.
+/// Estimates for all versions.
 #[derive(Debug, Default)]
 pub struct Estimates {
     versions: Vec<Option<Version>>,
-    /// By task: the version seen most often, and the usual deadline.
     tasks: Vec<Task>,
-    /// Whether the second version met the target after the first had missed it.
+    /// Outcomes of escalations, indexed by the first version.
     ///
-    /// By the first version; the lists are short, as only a few versions are ever paired.
-    rescues: Vec<Vec<Rescue>>,
-    blank: VersionTask,
+    /// The lists are short, because few pairs of versions occur.
+    escalations: Vec<Vec<Escalation>>,
+    empty: VersionTask,
 }
 
 impl Estimates {
-    /// Sets prices; what was learned of a version stays as long as its name does.
+    /// Sets the prices. Estimates of a version are kept as long as its name stays the same.
     pub fn set_prices(&mut self, prices: &[(VersionIx, Price)]) {
         let mut order: Vec<(VersionIx, f64)> =
             prices.iter().map(|(version, price)| (*version, reference_cost(price))).collect();
@@ -134,112 +135,120 @@
             let place = order.iter().position(|(other, _)| other == version).unwrap_or(0);
             let entry = self.version_mut(*version);
             entry.price = *price;
-            // NB: times grow with about the cube root of prices.
-            entry.guessed_slowness = reference_cost(price).max(1e-9).cbrt();
+            // NB: service times grow roughly with the cube root of the price.
+            entry.prior_slowness = reference_cost(price).max(1e-9).cbrt();
             entry.price_rank = place as f64 / last;
         }
     }
 
     /// The price of a version.
     pub fn price(&self, version: VersionIx) -> Price {
-        self.version(version).map(|known| known.price).unwrap_or_default()
+        self.version(version).map(|estimate| estimate.price).unwrap_or_default()
     }
 
-    /// What is known of a version on a task.
-    pub fn of(&self, version: VersionIx, task: TaskIx) -> &VersionTask {
-        self.version(version).and_then(|known| known.tasks.get(task)).unwrap_or(&self.blank)
+    /// Estimates for a version on a task; empty if there are none.
+    pub fn version_task(&self, version: VersionIx, task: TaskIx) -> &VersionTask {
+        self.version(version).and_then(|estimate| estimate.tasks.get(task)).unwrap_or(&self.empty)
     }
 
-    /// The same, to take in observations.
-    pub fn of_mut(&mut self, version: VersionIx, task: TaskIx) -> &mut VersionTask {
-        let known = self.version_mut(version);
-        if known.tasks.len() <= task {
-            known.tasks.resize_with(task + 1, VersionTask::default);
+    /// Estimates for a version on a task, created if absent.
+    pub fn version_task_mut(&mut self, version: VersionIx, task: TaskIx) -> &mut VersionTask {
+        let estimate = self.version_mut(version);
+        if estimate.tasks.len() <= task {
+            estimate.tasks.resize_with(task + 1, VersionTask::default);
         }
-        &mut known.tasks[task]
+        &mut estimate.tasks[task]
     }
 
-    /// Probability that an answer meets the target.
-    pub fn meets(&self, version: VersionIx, task: TaskIx, target: f64) -> f64 {
-        let quality = &self.of(version, task).quality;
-        let rank = self.version(version).map_or(0.5, |known| known.price_rank);
-        // NB: quality rises fast with the first step up in price, and slowly after that.
+    /// Probability that an answer reaches the quality `target`.
+    pub fn p_meets(&self, version: VersionIx, task: TaskIx, target: f64) -> f64 {
+        let quality = &self.version_task(version, task).quality;
+        let rank = self.version(version).map_or(0.5, |estimate| estimate.price_rank);
+        // NB: quality rises steeply among the cheapest versions and flattens with the price.
         let span = QUALITY_PRIOR_DEAREST - QUALITY_PRIOR_CHEAPEST;
         let prior = QUALITY_PRIOR_DEAREST - span * (1.0 - rank).powi(2);
-        let hits = quality.at_least(target) + prior * QUALITY_PRIOR_WEIGHT;
+        let hits = quality.weight_at_least(target) + prior * QUALITY_PRIOR_WEIGHT;
         hits / (quality.total() + QUALITY_PRIOR_WEIGHT)
     }
 
-    /// Probability that `second` meets the target where `first` has missed it.
-    pub fn rescues(&self, first: VersionIx, second: VersionIx, task: TaskIx, target: f64) -> f64 {
+    /// Probability that `second` reaches the target after `first` has missed it.
+    pub fn p_escalation_meets(
+        &self,
+        first: VersionIx,
+        second: VersionIx,
+        task: TaskIx,
+        target: f64,
+    ) -> f64 {
         const PRIOR_WEIGHT: f64 = 6.0;
-        let alone = self.meets(second, task, target);
-        let known = self.rescues.get(first).into_iter().flatten();
-        match known.into_iter().find(|known| known.second == second && known.task == task) {
-            Some(known) => known.met.with_prior(alone, PRIOR_WEIGHT),
-            None => alone,
+        let p_unconditional = self.p_meets(second, task, target);
+        let escalations = self.escalations.get(first).into_iter().flatten();
+        match escalations.into_iter().find(|pair| pair.second == second && pair.task == task) {
+            Some(pair) => pair.met.with_prior(p_unconditional, PRIOR_WEIGHT),
+            None => p_unconditional,
         }
     }
 
-    /// Takes in whether `second` met the target where `first` had missed it.
-    pub fn add_rescue(&mut self, first: VersionIx, second: VersionIx, task: TaskIx, met: bool) {
-        if self.rescues.len() <= first {
-            self.rescues.resize_with(first + 1, Vec::new);
+    /// Records whether `second` reached the target after `first` had missed it.
+    pub fn add_escalation(&mut self, first: VersionIx, second: VersionIx, task: TaskIx, met: bool) {
+        if self.escalations.len() <= first {
+            self.escalations.resize_with(first + 1, Vec::new);
         }
-        let known = &mut self.rescues[first];
-        match known.iter_mut().find(|known| known.second == second && known.task == task) {
-            Some(known) => known.met.add(met),
+        let escalations = &mut self.escalations[first];
+        match escalations.iter_mut().find(|pair| pair.second == second && pair.task == task) {
+            Some(pair) => pair.met.add(met),
             None => {
                 let mut rate = Rate::default();
                 rate.add(met);
-                known.push(Rescue { second, task, met: rate });
+                escalations.push(Escalation { second, task, met: rate });
             }
         }
     }
 
-    /// Probability that a run ends within `limit`.
-    pub fn within(&self, version: VersionIx, task: TaskIx, limit: Duration) -> f64 {
-        let service = &self.of(version, task).service;
-        let total = service.total();
-        if total >= TIME_PRIOR_FADED {
-            return service.within(limit) / total;
+    /// Probability that the service time of a run is at most `limit`.
+    pub fn p_within(&self, version: VersionIx, task: TaskIx, limit: Duration) -> f64 {
+        let service_time = &self.version_task(version, task).service_time;
+        let total = service_time.total();
+        if total >= TIME_PRIOR_MAX_OBSERVATIONS {
+            return service_time.weight_within(limit) / total;
         }
-        let prior = self.prior_within(version, task, limit);
-        (service.within(limit) + prior * TIME_PRIOR_WEIGHT) / (total + TIME_PRIOR_WEIGHT)
+        let prior = self.prior_p_within(version, task, limit);
+        (service_time.weight_within(limit) + prior * TIME_PRIOR_WEIGHT)
+            / (total + TIME_PRIOR_WEIGHT)
     }
 
-    /// Probability that an answer to a task of the usual deadline is late.
-    pub fn usually_late(&self, version: VersionIx, task: TaskIx) -> f64 {
-        let known = self.tasks.get(task).filter(|known| known.deadline_ms.is_known());
-        let deadline_ms = known.map(|known| known.deadline_ms.or(0.0));
-        deadline_ms.map_or(0.0, |ms| 1.0 - self.within(version, task, from_ms(ms)))
+    /// Probability that a run exceeds the mean deadline of its task; 0 if no deadline was seen.
+    pub fn p_late(&self, version: VersionIx, task: TaskIx) -> f64 {
+        let estimate = self.tasks.get(task).filter(|estimate| estimate.deadline_ms.is_known());
+        let deadline_ms = estimate.map(|estimate| estimate.deadline_ms.or(0.0));
+        deadline_ms.map_or(0.0, |ms| 1.0 - self.p_within(version, task, duration_from_ms(ms)))
     }
 
-    /// Takes in the time that a caller allowed.
+    /// Records the time that a caller allowed for a request.
     pub fn add_deadline(&mut self, task: TaskIx, allowed: Duration) {
         self.task_mut(task).deadline_ms.add(allowed.as_secs_f64() * 1e3);
     }
 
-    /// What another version's times on the task say, scaled by how the two compare elsewhere.
-    fn prior_within(&self, version: VersionIx, task: TaskIx, limit: Duration) -> f64 {
-        let anchor = self.tasks.get(task).and_then(|known| known.anchor);
+    /// Prior of [`Self::p_within`]: the anchor's service times, scaled by the slowness ratio.
+    fn prior_p_within(&self, version: VersionIx, task: TaskIx, limit: Duration) -> f64 {
+        let anchor = self.tasks.get(task).and_then(|estimate| estimate.anchor);
         let Some(anchor) = anchor.filter(|anchor| *anchor != version) else {
-            return TIME_PRIOR_ON_TIME;
+            return PRIOR_ON_TIME_PROBABILITY;
         };
-        let slower = self.slower(version, anchor);
-        let service = &self.of(anchor, task).service;
-        let hits = service.within(limit.div_f64(slower)) + TIME_PRIOR_ON_TIME;
-        hits / (service.total() + 1.0)
+        let slowness_ratio = self.slowness_ratio(version, anchor);
+        let service_time = &self.version_task(anchor, task).service_time;
+        let hits =
+            service_time.weight_within(limit.div_f64(slowness_ratio)) + PRIOR_ON_TIME_PROBABILITY;
+        hits / (service_time.total() + 1.0)
     }
 
-    /// How many times slower a version is than another one.
-    fn slower(&self, version: VersionIx, other: VersionIx) -> f64 {
-        let seen = |version| self.version(version).is_some_and(|v| v.service_ms.is_known());
-        let ratio = if seen(version) && seen(other) {
+    /// Ratio of the two versions' service times, from 0.1 to 10.
+    fn slowness_ratio(&self, version: VersionIx, other: VersionIx) -> f64 {
+        let is_observed = |version| self.version(version).is_some_and(|v| v.service_ms.is_known());
+        let ratio = if is_observed(version) && is_observed(other) {
             self.service_ms(version) / self.service_ms(other).max(1.0)
         } else {
-            let guess = |version| self.version(version).map_or(1.0, |v| v.guessed_slowness);
-            guess(version) / guess(other)
+            let prior_slowness = |version| self.version(version).map_or(1.0, |v| v.prior_slowness);
+            prior_slowness(version) / prior_slowness(other)
         };
         ratio.clamp(0.1, 10.0)
     }
@@ -251,9 +260,9 @@
         &mut self.tasks[task]
     }
 
-    /// Expected cost of a run.
+    /// Expected cost of a run, in the currency of the prices.
     pub fn cost(&self, version: VersionIx, task: TaskIx, prompt_tokens: u64) -> f64 {
-        let output = self.of(version, task).output_tokens.or(OUTPUT_PRIOR_TOKENS);
+        let output = self.version_task(version, task).output_tokens.or(OUTPUT_PRIOR_TOKENS);
         let usage = TokenUsage { prompt_tokens, output_tokens: output as u64 };
         self.price(version).cost(usage)
     }
@@ -261,49 +270,57 @@
     /// Mean service time of a version over all tasks, in milliseconds.
     pub fn service_ms(&self, version: VersionIx) -> f64 {
         self.version(version)
-            .map_or(SERVICE_PRIOR_MS, |known| known.service_ms.or(SERVICE_PRIOR_MS))
+            .map_or(SERVICE_PRIOR_MS, |estimate| estimate.service_ms.or(SERVICE_PRIOR_MS))
     }
 
     /// Mean service time of a version on one task, in milliseconds.
-    pub fn service_ms_on(&self, version: VersionIx, task: TaskIx) -> f64 {
-        self.of(version, task).service_ms.or(self.service_ms(version))
+    pub fn task_service_ms(&self, version: VersionIx, task: TaskIx) -> f64 {
+        self.version_task(version, task).service_ms.or(self.service_ms(version))
     }
 
-    /// Takes in a run that ended whole.
-    pub fn add_run(&mut self, version: VersionIx, task: TaskIx, tokens: u64, service: Duration) {
-        let known = self.of_mut(version, task);
-        known.service.add(service);
-        known.service_ms.add(service.as_secs_f64() * 1e3);
-        known.output_tokens.add(tokens as f64);
-        known.failures.add(false);
-        self.version_mut(version).service_ms.add(service.as_secs_f64() * 1e3);
-        self.choose_anchor(version, task);
+    /// Records a run that finished.
+    pub fn add_run(
+        &mut self,
+        version: VersionIx,
+        task: TaskIx,
+        tokens: u64,
+        service_time: Duration,
+    ) {
+        let estimate = self.version_task_mut(version, task);
+        estimate.service_time.add(service_time);
+        estimate.service_ms.add(service_time.as_secs_f64() * 1e3);
+        estimate.output_tokens.add(tokens as f64);
+        estimate.failures.add(false);
+        self.version_mut(version).service_ms.add(service_time.as_secs_f64() * 1e3);
+        self.update_anchor(version, task);
     }
 
-    fn choose_anchor(&mut self, version: VersionIx, task: TaskIx) {
-        let total = |version| self.of(version, task).service.total();
-        let current = self.tasks.get(task).and_then(|known| known.anchor);
+    fn update_anchor(&mut self, version: VersionIx, task: TaskIx) {
+        let total = |version| self.version_task(version, task).service_time.total();
+        let current = self.tasks.get(task).and_then(|estimate| estimate.anchor);
         if current.is_none_or(|anchor| total(version) > total(anchor)) {
             self.task_mut(task).anchor = Some(version);
         }
     }
 
-    /// Takes in a run that was cut short after a time; it would have taken longer.
-    pub fn add_unfinished(&mut self, version: VersionIx, task: TaskIx, at_least: Duration) {
-        const LIKELY_FACTOR: f64 = 1.3;
-        self.of_mut(version, task).service.add(at_least.mul_f64(LIKELY_FACTOR));
+    /// Records a cancelled run as a censored observation: it would have taken longer than `at_least`.
+    pub fn add_censored(&mut self, version: VersionIx, task: TaskIx, at_least: Duration) {
+        const EXPECTED_OVERRUN: f64 = 1.3;
+        self.version_task_mut(version, task).service_time.add(at_least.mul_f64(EXPECTED_OVERRUN));
     }
 
-    /// Forgets a version, so that a name used again starts anew.
+    /// Drops all estimates of a version, so that a reused name starts from the priors.
     pub fn forget(&mut self, version: VersionIx) {
-        if let Some(Some(known)) = self.versions.get_mut(version) {
-            known.tasks.clear();
-            known.service_ms = RunningMean::default();
+        if let Some(Some(estimate)) = self.versions.get_mut(version) {
+            estimate.tasks.clear();
+            estimate.service_ms = RunningMean::default();
         }
-        if let Some(known) = self.rescues.get_mut(version) {
-            known.clear();
+        if let Some(escalations) = self.escalations.get_mut(version) {
+            escalations.clear();
         }
-        self.rescues.iter_mut().for_each(|known| known.retain(|k| k.second != version));
+        self.escalations
+            .iter_mut()
+            .for_each(|escalations| escalations.retain(|pair| pair.second != version));
     }
 
     fn version(&self, version: VersionIx) -> Option<&Version> {
@@ -316,7 +333,7 @@
         }
         self.versions[version].get_or_insert_with(|| Version {
             price: Price::default(),
-            guessed_slowness: 1.0,
+            prior_slowness: 1.0,
             price_rank: 0.5,
             service_ms: RunningMean::default(),
             tasks: Vec::new(),
@@ -324,7 +341,7 @@
     }
 }
 
-/// Cost of a run of ordinary size, for ordering versions by price.
+/// Cost of a typical run (1000 prompt and 300 output tokens), for ordering versions by price.
 pub fn reference_cost(price: &Price) -> f64 {
     const USAGE: TokenUsage = TokenUsage { prompt_tokens: 1_000, output_tokens: 300 };
     price.cost(USAGE)
--- a/crates/decide/src/intern.rs
+++ b/crates/decide/src/intern.rs
@@ -1,4 +1,4 @@
-//! Names as small indices, so that inner loops handle numbers only.
+//! Interning of names as indices, so that inner loops handle integers only.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,15 +11,15 @@
 /// Index of a backend server.
 pub type ServerIx = usize;
 
-/// A table of names.
+/// A bidirectional table of names and indices.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct Interner {
     indices: HashMap<Arc<str>, usize>,
     names: Vec<Arc<str>>,
 }
 
-impl Names {
-    /// The index of a name, new names included.
+impl Interner {
+    /// Returns the index of a name, adding the name if it is new.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -31,12 +31,12 @@
         index
     }
 
-    /// The index of a known name.
+    /// The index of a name, if it has been interned.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// The name at an index.
+    /// The name at an index that [`Self::intern`] returned.
     pub fn name(&self, index: usize) -> &str {
         &self.names[index]
     }
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -1,50 +1,50 @@
-//! What goes into the decision and what comes out.
+//! Input and output types of the router.
 
 use std::time::Duration;
 
 use pondwalk_types::{DataCentreId, Refusal, ServerId, VersionId};
 
-/// A request as far as the decision needs to know it.
+/// The properties of a request that the router uses.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// Whose request it is.
+    /// The workspace of the caller.
     pub workspace: &'a str,
-    /// What kind of work it is.
+    /// The kind of work.
     pub task: &'a str,
-    /// The conversation it belongs to, if any.
+    /// The session that it belongs to, if any.
     pub session: Option<&'a str>,
-    /// The version that the caller's verified pin names, if it brought one.
+    /// The version named by the caller's verified session pin, if any.
     pub pin: Option<&'a str>,
-    /// The plain service that it calls, if it is not for a model.
+    /// The plain service that it calls, if it does not call a model.
     pub service: Option<&'a str>,
-    /// The version that the caller insists on, if any.
+    /// The version that the caller requests explicitly, if any.
     pub version: Option<&'a str>,
-    /// Size of the prompt.
+    /// Estimated size of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Fingerprint of the prompt's cacheable prefix, if any.
+    /// Hash of the prompt's cacheable prefix, if any.
     pub prefix: Option<u64>,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Duration,
-    /// When its answer is due.
+    /// Time by which the answer is due.
     pub deadline: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the caller wants tokens as they are generated.
     pub streaming: bool,
 }
 
-/// What a server says of itself, or what the instance list says of it.
+/// State of a server, as reported by its agent or by the instance list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerId,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// What it hosts.
+    /// Versions that it hosts.
     pub versions: Vec<VersionId>,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Requests that it has running and waiting, if it said so.
+    /// Number of requests running and waiting, if reported.
     pub load: Option<u32>,
 }
 
@@ -55,32 +55,32 @@
     pub version: VersionId,
     /// The server to run it on.
     pub server: ServerId,
-    /// If set, the answer is held until it is rated, at most for this long.
+    /// If set, the answer is held until it is rated, for at most this long.
     pub rating_timeout: Option<Duration>,
-    /// Whether the version is on trial, so that its answer should always be rated.
+    /// Whether the version is on trial, so that every answer should be rated.
     pub on_trial: bool,
-    /// If set, deliver the answer in hand when this time comes and the run has not ended.
+    /// If set, time at which the earlier answer is delivered unless the run has ended.
     pub fallback_deadline: Option<Duration>,
 }
 
-/// A run that ended whole.
+/// The result of a run that finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRun {
     /// Tokens generated.
     pub output_tokens: u64,
-    /// Time the server worked on it, without queueing.
+    /// Time that the server worked on it, without queueing.
     pub service_time: Duration,
 }
 
-/// What to do next with a request.
+/// The next step for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NextAction {
-    /// Deliver the answer in hand.
+    /// Deliver the best answer so far.
     Deliver,
-    /// Wait for the rating of the answer in hand, at most this long.
+    /// Wait for the rating of the latest answer, for at most this long.
     AwaitRating(Duration),
     /// Start another run.
     Run(PlannedRun),
-    /// Give up.
+    /// Refuse the request.
     Refuse(Refusal),
 }
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -1,10 +1,10 @@
-//! The entry's side of the decision: one value that plans requests and learns from them.
+//! The router of an entry: plans requests and updates its estimates from their outcomes.
 
 mod admit;
 mod choose;
 mod learn;
-mod members;
-mod steps;
+mod lifecycle;
+mod membership;
 
 use std::time::Duration;
 
@@ -13,64 +13,65 @@
 };
 
 use crate::{
-    account::{Account, SlackLevel},
     budget::{RetryBudget, SpendBudget},
     estimate::{Estimates, RunningMean},
-    intern::{Names, TaskIx, VersionIx, WorkspaceIx},
-    plan::RatingOutlook,
+    intern::{Interner, TaskIx, VersionIx, WorkspaceIx},
+    plan::RatingAvailability,
+    quality_balance::{BalanceMidpoint, QualityBalance},
     servers::Servers,
     session::Sessions,
     trial::{Trial, TrialStage, TripCause},
-    tuning::{RATING_MISSES_LIMIT, RATING_PROBE_EVERY, RATING_WAIT_PRIOR},
+    tuning::{MAX_RATING_MISSES, MIN_RATING_TIMEOUT, RATING_PROBE_REQUESTS},
 };
 
-/// Counts of what the router did, for metrics.
+/// Counters for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Second runs made because an answer was poor.
+    /// Runs started because an answer missed its target.
     pub escalations: u64,
-    /// Further runs made because one failed.
+    /// Runs started because an earlier run failed.
     pub retries: u64,
-    /// Runs that an agent refused before they started.
+    /// Runs refused by an agent before they started.
     pub refusals: u64,
-    /// Sessions that started anew on another version.
+    /// Sessions restarted on another version.
     pub session_restarts: u64,
 }
 
-/// A workspace with its names resolved.
+/// The policy of a workspace with names resolved to indices, and its state.
 #[derive(Debug, Default)]
 struct Workspace {
     policy: WorkspacePolicy,
     allowed: Vec<VersionIx>,
     tasks: Vec<Option<TaskPolicy>>,
-    accounts: Vec<Account>,
+    balances: Vec<QualityBalance>,
     spend: SpendBudget,
 }
 
+/// The trial of a version that is being rolled out.
 #[derive(Debug)]
 struct RollOutTrial {
     version: VersionIx,
     replaces: VersionIx,
     trial: Trial,
-    /// Runs that the new version may still have for those that the old one had.
+    /// Runs granted to the new version for runs of the old one, and not yet used.
     credit: f64,
 }
 
-/// Plans requests, follows them and learns from them.
+/// Plans the runs of requests and updates its estimates from their outcomes.
 #[derive(Debug, Default)]
 pub struct Router {
     generation: Generation,
-    versions: Names,
-    tasks: Names,
-    workspace_names: Names,
-    server_names: Names,
+    versions: Interner,
+    tasks: Interner,
+    workspace_names: Interner,
+    server_names: Interner,
     states: Vec<Option<VersionState>>,
     services: Vec<VersionIx>,
     workspaces: Vec<Option<Workspace>>,
     roll_outs: Vec<RollOutTrial>,
     estimates: Estimates,
-    /// Levels of slack by task.
-    levels: Vec<SlackLevel>,
+    /// Midpoints of the penalty curves, by task.
+    midpoints: Vec<BalanceMidpoint>,
     servers: Servers,
     sessions: Sessions,
     retries: RetryBudget,
@@ -81,14 +82,14 @@
 }
 
 impl Router {
-    /// A router for a process in the given data centre, with no configuration yet.
+    /// A router without a configuration, for a process in the given data centre.
     pub fn new(data_centre: &str) -> Self {
         let mut router = Router::default();
-        router.servers.set_home(data_centre);
+        router.servers.set_local_data_centre(data_centre);
         router
     }
 
-    /// Puts a configuration in force, unless one as new is there already; tells whether it did.
+    /// Installs a configuration unless its generation is not newer; returns whether it did.
     pub fn install(&mut self, generation: Generation, policy: &Policy) -> bool {
         if generation <= self.generation {
             return false;
@@ -105,20 +106,20 @@
         self.generation
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> RouterCounters {
         self.counters
     }
 
-    /// What a workspace has spent at this process.
+    /// Amount that a workspace has spent at this process.
     pub fn spent(&self, workspace: &str) -> f64 {
         let workspace = self.workspace_names.find(workspace).and_then(|ix| self.workspace(ix));
         workspace.map_or(0.0, |workspace| workspace.spend.spent())
     }
 
-    /// What a workspace may still spend of its slice at this process; `None` means without limit.
+    /// Remainder of the workspace's spend slice at this process; `None` means unlimited.
     pub fn remaining_spend(&self, workspace: &str) -> Option<f64> {
-        self.workspace_names.find(workspace).and_then(|ix| self.workspace(ix)?.spend.left())
+        self.workspace_names.find(workspace).and_then(|ix| self.workspace(ix)?.spend.remaining())
     }
 
     /// Sets the slice of a workspace's spend cap that this process may use.
@@ -135,7 +136,7 @@
         self.roll_outs.iter().find(|r| r.version == version).map(|r| &r.trial)
     }
 
-    /// Takes over a trip that an agent reported; no effect on versions that are not on trial.
+    /// Applies a trip reported by an agent; no effect on versions that are not on trial.
     pub fn trip(&mut self, now: Duration, version: &str, cause: TripCause) {
         let version = self.versions.find(version);
         if let Some(roll_out) = version.and_then(|version| self.roll_out_mut(version)) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Versions that have tripped, with the cause.
+    /// Tripped versions with the causes.
     pub fn tripped_versions(&self) -> Vec<(VersionId, TripCause)> {
         let tripped = self.roll_outs.iter().filter_map(|roll_out| match roll_out.trial.stage() {
             TrialStage::Tripped(cause) => {
@@ -178,9 +179,11 @@
         for roll_out in &policy.roll_outs {
             let version = self.versions.intern(&roll_out.version);
             let replaces = self.versions.intern(&roll_out.replaces);
-            let known = self.roll_outs.iter().find(|known| known.version == version);
-            let (trial, credit) = match known {
-                Some(known) if known.replaces == replaces => (known.trial, known.credit),
+            let existing = self.roll_outs.iter().find(|existing| existing.version == version);
+            let (trial, credit) = match existing {
+                Some(existing) if existing.replaces == replaces => {
+                    (existing.trial, existing.credit)
+                }
                 _ => {
                     self.estimates.forget(version);
                     (Trial::default(), 0.0)
@@ -192,10 +195,10 @@
     }
 
     fn install_workspaces(&mut self, policy: &Policy) {
-        let mut former = std::mem::take(&mut self.workspaces);
+        let mut previous = std::mem::take(&mut self.workspaces);
         for (name, workspace) in &policy.workspaces {
             let ix = self.workspace_names.intern(name);
-            let kept = former.get_mut(ix).and_then(Option::take).unwrap_or_default();
+            let kept = previous.get_mut(ix).and_then(Option::take).unwrap_or_default();
             let resolved = self.resolve(workspace, kept);
             if self.workspaces.len() <= ix {
                 self.workspaces.resize_with(ix + 1, || None);
@@ -216,11 +219,11 @@
             tasks[ix] = Some(*task);
         }
         let mut spend = kept.spend;
-        // NB: a fleet replaces the whole cap by slices of it; a cap that stays keeps its slice.
+        // NB: processes replace the cap by their slices of it, so a changed cap keeps the slice.
         if policy.spend_cap.is_some() != kept.policy.spend_cap.is_some() {
             spend.set_limit(policy.spend_cap);
         }
-        Workspace { policy: policy.clone(), allowed, tasks, accounts: kept.accounts, spend }
+        Workspace { policy: policy.clone(), allowed, tasks, balances: kept.balances, spend }
     }
 
     fn workspace(&self, ix: WorkspaceIx) -> Option<&Workspace> {
@@ -244,41 +247,41 @@
             .is_some_and(|roll_out| matches!(roll_out.trial.stage(), TrialStage::Tripped(_)))
     }
 
-    /// Whether a version may take new work of old sessions.
-    fn serves_sessions(&self, version: VersionIx) -> bool {
+    /// Whether a version accepts requests of existing sessions.
+    fn accepts_session_work(&self, version: VersionIx) -> bool {
         let state = self.state(version);
         matches!(state, Some(VersionState::Live | VersionState::Retiring))
             && !self.is_tripped(version)
     }
 
-    /// Whether a version may take work that belongs to no old session.
-    fn serves_new(&self, version: VersionIx) -> bool {
+    /// Whether a version accepts requests outside existing sessions.
+    fn accepts_new_work(&self, version: VersionIx) -> bool {
         self.state(version) == Some(VersionState::Live) && !self.is_tripped(version)
     }
 
-    fn account(&self, workspace: WorkspaceIx, task: TaskIx) -> Account {
-        let accounts = self.workspace(workspace).map(|w| w.accounts.as_slice());
-        accounts.and_then(|accounts| accounts.get(task)).copied().unwrap_or_default()
+    fn balance(&self, workspace: WorkspaceIx, task: TaskIx) -> QualityBalance {
+        let balances = self.workspace(workspace).map(|w| w.balances.as_slice());
+        balances.and_then(|balances| balances.get(task)).copied().unwrap_or_default()
     }
 
-    fn level(&self, task: TaskIx) -> SlackLevel {
-        self.levels.get(task).copied().unwrap_or_default()
+    fn midpoint(&self, task: TaskIx) -> BalanceMidpoint {
+        self.midpoints.get(task).copied().unwrap_or_default()
     }
 
-    fn account_mut(&mut self, workspace: WorkspaceIx, task: TaskIx) -> Option<&mut Account> {
-        let accounts = &mut self.workspaces.get_mut(workspace)?.as_mut()?.accounts;
-        if accounts.len() <= task {
-            accounts.resize(task + 1, Account::default());
+    fn balance_mut(&mut self, workspace: WorkspaceIx, task: TaskIx) -> Option<&mut QualityBalance> {
+        let balances = &mut self.workspaces.get_mut(workspace)?.as_mut()?.balances;
+        if balances.len() <= task {
+            balances.resize(task + 1, QualityBalance::default());
         }
-        accounts.get_mut(task)
+        balances.get_mut(task)
     }
 
-    fn rating_outlook(&self) -> RatingOutlook {
-        let probing = self.requests.is_multiple_of(u64::from(RATING_PROBE_EVERY));
-        let prior_ms = RATING_WAIT_PRIOR.as_secs_f64() * 1e3 / 2.0;
-        RatingOutlook {
-            delay: crate::plan::from_ms(self.rating_delay_ms.or(prior_ms)),
-            up: self.rating_misses < RATING_MISSES_LIMIT || probing,
+    fn rating_availability(&self) -> RatingAvailability {
+        let probing = self.requests.is_multiple_of(u64::from(RATING_PROBE_REQUESTS));
+        let prior_ms = MIN_RATING_TIMEOUT.as_secs_f64() * 1e3 / 2.0;
+        RatingAvailability {
+            delay: crate::plan::duration_from_ms(self.rating_delay_ms.or(prior_ms)),
+            is_available: self.rating_misses < MAX_RATING_MISSES || probing,
         }
     }
 
--- a/crates/decide/src/router/admit.rs
+++ b/crates/decide/src/router/admit.rs
@@ -1,4 +1,4 @@
-//! Requests against the policy, and the versions that they are bound to.
+//! Admission of requests by the policy, and their binding to versions.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use super::Router;
 use crate::{
-    flight::InFlightRequest,
+    in_flight::InFlightRequest,
     intern::{VersionIx, WorkspaceIx},
     request::Request,
-    tuning::SESSION_REQUESTS,
+    tuning::EXPECTED_SESSION_REQUESTS,
 };
 
 impl Router {
-    /// Checks a request against the policy and opens its flight.
+    /// Checks a request against the policy and creates its in-flight state.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -26,11 +26,11 @@
         let workspace =
             workspace.filter(|ix| self.workspace(*ix).is_some()).ok_or(Refusal::UnknownCaller)?;
         let task = self.tasks.intern(request.task);
-        let mut flight = InFlightRequest {
+        let mut in_flight = InFlightRequest {
             workspace,
             task,
             target: None,
-            only: None,
+            bound_version: None,
             session: request.session.filter(|_| request.service.is_none()).map(Box::from),
             session_restarted: false,
             prompt_tokens: request.prompt_tokens,
@@ -39,24 +39,24 @@
             deadline: request.deadline,
             repeatable: request.repeatable,
             streaming: request.streaming,
-            tried: Vec::new(),
-            avoid: Vec::new(),
+            tried_versions: Vec::new(),
+            avoided_servers: Vec::new(),
             refusals: 0,
             run: None,
             is_pass_through: false,
             answer: None,
-            former: None,
-            booked: None,
+            previous_answer: None,
+            expected_meets: None,
             spent: 0.0,
         };
         match request.service {
-            Some(service) => flight.only = Some(self.service(workspace, service)?),
-            None => self.admit_chat(now, request, &mut flight)?,
+            Some(service) => in_flight.bound_version = Some(self.service(workspace, service)?),
+            None => self.admit_chat(now, request, &mut in_flight)?,
         }
-        if now >= flight.deadline {
-            return Err(Refusal::TooLate { deadline_ms: flight.stated_deadline_ms() });
+        if now >= in_flight.deadline {
+            return Err(Refusal::TooLate { deadline_ms: in_flight.stated_deadline_ms() });
         }
-        Ok(flight)
+        Ok(in_flight)
     }
 
     fn service(&self, workspace: WorkspaceIx, service: &str) -> Result<VersionIx, Refusal> {
@@ -73,27 +73,27 @@
         &mut self,
         now: Duration,
         request: &Request<'_>,
-        flight: &mut InFlightRequest,
+        in_flight: &mut InFlightRequest,
     ) -> Result<(), Refusal> {
-        flight.target = self.target(flight.workspace, flight.task);
-        self.estimates.add_deadline(flight.task, flight.time_left(flight.arrived));
+        in_flight.target = self.target(in_flight.workspace, in_flight.task);
+        self.estimates.add_deadline(in_flight.task, in_flight.time_left(in_flight.arrived));
         let only_listed =
-            self.workspace(flight.workspace).is_some_and(|w| w.policy.only_listed_tasks);
-        if only_listed && flight.target.is_none() {
+            self.workspace(in_flight.workspace).is_some_and(|w| w.policy.only_listed_tasks);
+        if only_listed && in_flight.target.is_none() {
             return Err(Refusal::TaskNotAllowed);
         }
         if let Some(name) = request.version {
-            flight.only = Some(self.insisted(flight.workspace, name)?);
+            in_flight.bound_version = Some(self.requested_version(in_flight.workspace, name)?);
         }
         if let Some(session) = request.session {
-            self.sessions.count(flight.workspace, flight.task);
-            if let Some(account) = self.account_mut(flight.workspace, flight.task) {
-                account.redeem();
+            self.sessions.record_request(in_flight.workspace, in_flight.task);
+            if let Some(balance) = self.balance_mut(in_flight.workspace, in_flight.task) {
+                balance.consume_commitment();
             }
-            let remembered = || self.sessions.pin(flight.workspace, session, now);
-            let pin = request.pin.and_then(|pin| self.versions.find(pin)).or_else(remembered);
+            let remembered_pin = || self.sessions.pinned_version(in_flight.workspace, session, now);
+            let pin = request.pin.and_then(|pin| self.versions.find(pin)).or_else(remembered_pin);
             if let Some(pin) = pin {
-                self.apply_pin(now, flight, pin)?;
+                self.apply_pin(now, in_flight, pin)?;
             }
         }
         Ok(())
@@ -103,8 +103,8 @@
         self.workspace(workspace)?.tasks.get(task).copied().flatten()
     }
 
-    /// The version that the caller insists on.
-    fn insisted(&self, workspace: WorkspaceIx, name: &str) -> Result<VersionIx, Refusal> {
+    /// The index of the version that the caller requests explicitly.
+    fn requested_version(&self, workspace: WorkspaceIx, name: &str) -> Result<VersionIx, Refusal> {
         let refusal = || Refusal::VersionNotAllowed(name.to_owned());
         let version = self.versions.find(name).ok_or_else(refusal)?;
         if !self.workspace(workspace).is_some_and(|w| w.allowed.contains(&version)) {
@@ -118,83 +118,88 @@
         }
     }
 
-    /// Binds a request to its session's version, or ends the session if that version is gone.
+    /// Binds a request to its session's version, or restarts the session if it is unavailable.
     fn apply_pin(
         &mut self,
         now: Duration,
-        flight: &mut InFlightRequest,
+        in_flight: &mut InFlightRequest,
         pin: VersionIx,
     ) -> Result<(), Refusal> {
-        if flight.only.is_some_and(|insisted| insisted != pin) && self.may_go_on(flight, pin) {
+        if in_flight.bound_version.is_some_and(|version| version != pin)
+            && self.is_still_allowed(in_flight, pin)
+        {
             return Err(Refusal::BadSessionPin);
         }
-        flight.only = Some(pin);
-        if let Some(session) = flight.session.as_deref() {
-            self.sessions.keep(flight.workspace, session, pin, now);
+        in_flight.bound_version = Some(pin);
+        if let Some(session) = in_flight.session.as_deref() {
+            self.sessions.pin_session(in_flight.workspace, session, pin, now);
         }
-        self.check_binding(now, flight)
+        self.revalidate_binding(now, in_flight)
     }
 
-    /// Looks again at the only version that a request may run on, since the configuration may
-    /// have changed while it waited.
-    pub(super) fn check_binding(
+    /// Checks the bound version of a request again, because the configuration may have changed
+    /// since the request arrived.
+    pub(super) fn revalidate_binding(
         &mut self,
         now: Duration,
-        flight: &mut InFlightRequest,
+        in_flight: &mut InFlightRequest,
     ) -> Result<(), Refusal> {
-        // NB: another request of the session may have started it anew while this one waited.
-        let session = flight.session.as_deref();
-        let renewed = session.and_then(|session| self.sessions.pin(flight.workspace, session, now));
-        if flight.only.is_some() && renewed.is_some() {
-            flight.only = renewed;
-        }
-        let Some(only) = flight.only.filter(|only| !self.services.contains(only)) else {
+        // NB: another request may have restarted the session in the meantime.
+        let session = in_flight.session.as_deref();
+        let current_pin = session
+            .and_then(|session| self.sessions.pinned_version(in_flight.workspace, session, now));
+        if in_flight.bound_version.is_some() && current_pin.is_some() {
+            in_flight.bound_version = current_pin;
+        }
+        let Some(bound_version) =
+            in_flight.bound_version.filter(|bound_version| !self.services.contains(bound_version))
+        else {
             return Ok(());
         };
-        if self.may_go_on(flight, only) {
+        if self.is_still_allowed(in_flight, bound_version) {
             return Ok(());
         }
-        if flight.session.is_none() || !self.restart_allowed(flight.workspace) {
-            return Err(Refusal::VersionWithdrawn(self.versions.name(only).to_owned()));
+        if in_flight.session.is_none() || !self.restart_allowed(in_flight.workspace) {
+            return Err(Refusal::VersionWithdrawn(self.versions.name(bound_version).to_owned()));
         }
-        flight.only = None;
-        flight.session_restarted = true;
+        in_flight.bound_version = None;
+        in_flight.session_restarted = true;
         self.counters.session_restarts += 1;
         Ok(())
     }
 
-    /// Pins the request's session, if it has one, to the version chosen.
-    pub(super) fn bind_session(
+    /// Pins the request's session, if it has one, to the chosen version.
+    pub(super) fn pin_session(
         &mut self,
         now: Duration,
-        flight: &mut InFlightRequest,
+        in_flight: &mut InFlightRequest,
         version: VersionIx,
     ) {
-        let Some(session) = flight.session.as_deref() else {
+        let Some(session) = in_flight.session.as_deref() else {
             return;
         };
-        self.sessions.keep(flight.workspace, session, version, now);
-        if flight.only.replace(version).is_none() {
-            self.commit_session(flight.workspace, version);
+        self.sessions.pin_session(in_flight.workspace, session, version, now);
+        if in_flight.bound_version.replace(version).is_none() {
+            self.commit_session(in_flight.workspace, version);
         }
     }
 
-    fn may_go_on(&self, flight: &InFlightRequest, version: VersionIx) -> bool {
+    fn is_still_allowed(&self, in_flight: &InFlightRequest, version: VersionIx) -> bool {
         let allowed =
-            self.workspace(flight.workspace).is_some_and(|w| w.allowed.contains(&version));
-        allowed && self.serves_sessions(version)
+            self.workspace(in_flight.workspace).is_some_and(|w| w.allowed.contains(&version));
+        allowed && self.accepts_session_work(version)
     }
 
-    /// Expects of each task's account what a new session is likely to bring.
+    /// Adds the expected answers of a new session to the quality balance of each task.
     fn commit_session(&mut self, workspace: WorkspaceIx, version: VersionIx) {
-        let mix: Vec<_> = self.sessions.mix(workspace).collect();
-        for (task, share) in mix {
+        let task_shares: Vec<_> = self.sessions.task_shares(workspace).collect();
+        for (task, share) in task_shares {
             let Some(target) = self.target(workspace, task) else {
                 continue;
             };
-            let meets = self.estimates.meets(version, task, target.quality_target);
-            if let Some(account) = self.account_mut(workspace, task) {
-                account.commit(target, meets, share * SESSION_REQUESTS);
+            let p_meets = self.estimates.p_meets(version, task, target.quality_target);
+            if let Some(balance) = self.balance_mut(workspace, task) {
+                balance.commit_answers(target, p_meets, share * EXPECTED_SESSION_REQUESTS);
             }
         }
     }
--- a/crates/decide/src/router/choose.rs
+++ b/crates/decide/src/router/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of version and server for one run.
+//! Choice of the version and server for one run.
 
 use std::time::Duration;
 
@@ -8,32 +8,32 @@
 use super::{RollOutTrial, Router};
 use crate::{
     estimate::reference_cost,
-    flight::InFlightRequest,
+    in_flight::InFlightRequest,
     intern::{ServerIx, VersionIx},
     plan::{Candidate, Choice, Planner, SessionTask},
-    servers::Wanted,
-    tuning::{HOPELESS, SESSION_REQUESTS, TRIAL_OVERDUE},
+    servers::ServerQuery,
+    tuning::{EXPECTED_SESSION_REQUESTS, MIN_ON_TIME_PROBABILITY, OVERDUE_TRIAL_CREDIT_RUNS},
 };
 
 impl Router {
-    /// Chooses version and server for a run whose answer would be the first in hand.
-    pub(super) fn choose<R: Rng + ?Sized>(
+    /// Chooses the version and server of a run that is not an escalation.
+    pub(super) fn choose_run<R: Rng + ?Sized>(
         &mut self,
         now: Duration,
         rng: &mut R,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
     ) -> Result<(Choice, ServerIx), Refusal> {
-        let mut candidates = self.candidates(now, flight)?;
+        let mut candidates = self.candidates(now, in_flight)?;
         while !candidates.is_empty() {
-            let Some(choice) = self.choose_version(now, flight, &candidates) else {
+            let Some(choice) = self.choose_version(now, in_flight, &candidates) else {
                 break;
             };
             let waits = candidates.iter().any(|c| c.version == choice.version && c.wait_ms > 0.0);
-            if waits && choice.on_time < HOPELESS {
-                return Err(Refusal::TooLate { deadline_ms: flight.stated_deadline_ms() });
+            if waits && choice.p_on_time < MIN_ON_TIME_PROBABILITY {
+                return Err(Refusal::TooLate { deadline_ms: in_flight.stated_deadline_ms() });
             }
-            let choice = self.on_trial_instead(flight, choice);
-            if let Some(server) = self.server_for(now, rng, flight, choice.version) {
+            let choice = self.substitute_trial_version(in_flight, choice);
+            if let Some(server) = self.choose_server(now, rng, in_flight, choice.version) {
                 return Ok((choice, server));
             }
             candidates.retain(|candidate| candidate.version != choice.version);
@@ -44,158 +44,177 @@
     fn choose_version(
         &self,
         now: Duration,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
         candidates: &[Candidate],
     ) -> Option<Choice> {
-        let planner = self.planner(flight, candidates);
-        if flight.only.is_some() {
-            return candidates.first().map(|candidate| planner.only(flight, now, *candidate));
+        let planner = self.planner(in_flight, candidates);
+        if in_flight.bound_version.is_some() {
+            return candidates
+                .first()
+                .map(|candidate| planner.choose_bound(in_flight, now, *candidate));
         }
-        if flight.session.is_none() {
-            return planner.first(flight, now);
+        if in_flight.session.is_none() {
+            return planner.choose_first(in_flight, now);
         }
-        let mix = self.sessions.mix(flight.workspace).filter_map(|(task, share)| {
-            let target = self.target(flight.workspace, task)?;
-            Some(SessionTask {
-                task,
-                requests: share * SESSION_REQUESTS,
-                policy: target,
-                account: self.account(flight.workspace, task),
-                level: self.level(task),
-            })
-        });
-        planner.session(flight, now, mix)
+        let session_tasks =
+            self.sessions.task_shares(in_flight.workspace).filter_map(|(task, share)| {
+                let target = self.target(in_flight.workspace, task)?;
+                Some(SessionTask {
+                    task,
+                    requests: share * EXPECTED_SESSION_REQUESTS,
+                    policy: target,
+                    balance: self.balance(in_flight.workspace, task),
+                    midpoint: self.midpoint(task),
+                })
+            });
+        planner.choose_for_session(in_flight, now, session_tasks)
     }
 
     pub(super) fn planner<'a>(
         &'a self,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
         candidates: &'a [Candidate],
     ) -> Planner<'a> {
         Planner {
             estimates: &self.estimates,
-            account: self.account(flight.workspace, flight.task),
-            level: self.level(flight.task),
-            rating: self.rating_outlook(),
+            balance: self.balance(in_flight.workspace, in_flight.task),
+            midpoint: self.midpoint(in_flight.task),
+            rating: self.rating_availability(),
             candidates,
         }
     }
 
-    /// Versions that may run the request now.
+    /// Versions that may run the request now, with their expected waits.
     pub(super) fn candidates(
         &self,
         now: Duration,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
     ) -> Result<Vec<Candidate>, Refusal> {
         let candidate = |version: VersionIx| {
             let service_ms = self.estimates.service_ms(version);
             let wait_ms = self.servers.expected_wait_ms(now, version, service_ms);
             Candidate { version, wait_ms }
         };
-        if let Some(only) = flight.only {
-            let hosted = self.servers.hosts(only).then(|| candidate(only));
-            return hosted.map(|only| vec![only]).ok_or(Refusal::NoServer);
+        if let Some(bound_version) = in_flight.bound_version {
+            let hosted = self.servers.is_hosted(bound_version).then(|| candidate(bound_version));
+            return hosted.map(|bound_version| vec![bound_version]).ok_or(Refusal::NoServer);
         }
-        let workspace = self.workspace(flight.workspace).ok_or(Refusal::UnknownCaller)?;
-        let open = workspace.allowed.iter().filter(|version| {
-            self.serves_new(**version)
-                && self.servers.hosts(**version)
-                && !self.waits_for_evidence(workspace, **version)
+        let workspace = self.workspace(in_flight.workspace).ok_or(Refusal::UnknownCaller)?;
+        let runnable = workspace.allowed.iter().filter(|version| {
+            self.accepts_new_work(**version)
+                && self.servers.is_hosted(**version)
+                && !self.is_substitute_only(workspace, **version)
         });
-        let candidates: Vec<Candidate> = open.map(|version| candidate(*version)).collect();
+        let candidates: Vec<Candidate> = runnable.map(|version| candidate(*version)).collect();
         if candidates.is_empty() {
             return Err(Refusal::NoServer);
         }
         let affordable = |candidate: &Candidate| {
-            let cost = self.estimates.cost(candidate.version, flight.task, flight.prompt_tokens);
-            workspace.spend.affords(cost)
+            let cost =
+                self.estimates.cost(candidate.version, in_flight.task, in_flight.prompt_tokens);
+            workspace.spend.can_afford(cost)
         };
         let candidates: Vec<Candidate> = candidates.into_iter().filter(affordable).collect();
         if candidates.is_empty() { Err(Refusal::SpendCap) } else { Ok(candidates) }
     }
 
-    /// Whether a version on trial gets work only in place of the version that it replaces.
-    fn waits_for_evidence(&self, workspace: &super::Workspace, version: VersionIx) -> bool {
+    /// Whether a version on trial only substitutes for runs of the version that it replaces.
+    fn is_substitute_only(&self, workspace: &super::Workspace, version: VersionIx) -> bool {
         let Some(roll_out) = self.roll_out(version) else {
             return false;
         };
         let old = roll_out.replaces;
-        workspace.allowed.contains(&old) && self.serves_new(old) && self.servers.hosts(old)
+        workspace.allowed.contains(&old)
+            && self.accepts_new_work(old)
+            && self.servers.is_hosted(old)
     }
 
-    /// Puts a version on trial in the place of another, within its share.
+    /// Substitutes a version on trial for the chosen one, within the trial's share.
     ///
-    /// The share is counted in runs of the old version, those of sessions included, and given out
-    /// to requests that can be judged and repeated. Where too few of them would use the old
-    /// version anyway, some that would use a cheaper one go to the new version as well.
-    pub(super) fn on_trial_instead(&self, flight: &InFlightRequest, choice: Choice) -> Choice {
-        let new = self.roll_outs.iter().find(|roll_out| self.takes_over(flight, choice, roll_out));
+    /// The share is counted in runs of the old version, sessions included, and granted to
+    /// repeatable requests that can be rated. If too few of these use the old version, some that
+    /// would use a cheaper version run on the new one as well.
+    pub(super) fn substitute_trial_version(
+        &self,
+        in_flight: &InFlightRequest,
+        choice: Choice,
+    ) -> Choice {
+        let new =
+            self.roll_outs.iter().find(|roll_out| self.can_substitute(in_flight, choice, roll_out));
         match new {
             Some(roll_out) => Choice {
                 version: roll_out.version,
-                hold: choice.hold || self.may_judge(flight),
+                hold: choice.hold || self.can_await_rating(in_flight),
                 ..choice
             },
             None => choice,
         }
     }
 
-    fn takes_over(
+    fn can_substitute(
         &self,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
         choice: Choice,
         roll_out: &RollOutTrial,
     ) -> bool {
         let RollOutTrial { version: new, replaces: old, ref trial, credit } = *roll_out;
-        if flight.only.is_some() || flight.tried.contains(&new) || trial.share() == 0.0 {
+        if in_flight.bound_version.is_some()
+            || in_flight.tried_versions.contains(&new)
+            || trial.share() == 0.0
+        {
             return false;
         }
-        let allowed = self.workspace(flight.workspace).is_some_and(|w| w.allowed.contains(&new));
-        if !allowed || !self.serves_new(new) || !self.servers.hosts(new) {
+        let allowed = self.workspace(in_flight.workspace).is_some_and(|w| w.allowed.contains(&new));
+        if !allowed || !self.accepts_new_work(new) || !self.servers.is_hosted(new) {
             return false;
         }
-        if flight.session.is_some() || !flight.repeatable {
+        if in_flight.session.is_some() || !in_flight.repeatable {
             return choice.version == old && trial.allows_new_sessions() && credit >= 1.0;
         }
         let cheaper = || {
             let cost = |version| reference_cost(&self.estimates.price(version));
-            cost(choice.version) < cost(old) && flight.answer.is_none() && self.may_judge(flight)
+            cost(choice.version) < cost(old)
+                && in_flight.answer.is_none()
+                && self.can_await_rating(in_flight)
         };
-        let overdue = credit >= TRIAL_OVERDUE && cheaper();
+        let overdue = credit >= OVERDUE_TRIAL_CREDIT_RUNS && cheaper();
         (choice.version == old && credit >= 1.0) || overdue
     }
 
-    /// Whether an answer of a version on trial should be rated before it is shown.
-    fn may_judge(&self, flight: &InFlightRequest) -> bool {
-        flight.repeatable
-            && !flight.streaming
-            && flight.target.is_some()
-            && self.rating_outlook().up
+    /// Whether the answer of a version on trial can be held until it is rated.
+    fn can_await_rating(&self, in_flight: &InFlightRequest) -> bool {
+        in_flight.repeatable
+            && !in_flight.streaming
+            && in_flight.target.is_some()
+            && self.rating_availability().is_available
     }
 
-    pub(super) fn server_for<R: Rng + ?Sized>(
+    pub(super) fn choose_server<R: Rng + ?Sized>(
         &self,
         now: Duration,
         rng: &mut R,
-        flight: &InFlightRequest,
+        in_flight: &InFlightRequest,
         version: VersionIx,
     ) -> Option<ServerIx> {
-        let wanted = Wanted {
+        let query = ServerQuery {
             version,
             service_ms: self.estimates.service_ms(version),
-            prefix: flight.prefix,
-            avoid: &flight.avoid,
+            prefix: in_flight.prefix,
+            avoided_servers: &in_flight.avoided_servers,
         };
-        self.servers.choose(now, rng, wanted).map(|(server, _)| server)
+        self.servers.choose(now, rng, query).map(|(server, _)| server)
     }
 
-    /// Whether a rating could still change what is delivered.
-    pub(super) fn worth_holding(&self, now: Duration, flight: &InFlightRequest) -> bool {
-        let Ok(candidates) = self.candidates(now, flight) else {
+    /// Whether a rating could still lead to an escalation.
+    pub(super) fn is_hold_worthwhile(&self, now: Duration, in_flight: &InFlightRequest) -> bool {
+        let Ok(candidates) = self.candidates(now, in_flight) else {
             return false;
         };
-        let outlook = self.rating_outlook();
-        outlook.up
-            && self.planner(flight, &candidates).rescue(flight, now + outlook.delay).is_some()
+        let availability = self.rating_availability();
+        availability.is_available
+            && self
+                .planner(in_flight, &candidates)
+                .choose_escalation(in_flight, now + availability.delay)
+                .is_some()
     }
 }
--- a/crates/decide/src/session.rs
+++ b/crates/decide/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions and the versions they keep.
+//! Sessions pinned to versions.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,34 +7,39 @@
 
 use crate::{
     intern::{TaskIx, VersionIx, WorkspaceIx},
-    tuning::{SESSION_IDLE, SESSION_LIMIT},
+    tuning::{MAX_SESSIONS, SESSION_IDLE_TIMEOUT},
 };
 
 #[derive(Debug, Clone, Copy)]
 struct Pin {
     version: VersionIx,
-    used: Duration,
+    last_used: Duration,
 }
 
-/// Pins seen by this process, and what sessions of each workspace ask for.
+/// Session pins seen by this process, and the distribution of tasks in sessions.
 #[derive(Debug, Default)]
 pub struct Sessions {
     pins: HashMap<(WorkspaceIx, Box<str>), Pin>,
     order: VecDeque<(WorkspaceIx, Box<str>)>,
-    /// Requests within sessions, by workspace and task.
-    mix: Vec<Vec<f64>>,
+    /// Number of session requests by workspace and task.
+    task_counts: Vec<Vec<f64>>,
 }
 
 impl Sessions {
-    /// The version a session keeps, if it is known here.
-    pub fn pin(&self, workspace: WorkspaceIx, session: &str, now: Duration) -> Option<VersionIx> {
-        // NB: the key is built only for sessions, which carry far larger texts than their name.
+    /// The version that a session is pinned to, if this process has seen it recently.
+    pub fn pinned_version(
+        &self,
+        workspace: WorkspaceIx,
+        session: &str,
+        now: Duration,
+    ) -> Option<VersionIx> {
+        // NB: the allocation is small compared with the prompts that sessions carry.
         let pin = self.pins.get(&(workspace, session.into()))?;
-        (now.saturating_sub(pin.used) <= SESSION_IDLE).then_some(pin.version)
+        (now.saturating_sub(pin.last_used) <= SESSION_IDLE_TIMEOUT).then_some(pin.version)
     }
 
-    /// Pins a session, or notes that its pin was used.
-    pub fn keep(
+    /// Pins a session, or refreshes its pin.
+    pub fn pin_session(
         &mut self,
         workspace: WorkspaceIx,
         session: &str,
@@ -42,37 +47,40 @@
         now: Duration,
     ) {
         let key = (workspace, Box::from(session));
-        if self.pins.insert(key.clone(), Pin { version, used: now }).is_none() {
+        if self.pins.insert(key.clone(), Pin { version, last_used: now }).is_none() {
             self.order.push_back(key);
         }
-        while self.order.len() > SESSION_LIMIT {
+        while self.order.len() > MAX_SESSIONS {
             if let Some(oldest) = self.order.pop_front() {
                 self.pins.remove(&oldest);
             }
         }
     }
 
-    /// Notes what a session asked for.
-    pub fn count(&mut self, workspace: WorkspaceIx, task: TaskIx) {
-        let tasks = self.mix_mut(workspace);
+    /// Records a session request.
+    pub fn record_request(&mut self, workspace: WorkspaceIx, task: TaskIx) {
+        let tasks = self.task_counts_mut(workspace);
         if tasks.len() <= task {
             tasks.resize(task + 1, 0.0);
         }
         tasks[task] += 1.0;
     }
 
-    /// Shares of the tasks in a workspace's sessions; empty before the first.
-    pub fn mix(&self, workspace: WorkspaceIx) -> impl Iterator<Item = (TaskIx, f64)> + Clone + '_ {
-        let tasks = self.mix.get(workspace).map(Vec::as_slice).unwrap_or_default();
+    /// Share of each task in a workspace's session requests; empty before the first request.
+    pub fn task_shares(
+        &self,
+        workspace: WorkspaceIx,
+    ) -> impl Iterator<Item = (TaskIx, f64)> + Clone + '_ {
+        let tasks = self.task_counts.get(workspace).map(Vec::as_slice).unwrap_or_default();
         let total: f64 = tasks.iter().sum();
         let present = tasks.iter().enumerate().filter(|(_, count)| **count > 0.0);
         present.map(move |(task, count)| (task, count / total))
     }
 
-    fn mix_mut(&mut self, workspace: WorkspaceIx) -> &mut Vec<f64> {
-        if self.mix.len() <= workspace {
-            self.mix.resize_with(workspace + 1, Vec::new);
+    fn task_counts_mut(&mut self, workspace: WorkspaceIx) -> &mut Vec<f64> {
+        if self.task_counts.len() <= workspace {
+            self.task_counts.resize_with(workspace + 1, Vec::new);
         }
-        &mut self.mix[workspace]
+        &mut self.task_counts[workspace]
     }
 }
--- a/crates/decide/src/trial.rs
+++ b/crates/decide/src/trial.rs
@@ -1,47 +1,48 @@
-//! The sequential test that a new version passes through while it takes over from an old one.
+//! The sequential test of a new version while it replaces an old one.
 //!
 //! Ratings are standardised by the old version's mean and deviation on the same task and fed to
-//! two one-sided CUSUM tests (Page, 1954): a quick one for large drops and a slow one for small
-//! drops that last. Failures and lateness go to CUSUM tests on the log-likelihood ratio. Any
-//! test over its threshold trips the version. Exposure is held down by a share for each stage
-//! and by a limit on answers without a rating, so that nothing widens without evidence.
+//! two one-sided CUSUM tests (Page, 1954): a fast one for large drops and a slow one for small,
+//! persistent drops. Failures and lateness feed CUSUM tests of the log-likelihood ratio. A test
+//! above its threshold trips the version. Exposure is limited by a traffic share for each stage
+//! and by the number of unrated runs, so that it does not grow without evidence.
 
 use std::time::Duration;
 
 use crate::tuning::{
-    TRIAL_CLIP, TRIAL_EVENT_LIMIT, TRIAL_FAILURE_BAD, TRIAL_FAILURE_FLOOR, TRIAL_FORGIVE_EVERY,
-    TRIAL_LATE_BAD, TRIAL_LATE_FLOOR, TRIAL_PRIOR_DEVIATION, TRIAL_PRIOR_RATINGS,
-    TRIAL_QUICK_DRIFT, TRIAL_QUICK_LIMIT, TRIAL_REFERENCE_RATINGS, TRIAL_SHARES, TRIAL_SLOW_DRIFT,
-    TRIAL_SLOW_LIMIT, TRIAL_STAGE_RATINGS, TRIAL_UNRATED,
+    BAD_FAILURE_RATE, BAD_LATE_RATE, EVENT_CUSUM_THRESHOLD_NATS, FAST_CUSUM_ALLOWANCE,
+    FAST_CUSUM_THRESHOLD, MAX_STANDARDISED_DROP, MAX_UNRATED_TRIAL_RUNS, MIN_BASE_FAILURE_RATE,
+    MIN_BASE_LATE_RATE, MIN_REFERENCE_RATINGS, OTHER_RATINGS_PER_LOST_RATING,
+    PRIOR_RATING_DEVIATION, PRIOR_RATING_WEIGHT, SLOW_CUSUM_ALLOWANCE, SLOW_CUSUM_THRESHOLD,
+    TRIAL_SHARES, TRIAL_STAGE_RATINGS,
 };
 
-/// What made a trial trip.
+/// The cause of a trip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TripCause {
     /// Ratings dropped far.
     QualityDrop,
-    /// Ratings dropped a little and stayed down.
+    /// Ratings dropped a little and stayed low.
     QualityDrift,
     /// Too many runs failed.
     Failures,
     /// Too many answers were late.
     Lateness,
-    /// An agent's own test stopped it.
+    /// The test at an agent tripped.
     Agent,
 }
 
-/// How far a trial has come.
+/// The stage of a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialStage {
-    /// Still being tried; the number counts from zero.
+    /// In progress, at the given zero-based stage.
     Testing(usize),
-    /// Passed: takes over whatever the old version did, new sessions included.
+    /// Passed: replaces the old version for all requests, new sessions included.
     Passed,
-    /// Stopped for good.
+    /// Stopped permanently.
     Tripped(TripCause),
 }
 
-/// The old version's ratings on the task at hand.
+/// Statistics of the old version's ratings on a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reference {
     /// Number of ratings.
@@ -53,16 +54,16 @@
 }
 
 impl Reference {
-    /// The deviation of a further rating, wide where the reference rests on few ratings.
-    fn spread(&self) -> f64 {
-        let prior = TRIAL_PRIOR_RATINGS * TRIAL_PRIOR_DEVIATION.powi(2);
+    /// Standard deviation of the prediction of one further rating; wider for few ratings.
+    fn prediction_deviation(&self) -> f64 {
+        let prior = PRIOR_RATING_WEIGHT * PRIOR_RATING_DEVIATION.powi(2);
         let seen = self.ratings * self.deviation.powi(2);
-        let variance = (prior + seen) / (TRIAL_PRIOR_RATINGS + self.ratings);
+        let variance = (prior + seen) / (PRIOR_RATING_WEIGHT + self.ratings);
         (variance * (1.0 + 1.0 / self.ratings)).sqrt()
     }
 }
 
-/// Ratings of one version on one task, gathered to serve as a reference.
+/// Accumulates ratings of one version on one task; old ratings lose weight over time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Baseline {
     ratings: f64,
@@ -71,7 +72,7 @@
 }
 
 impl Baseline {
-    /// Takes in a rating.
+    /// Adds a rating from 0 to 1.
     pub fn add(&mut self, quality: f64) {
         const WINDOW: f64 = 600.0;
         if self.ratings >= WINDOW {
@@ -84,7 +85,7 @@
         self.sum_of_squares += quality * quality;
     }
 
-    /// What later ratings of another version are compared with.
+    /// The statistics that ratings of a new version are compared with.
     pub fn reference(&self) -> Reference {
         let ratings = self.ratings.max(1.0);
         let mean = self.sum / ratings;
@@ -93,18 +94,18 @@
     }
 }
 
-/// State of one version's trial.
+/// The state of the trial of one version.
 #[derive(Debug, Clone, Copy)]
 pub struct Trial {
     stage: TrialStage,
     stage_ratings: u32,
-    unrated: u32,
-    others_rated: u32,
+    unrated_runs: u32,
+    other_ratings: u32,
     exposed_runs: u64,
-    quick: f64,
-    slow: f64,
-    failures: f64,
-    lateness: f64,
+    fast_cusum: f64,
+    slow_cusum: f64,
+    failure_cusum: f64,
+    lateness_cusum: f64,
     tripped_at: Option<Duration>,
 }
 
@@ -113,37 +114,37 @@
         Trial {
             stage: TrialStage::Testing(0),
             stage_ratings: 0,
-            unrated: 0,
-            others_rated: 0,
+            unrated_runs: 0,
+            other_ratings: 0,
             exposed_runs: 0,
-            quick: 0.0,
-            slow: 0.0,
-            failures: 0.0,
-            lateness: 0.0,
+            fast_cusum: 0.0,
+            slow_cusum: 0.0,
+            failure_cusum: 0.0,
+            lateness_cusum: 0.0,
             tripped_at: None,
         }
     }
 }
 
 impl Trial {
-    /// How far it has come.
+    /// The current stage.
     pub fn stage(&self) -> TrialStage {
         self.stage
     }
 
-    /// When it tripped, if it did.
+    /// Time of the trip, if the version has tripped.
     pub fn tripped_at(&self) -> Option<Duration> {
         self.tripped_at
     }
 
-    /// Runs started on the version.
+    /// Number of runs started on the version.
     pub fn exposed_runs(&self) -> u64 {
         self.exposed_runs
     }
 
-    /// Share of the old version's runs that the new one may have now, from 0 to 1.
+    /// Current share of the old version's runs that the new version may take, from 0 to 1.
     pub fn share(&self) -> f64 {
-        if self.unrated >= TRIAL_UNRATED {
+        if self.unrated_runs >= MAX_UNRATED_TRIAL_RUNS {
             return 0.0;
         }
         match self.stage {
@@ -153,69 +154,73 @@
         }
     }
 
-    /// Whether new sessions may start on it.
+    /// Whether new sessions may start on the version.
     pub fn allows_new_sessions(&self) -> bool {
-        self.stage == TrialStage::Passed && self.unrated < TRIAL_UNRATED
+        self.stage == TrialStage::Passed && self.unrated_runs < MAX_UNRATED_TRIAL_RUNS
     }
 
-    /// Notes that a run started.
+    /// Records the start of a run.
     pub fn record_start(&mut self) {
         self.exposed_runs += 1;
-        self.unrated = self.unrated.saturating_add(1);
+        self.unrated_runs = self.unrated_runs.saturating_add(1);
     }
 
-    /// Notes that a run was refused before it started.
+    /// Reverts [`Self::record_start`] for a run that was refused before it started.
     pub fn record_not_run(&mut self) {
         self.exposed_runs = self.exposed_runs.saturating_sub(1);
-        self.unrated = self.unrated.saturating_sub(1);
+        self.unrated_runs = self.unrated_runs.saturating_sub(1);
     }
 
-    /// Notes that another version was rated: ratings come, so old ones still missing are lost.
+    /// Records a rating of another version.
+    ///
+    /// While ratings arrive, those that are missing for old runs are lost. One unrated run is
+    /// written off for every few ratings of other versions.
     pub fn record_other_rating(&mut self) {
-        self.others_rated += 1;
-        if self.others_rated.is_multiple_of(TRIAL_FORGIVE_EVERY) {
-            self.unrated = self.unrated.saturating_sub(1);
+        self.other_ratings += 1;
+        if self.other_ratings.is_multiple_of(OTHER_RATINGS_PER_LOST_RATING) {
+            self.unrated_runs = self.unrated_runs.saturating_sub(1);
         }
     }
 
-    /// Takes in a rating.
+    /// Records a rating from 0 to 1 and compares it with the old version's ratings.
     pub fn record_rating(&mut self, now: Duration, quality: f64, reference: Reference) {
-        self.unrated = self.unrated.saturating_sub(1);
-        if reference.ratings < TRIAL_REFERENCE_RATINGS {
+        self.unrated_runs = self.unrated_runs.saturating_sub(1);
+        if reference.ratings < MIN_REFERENCE_RATINGS {
             return;
         }
-        let deviation = reference.spread();
-        let drop = ((reference.mean - quality) / deviation).clamp(-TRIAL_CLIP, TRIAL_CLIP);
-        self.quick = (self.quick + drop - TRIAL_QUICK_DRIFT).max(0.0);
-        self.slow = (self.slow + drop - TRIAL_SLOW_DRIFT).max(0.0);
-        if self.quick > TRIAL_QUICK_LIMIT {
+        let deviation = reference.prediction_deviation();
+        let drop = ((reference.mean - quality) / deviation)
+            .clamp(-MAX_STANDARDISED_DROP, MAX_STANDARDISED_DROP);
+        self.fast_cusum = (self.fast_cusum + drop - FAST_CUSUM_ALLOWANCE).max(0.0);
+        self.slow_cusum = (self.slow_cusum + drop - SLOW_CUSUM_ALLOWANCE).max(0.0);
+        if self.fast_cusum > FAST_CUSUM_THRESHOLD {
             self.trip(now, TripCause::QualityDrop);
         }
-        if self.slow > TRIAL_SLOW_LIMIT {
+        if self.slow_cusum > SLOW_CUSUM_THRESHOLD {
             self.trip(now, TripCause::QualityDrift);
         }
         self.advance();
     }
 
-    /// Takes in whether a run failed, and how often the old version's runs do.
+    /// Records the end of a run; `old_rate` is the old version's failure rate.
     pub fn record_end(&mut self, now: Duration, failed: bool, old_rate: f64) {
         if failed {
-            self.unrated = self.unrated.saturating_sub(1);
+            self.unrated_runs = self.unrated_runs.saturating_sub(1);
         }
-        let base = old_rate.max(TRIAL_FAILURE_FLOOR);
-        self.failures += event_score(failed, base, TRIAL_FAILURE_BAD.max(3.0 * base));
-        self.failures = self.failures.max(0.0);
-        if self.failures > TRIAL_EVENT_LIMIT {
+        let base = old_rate.max(MIN_BASE_FAILURE_RATE);
+        self.failure_cusum += log_likelihood_ratio(failed, base, BAD_FAILURE_RATE.max(3.0 * base));
+        self.failure_cusum = self.failure_cusum.max(0.0);
+        if self.failure_cusum > EVENT_CUSUM_THRESHOLD_NATS {
             self.trip(now, TripCause::Failures);
         }
     }
 
-    /// Takes in whether an answer was late, and how often the old version's answers are.
+    /// Records a delivery; `old_rate` is the old version's rate of late answers.
     pub fn record_delivery(&mut self, now: Duration, late: bool, old_rate: f64) {
-        let base = old_rate.max(TRIAL_LATE_FLOOR);
-        self.lateness += event_score(late, base, TRIAL_LATE_BAD.max(2.0 * base));
-        self.lateness = self.lateness.max(0.0);
-        if self.lateness > TRIAL_EVENT_LIMIT {
+        let base = old_rate.max(MIN_BASE_LATE_RATE);
+        self.lateness_cusum += log_likelihood_ratio(late, base, BAD_LATE_RATE.max(2.0 * base));
+        self.lateness_cusum = self.lateness_cusum.max(0.0);
+        if self.lateness_cusum > EVENT_CUSUM_THRESHOLD_NATS {
             self.trip(now, TripCause::Lateness);
         }
     }
@@ -234,7 +239,7 @@
         };
     }
 
-    /// Stops the version for good, unless it is stopped already.
+    /// Stops the version permanently; no effect if it has already tripped.
     pub fn trip(&mut self, now: Duration, cause: TripCause) {
         if !matches!(self.stage, TrialStage::Tripped(_)) {
             self.stage = TrialStage::Tripped(cause);
@@ -243,8 +248,8 @@
     }
 }
 
-/// Log-likelihood ratio of one event between a bad rate and the base rate, in nats.
-fn event_score(happened: bool, base: f64, bad: f64) -> f64 {
+/// Log-likelihood ratio of one observation under the bad rate against the base rate, in nats.
+fn log_likelihood_ratio(happened: bool, base: f64, bad: f64) -> f64 {
     let base = base.min(0.98);
     let bad = bad.min(0.99);
     if happened { (bad / base).ln() } else { ((1.0 - bad) / (1.0 - base)).ln() }
--- a/crates/decide/tests/keeps_promises.rs
+++ b/crates/decide/tests/router_invariants.rs
@@ -1,4 +1,7 @@
-//! Whatever the inputs and their order, no decision breaks a promise.
+//! Property test: no sequence of events makes the router violate its invariants.
+//!
+//! Checks after every decision that the version is allowed and not withdrawn, the server hosts it
+//! and accepts work, requests that may not repeat run once, and sessions keep their version.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,16 +20,16 @@
 const TASKS: [&str; 2] = ["quote", "draft"];
 const SERVERS: u8 = 6;
 
-/// One thing that happens to a router.
+/// An event applied to the router.
 #[derive(Debug, Clone)]
 enum Op {
-    Ask { workspace: u8, task: u8, session: Option<u8>, repeatable: bool, streaming: bool },
-    Server { server: u8, version: u8 },
-    Leaving { server: u8 },
+    Request { workspace: u8, task: u8, session: Option<u8>, repeatable: bool, streaming: bool },
+    UpdateServer { server: u8, version: u8 },
+    DrainServer { server: u8 },
     Withdraw { version: u8 },
     Allow { workspace: u8, versions: u8 },
     RollOut,
-    End { flight: u8, how: u8 },
+    EndRun { request: u8, outcome: u8 },
     Wait { ms: u16 },
 }
 
@@ -34,36 +37,36 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let byte = |g: &mut Gen| u8::arbitrary(g);
         match byte(g) % 16 {
-            0..=5 => Op::Ask {
+            0..=5 => Op::Request {
                 workspace: byte(g) % 3,
                 task: byte(g) % 2,
                 session: bool::arbitrary(g).then(|| byte(g) % 4),
                 repeatable: bool::arbitrary(g),
                 streaming: bool::arbitrary(g),
             },
-            6 => Op::Server { server: byte(g) % SERVERS, version: byte(g) % 4 },
-            7 => Op::Leaving { server: byte(g) % SERVERS },
+            6 => Op::UpdateServer { server: byte(g) % SERVERS, version: byte(g) % 4 },
+            7 => Op::DrainServer { server: byte(g) % SERVERS },
             8 => Op::Withdraw { version: byte(g) % 4 },
             9 => Op::Allow { workspace: byte(g) % 3, versions: byte(g) },
             10 => Op::RollOut,
             11 => Op::Wait { ms: u16::arbitrary(g) % 4_000 },
-            _ => Op::End { flight: byte(g), how: byte(g) % 8 },
+            _ => Op::EndRun { request: byte(g), outcome: byte(g) % 8 },
         }
     }
 }
 
-/// A request under way, with what it is known to have done.
-struct Open {
-    flight: InFlightRequest,
-    step: PlannedRun,
+/// A request in flight and its history.
+struct OpenRequest {
+    in_flight: InFlightRequest,
+    run: PlannedRun,
     workspace: usize,
     session: Option<u8>,
     repeatable: bool,
     may_have_run: bool,
-    awaiting: bool,
+    awaiting_rating: bool,
 }
 
-struct World {
+struct Simulation {
     router: Router,
     rng: Pcg64Mcg,
     policy: Policy,
@@ -71,10 +74,10 @@
     now: Duration,
     hosts: BTreeMap<String, (String, bool)>,
     pins: BTreeMap<(usize, u8), String>,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut policy = Policy::default();
         for (index, version) in VERSIONS.iter().enumerate() {
@@ -84,17 +87,17 @@
             policy.versions.insert((*version).to_owned(), spec);
         }
         for workspace in WORKSPACES {
-            let mut rights = WorkspacePolicy {
+            let mut workspace_policy = WorkspacePolicy {
                 allowed_versions: VERSIONS.iter().map(|v| (*v).to_owned()).collect(),
                 ..WorkspacePolicy::default()
             };
             let target = TaskPolicy { quality_target: 0.7, target_share: 0.9 };
-            rights.tasks.insert("draft".to_owned(), target);
-            policy.workspaces.insert(workspace.to_owned(), rights);
+            workspace_policy.tasks.insert("draft".to_owned(), target);
+            policy.workspaces.insert(workspace.to_owned(), workspace_policy);
         }
         let mut router = Router::new("dc1");
         router.install(1, &policy);
-        let mut world = World {
+        let mut simulation = Simulation {
             router,
             rng: Pcg64Mcg::seed_from_u64(1),
             policy,
@@ -104,18 +107,18 @@
             pins: BTreeMap::new(),
             open: Vec::new(),
         };
-        (0..SERVERS).for_each(|server| world.server(server, server % 4));
-        world
+        (0..SERVERS).for_each(|server| simulation.update_server(server, server % 4));
+        simulation
     }
 
     fn install(&mut self) {
         self.generation += 1;
         assert!(self.router.install(self.generation, &self.policy));
         let stale = self.router.install(self.generation, &Policy::default());
-        assert!(!stale, "a generation no newer must change nothing");
+        assert!(!stale, "a generation that is not newer was installed");
     }
 
-    fn server(&mut self, server: u8, version: u8) {
+    fn update_server(&mut self, server: u8, version: u8) {
         let name = format!("s{server}");
         let version = VERSIONS[usize::from(version)].to_owned();
         let report = ServerReport {
@@ -131,11 +134,11 @@
 
     fn apply(&mut self, op: &Op) {
         match *op {
-            Op::Ask { workspace, task, session, repeatable, streaming } => {
-                self.ask(workspace, task, session, repeatable, streaming);
+            Op::Request { workspace, task, session, repeatable, streaming } => {
+                self.begin_request(workspace, task, session, repeatable, streaming);
             }
-            Op::Server { server, version } => self.server(server, version),
-            Op::Leaving { server } => {
+            Op::UpdateServer { server, version } => self.update_server(server, version),
+            Op::DrainServer { server } => {
                 let name = format!("s{server}");
                 self.router.deactivate_server(&name);
                 self.hosts.entry(name).and_modify(|host| host.1 = false);
@@ -151,8 +154,8 @@
                 let allowed = VERSIONS.iter().enumerate();
                 let allowed = allowed.filter(|(index, _)| versions & (1 << index) != 0);
                 let allowed = allowed.map(|(_, version)| (*version).to_owned()).collect();
-                let rights = self.policy.workspaces.get_mut(name).expect("a workspace");
-                rights.allowed_versions = allowed;
+                let workspace_policy = self.policy.workspaces.get_mut(name).expect("a workspace");
+                workspace_policy.allowed_versions = allowed;
                 self.install();
             }
             Op::RollOut => {
@@ -160,12 +163,12 @@
                 self.policy.roll_outs = vec![roll_out];
                 self.install();
             }
-            Op::End { flight, how } => self.end(flight, how),
+            Op::EndRun { request, outcome } => self.end_run(request, outcome),
             Op::Wait { ms } => self.now += Duration::from_millis(ms.into()),
         }
     }
 
-    fn ask(
+    fn begin_request(
         &mut self,
         workspace: u8,
         task: u8,
@@ -189,93 +192,110 @@
             repeatable,
             streaming,
         };
-        if let Ok((flight, step)) = self.router.begin(self.now, &mut self.rng, &request) {
-            let open = Open {
-                flight,
-                step,
+        if let Ok((in_flight, run)) = self.router.begin(self.now, &mut self.rng, &request) {
+            let open = OpenRequest {
+                in_flight,
+                run,
                 workspace,
                 session,
                 repeatable,
                 may_have_run: false,
-                awaiting: false,
+                awaiting_rating: false,
             };
             self.check(&open);
             self.open.push(open);
         }
     }
 
-    /// A step just decided keeps all promises.
-    fn check(&mut self, open: &Open) {
-        let PlannedRun { version, server, .. } = &open.step;
-        let rights = &self.policy.workspaces[WORKSPACES[open.workspace]];
-        assert!(rights.allowed_versions.contains(version), "{version} is not allowed");
+    /// Checks the invariants of a planned run.
+    fn check(&mut self, open: &OpenRequest) {
+        let PlannedRun { version, server, .. } = &open.run;
+        let workspace_policy = &self.policy.workspaces[WORKSPACES[open.workspace]];
+        assert!(workspace_policy.allowed_versions.contains(version), "{version} is not allowed");
         let state = self.policy.versions[version].state;
         assert_ne!(state, VersionState::Withdrawn, "{version} is withdrawn");
         let (hosted, is_open) = &self.hosts[server];
-        assert!(*is_open, "{server} is leaving");
+        assert!(*is_open, "{server} is draining");
         assert_eq!(hosted, version, "{server} hosts another version");
-        assert!(open.repeatable || !open.may_have_run, "would run twice");
+        assert!(
+            open.repeatable || !open.may_have_run,
+            "a request that may not repeat would run twice"
+        );
         if let Some(session) = open.session {
             let pin = self.pins.insert((open.workspace, session), version.clone());
             if let Some(pin) = pin.filter(|pin| pin != version) {
                 let tripped = self.router.trial(&pin).is_some_and(|t| t.tripped_at().is_some());
-                let gone = tripped
+                let is_unavailable = tripped
                     || self.policy.versions[&pin].state == VersionState::Withdrawn
-                    || !rights.allowed_versions.contains(&pin);
-                assert!(gone, "session moved from {pin} to {version}");
+                    || !workspace_policy.allowed_versions.contains(&pin);
+                assert!(is_unavailable, "session moved from {pin} to {version}");
             }
         }
     }
 
-    fn end(&mut self, flight: u8, how: u8) {
+    fn end_run(&mut self, request: u8, outcome: u8) {
         if self.open.is_empty() {
             return;
         }
-        let mut open = self.open.swap_remove(usize::from(flight) % self.open.len());
-        let next = self.next(&mut open, how);
+        let mut open = self.open.swap_remove(usize::from(request) % self.open.len());
+        let next = self.apply_outcome(&mut open, outcome);
         match next {
-            NextAction::Run(step) => {
-                open.step = step;
-                open.awaiting = false;
+            NextAction::Run(run) => {
+                open.run = run;
+                open.awaiting_rating = false;
                 self.check(&open);
                 self.open.push(open);
             }
             NextAction::AwaitRating(_) => {
-                open.awaiting = true;
+                open.awaiting_rating = true;
                 self.open.push(open);
             }
             NextAction::Deliver => {
-                assert!(self.router.on_delivered(self.now, &mut open.flight).is_some());
+                assert!(self.router.on_delivered(self.now, &mut open.in_flight).is_some());
             }
             NextAction::Refuse(_) => {}
         }
     }
 
-    fn next(&mut self, open: &mut Open, how: u8) -> NextAction {
-        let (now, rng, flight) = (self.now, &mut self.rng, &mut open.flight);
-        if open.awaiting {
-            let rating = match how % 3 {
+    fn apply_outcome(&mut self, open: &mut OpenRequest, outcome: u8) -> NextAction {
+        let (now, rng, in_flight) = (self.now, &mut self.rng, &mut open.in_flight);
+        if open.awaiting_rating {
+            let rating = match outcome % 3 {
                 0 => None,
                 quality => Some((f64::from(quality) * 0.4, Duration::from_millis(100))),
             };
-            return self.router.on_rating(now, rng, flight, rating);
+            return self.router.on_rating(now, rng, in_flight, rating);
         }
-        match how {
-            0 => self.router.on_run_refused(now, rng, flight, Refusal::Draining),
+        match outcome {
+            0 => self.router.on_run_refused(now, rng, in_flight, Refusal::Draining),
             1 => {
                 open.may_have_run = true;
-                self.router.on_run_failed(now, rng, flight, Ran::Unknown, 0.0, Refusal::ContactLost)
+                self.router.on_run_failed(
+                    now,
+                    rng,
+                    in_flight,
+                    Ran::Unknown,
+                    0.0,
+                    Refusal::ContactLost,
+                )
             }
             2 => {
                 open.may_have_run = true;
-                self.router.on_run_failed(now, rng, flight, Ran::Yes, 0.0, Refusal::BackendFailed)
+                self.router.on_run_failed(
+                    now,
+                    rng,
+                    in_flight,
+                    Ran::Yes,
+                    0.0,
+                    Refusal::BackendFailed,
+                )
             }
             _ => {
                 open.may_have_run = true;
-                let service_time = Duration::from_millis(200 * u64::from(how));
+                let service_time = Duration::from_millis(200 * u64::from(outcome));
                 self.router.on_run_finished(
                     now,
-                    flight,
+                    in_flight,
                     FinishedRun { output_tokens: 50, service_time },
                 )
             }
@@ -284,10 +304,10 @@
 }
 
 #[test]
-fn no_order_of_events_breaks_a_promise() {
+fn no_sequence_of_events_violates_the_invariants() {
     fn property(ops: Vec<Op>) -> bool {
-        let mut world = World::new();
-        ops.iter().for_each(|op| world.apply(op));
+        let mut simulation = Simulation::new();
+        ops.iter().for_each(|op| simulation.apply(op));
         true
     }
     const SIZE: usize = 400;
