--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -8,7 +8,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use pondwalk_types::{LONGEST_BACKOFF, Refusal, WorkspaceId};
+use pondwalk_types::{MAX_SERVER_BACKOFF, Refusal, WorkspaceId};
 
 use crate::direct::{Granter, PermitBuckets, ServerLimit};
 
@@ -137,7 +137,7 @@
     ///
     /// A later, shorter backoff does not shorten an earlier one.
     pub fn back_off(&mut self, now: Duration, backoff: Duration) {
-        self.backoff_until = self.backoff_until.max(now + backoff.min(LONGEST_BACKOFF));
+        self.backoff_until = self.backoff_until.max(now + backoff.min(MAX_SERVER_BACKOFF));
     }
 
     /// Sets or lifts the rate limit that the server announced.
--- a/crates/decide/src/router/lifecycle.rs
+++ b/crates/decide/src/router/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_types::{Ran, Refusal};
+use pondwalk_types::{Executed, Refusal};
 use rand::Rng;
 
 use super::Router;
@@ -51,7 +51,7 @@
         in_flight.avoided_servers.push(run.server);
         in_flight.refusals += 1;
         let give_up = in_flight.refusals >= MAX_REFUSALS_PER_REQUEST || now >= in_flight.deadline;
-        if give_up || !refusal.worth_another_server() {
+        if give_up || !refusal.is_retryable_elsewhere() {
             return self.give_up(in_flight, refusal);
         }
         match self.plan_run(now, rng, in_flight) {
@@ -68,7 +68,7 @@
         now: Duration,
         rng: &mut R,
         in_flight: &mut InFlightRequest,
-        ran: Ran,
+        ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) -> NextAction {
@@ -81,7 +81,7 @@
         if in_flight.answer.is_some() {
             return NextAction::Deliver;
         }
-        let may_repeat = in_flight.repeatable || ran == Ran::No;
+        let may_repeat = in_flight.repeatable || ran == Executed::No;
         let may_retry = in_flight.run_count() < MAX_RUNS_PER_REQUEST && now < in_flight.deadline;
         if !may_repeat || !may_retry || !self.retries.withdraw() {
             return self.give_up(in_flight, refusal);
--- a/crates/decide/tests/router_invariants.rs
+++ b/crates/decide/tests/router_invariants.rs
@@ -9,7 +9,8 @@
     FinishedRun, InFlightRequest, NextAction, PlannedRun, Request, Router, ServerReport,
 };
 use pondwalk_types::{
-    Policy, Price, Ran, Refusal, RollOut, TaskPolicy, VersionSpec, VersionState, WorkspacePolicy,
+    Executed, Policy, Price, Refusal, RollOut, TaskPolicy, VersionSpec, VersionState,
+    WorkspacePolicy,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::SeedableRng;
@@ -273,8 +274,7 @@
                 self.router.on_run_failed(
                     now,
                     rng,
-                    in_flight,
-                    Ran::Unknown,
+                    in_flight, Executed::Unknown,
                     0.0,
                     Refusal::ContactLost,
                 )
@@ -284,8 +284,7 @@
                 self.router.on_run_failed(
                     now,
                     rng,
-                    in_flight,
-                    Ran::Yes,
+                    in_flight, Executed::Yes,
                     0.0,
                     Refusal::BackendFailed,
                 )
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -16,10 +16,10 @@
 };
 
 use super::{
-    FORMAT, Item, MessageError, NEWS_PATH, Need, PERMIT_PATH, PROBE_PATH, STATE_PATH, State,
-    StateHead, message::from_message,
+    FORMAT, GossipItem, MessageError, NEWS_PATH, PERMIT_PATH, PROBE_PATH, STATE_PATH, StateHead,
+    StateMessage, StateRequestKind, message::from_message,
 };
-use crate::{core::Core, journal::Rank, metrics::Counter};
+use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
 /// Bytes of news that an entry reads from another at once: the sessions that a hundred entries keep
 /// are a third of this.
@@ -38,7 +38,7 @@
     after: Position,
     /// What the answer that the asker heard last said of itself.
     heard: Option<Heard>,
-    need: Need,
+    need: StateRequestKind,
 }
 
 /// The life of the process that told it, its turn, and the end of its news.
@@ -62,13 +62,14 @@
 impl Asked {
     /// Reads the query of a question.
     fn parse(query: &str) -> Option<Self> {
-        let mut asked = Asked { after: Position::default(), heard: None, need: Need::Changes };
+        let mut asked =
+            Asked { after: Position::default(), heard: None, need: StateRequestKind::Changes };
         for pair in query.split('&') {
             match pair.split_once('=')? {
                 ("after", text) => asked.after = parse_position(text)?,
-                ("now", "1") => asked.need = Need::ChangesNow,
-                ("first", "wait") => asked.need = Need::FirstState,
-                ("first", "now") => asked.need = Need::FirstStateNow,
+                ("now", "1") => asked.need = StateRequestKind::ChangesNow,
+                ("first", "wait") => asked.need = StateRequestKind::FirstState,
+                ("first", "now") => asked.need = StateRequestKind::FirstStateNow,
                 ("heard", text) => asked.heard = Some(Heard::parse(text)?),
                 _ => return None,
             }
@@ -95,10 +96,12 @@
                 STATE_PATH => tell_state(&core, &request).await,
                 NEWS_PATH => hear_news(&core, request).await,
                 PROBE_PATH => {
-                    answer_question(&core, request, async |core, body| core.answer_probe(body))
-                        .await
+                    answer_question(&core, request, async |core, body| {
+                        core.handle_probe_request(body)
+                    })
+                    .await
                 }
-                PERMIT_PATH => answer_question(&core, request, Core::answer_permit).await,
+                PERMIT_PATH => answer_question(&core, request, Core::handle_permit_request).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
@@ -112,16 +115,17 @@
 async fn hear_news(core: &Core, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let body = Limited::new(request.into_body(), MAX_NEWS_BYTES).collect().await;
     let items = match body {
-        Ok(body) => from_message::<Vec<Item>>(&body.to_bytes(), core.settings.store.address),
+        Ok(body) => from_message::<Vec<GossipItem>>(&body.to_bytes(), core.settings.store.address),
         Err(_) => Err(MessageError::Unreadable),
     };
     match items {
         Ok(items) => {
-            core.hear_from_below(items);
+            core.receive_from_child(items);
             with_status(StatusCode::OK, Bytes::new())
         }
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -141,7 +145,8 @@
     match answer {
         Ok(bytes) => with_status(StatusCode::OK, bytes),
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -154,7 +159,7 @@
     match wait_for_state(core, asked).await {
         Some(Ok(bytes)) => {
             core.metrics.count(Counter::QuestionsAnswered);
-            core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
+            core.metrics.count_many(Counter::PeerBytesSent, bytes.len());
             with_status(StatusCode::OK, bytes)
         }
         Some(Err(_)) => with_status(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
@@ -168,17 +173,17 @@
     let times = &core.settings.membership.times;
     let held_from = core.clock.now();
     loop {
-        let something_new = core.something_new.notified();
+        let state_changed = core.state_changed.notified();
         if has_news(core, asked) {
             return Some(state_after(core, asked));
         }
-        if matches!(asked.need, Need::ChangesNow | Need::FirstStateNow) {
+        if matches!(asked.need, StateRequestKind::ChangesNow | StateRequestKind::FirstStateNow) {
             return None;
         }
         let too_old_at = too_old_at(core);
         // NB: an entry that has lost its way may be about to find another.
-        let give_up = too_old_at.unwrap_or_default().max(held_from + times.hold_while_old);
-        if timeout_at(core.clock.instant(give_up), something_new).await.is_err() {
+        let give_up = too_old_at.unwrap_or_default().max(held_from + times.stale_hold_time);
+        if timeout_at(core.clock.instant(give_up), state_changed).await.is_err() {
             return None;
         }
     }
@@ -190,8 +195,9 @@
 /// that it holds would reach nobody.
 fn too_old_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let oldest_told = core.settings.membership.times.oldest_told + state.store_takes;
-    state.freshness.confirmed().map(|at| at + oldest_told)
+    let max_peer_confirmation_age =
+        core.settings.membership.times.max_peer_confirmation_age + state.store_latency;
+    state.freshness.confirmed().map(|at| at + max_peer_confirmation_age)
 }
 
 /// Whether the asker gains anything by an answer now.
@@ -202,33 +208,38 @@
     let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
     let has_changes = state.replica.position() > asked.after;
     let (is_confirmed_anew, has_news) = match heard {
-        Some(heard) => (state.turn != heard.turn, core.news.borrow().end() > heard.news_end),
+        Some(heard) => {
+            (state.confirmation_count != heard.turn, core.gossip.borrow().end() > heard.news_end)
+        }
         None => (true, false),
     };
     match asked.need {
-        Need::FirstState | Need::FirstStateNow => true,
+        StateRequestKind::FirstState | StateRequestKind::FirstStateNow => true,
         // NB: changes and news count whatever the age of the state, which is told with them.
-        Need::Changes | Need::ChangesNow => {
+        StateRequestKind::Changes | StateRequestKind::ChangesNow => {
             has_news || has_changes || is_confirmed_anew && is_young
         }
     }
 }
 
 fn state_after(core: &Core, asked: Asked) -> Result<Bytes, MessageError> {
-    let summary = core.summary_of_ends();
+    let summary = core.crash_summary();
     let mut state = core.state.borrow_mut();
     let changes = match asked.need {
-        Need::Changes | Need::ChangesNow => state.replica.sent_after(asked.after),
-        Need::FirstState | Need::FirstStateNow => None,
+        StateRequestKind::Changes | StateRequestKind::ChangesNow => {
+            state.replica.packed_changes_after(asked.after)
+        }
+        StateRequestKind::FirstState | StateRequestKind::FirstStateNow => None,
     };
     let whole = changes.is_none();
     let body = match changes {
         Some(changes) => changes?,
-        None => state.replica.whole()?,
+        None => state.replica.packed_state()?,
     };
     let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
-    let summary = if heard.is_none() { summary.map(|news| core.new_item(news)) } else { None };
-    let news = core.news.borrow();
+    let summary =
+        if heard.is_none() { summary.map(|news| core.new_gossip_item(news)) } else { None };
+    let news = core.gossip.borrow();
     let mut unheard = news.since(heard.map_or(0, |heard| heard.news_end), core.clock.now());
     unheard.extend(summary);
     let head = StateHead {
@@ -239,15 +250,15 @@
         // NB: only an entry that was confirmed answers.
         confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
-        store_takes: state.store_takes,
-        turn: state.turn,
+        store_takes: state.store_latency,
+        turn: state.confirmation_count,
         position: state.replica.position(),
         whole,
         // NB: filled in when the bytes are made.
         body_bytes: 0,
         news_end: news.end(),
     };
-    State { head, body, news: unheard }.to_bytes()
+    StateMessage { head, body, gossip: unheard }.to_bytes()
 }
 
 fn with_status(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
--- a/crates/direct/tests/acts_as_one.rs
+++ b/crates/direct/tests/acts_as_one.rs
@@ -13,7 +13,7 @@
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::{
     Entry,
-    membership::{FAN_OUT, Place, Roster, State, place, roots},
+    membership::{FAN_OUT, Members, StateMessage, TreeRole, root_count, tree_role},
 };
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use quickcheck::{Gen, QuickCheck};
@@ -67,7 +67,7 @@
         prepare(&world, 60);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         let mut rng = SmallRng::seed_from_u64(4);
         // NB: single changes at any point of a wait, and bursts such as servers leaving together.
         for _ in 0..120 {
@@ -141,7 +141,7 @@
         prepare(&world, 3);
         let entries = net.start_many(&world, 40, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         for late_ms in (10..450).step_by(10) {
             world.list_server(1, "s", "v1", "ready");
             let seen = oldest_within(&entries, Duration::from_millis(late_ms)).await;
@@ -266,7 +266,7 @@
             let entry = net.start_with(&world, 9, &seeds);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, &entry, "k1").await, 200, "it read the store");
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("source_failed") && lines.contains("refused"), "{lines}");
         });
     }
@@ -288,7 +288,7 @@
         }
         sleep(Duration::from_secs(1)).await;
         let seen = oldest_within(&entries, Duration::from_secs(5)).await;
-        assert!(seen <= world.entry_times().oldest_in_calm(), "{seen:?}");
+        assert!(seen <= world.entry_times().normal_confirmation_age(), "{seen:?}");
     });
 }
 
@@ -320,7 +320,7 @@
         let mut left: Vec<usize> = (0..entries.len()).collect();
         for _ in 0..20 {
             let among: Vec<&str> = left.iter().map(|n| names[*n]).collect();
-            let first = left.remove(Roster::first_of(&among));
+            let first = left.remove(Members::first_in_order(&among));
             world.cut_store_for(&entries[first], Weather::Refused);
         }
         sleep(Duration::from_secs(6)).await;
@@ -360,7 +360,7 @@
         let entries = net.start_many(&world, 20, "");
         sleep(Duration::from_secs(5)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let first = Roster::first_of(&names);
+        let first = Members::first_in_order(&names);
         world.cut_store_for(&entries[first], Weather::Silent(Duration::from_secs(60)));
         net.end(first as u16);
         sleep(Duration::from_secs(5)).await;
@@ -387,14 +387,14 @@
         world.store.set_weather(Weather::Refused);
         let finder = entries.last().expect("some");
         let mut number = 0;
-        while !finder.gathered_lines().contains("version_tripped") && number < 400 {
+        while !finder.buffered_log_lines().contains("version_tripped") && number < 400 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
             world.ask_at(finder, sent).await;
             number += 1;
         }
         sleep(Duration::from_millis(700)).await;
-        let heard = |entry: &&Entry| entry.gathered_lines().contains("\"what\":\"bad\"");
+        let heard = |entry: &&Entry| entry.buffered_log_lines().contains("\"what\":\"bad\"");
         assert_eq!(entries.iter().filter(heard).count(), entries.len());
     });
 }
@@ -407,7 +407,7 @@
         for position in 0..entries {
             let mut at = position;
             let mut steps = 0;
-            while let Place::Below(above) = place(at, entries, true) {
+            while let TreeRole::ChildOf(above) = tree_role(at, entries, true) {
                 if steps == 0 {
                     askers[above] += 1;
                 }
@@ -417,12 +417,12 @@
                 at = above;
                 steps += 1;
             }
-            if at >= roots(entries) {
+            if at >= root_count(entries) {
                 return false;
             }
         }
         let most = askers.iter().copied().max().unwrap_or(0);
-        roots(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
+        root_count(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(2_000, 8)).tests(500);
     checks.quickcheck(holds as fn(u16) -> bool);
@@ -455,13 +455,13 @@
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let root = Roster::first_of(&names);
+        let root = Members::first_in_order(&names);
         world.cut_store_for(&entries[root], Weather::Refused);
         sleep(Duration::from_millis(1_100)).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(1_000)).await;
         for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != root) {
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("server_gone"), "entry {n}: {lines}");
             assert!(!lines.contains("server_lapsed"), "entry {n}: the store was never away");
         }
@@ -469,7 +469,7 @@
 }
 
 /// Answers each question with the next of these states, and all further ones with the last.
-fn telling(states: Vec<State>) -> Impostor {
+fn telling(states: Vec<StateMessage>) -> Impostor {
     Rc::new(move |mut stream| {
         let states = states.clone();
         spawn_local(async move {
@@ -502,7 +502,11 @@
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(status(&world, &entry, "k1").await, 200, "what was held still is");
-        assert!(entry.gathered_lines().contains("revision 40"), "{}", entry.gathered_lines());
+        assert!(
+            entry.buffered_log_lines().contains("revision 40"),
+            "{}",
+            entry.buffered_log_lines()
+        );
     });
 }
 
@@ -514,13 +518,13 @@
         let entries = net.start_many(&world, 12, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let root = Roster::first_of(&names);
+        let root = Members::first_in_order(&names);
         let alone = if root == 0 { 1 } else { 0 };
         world.cut_store_for(&entries[alone], Weather::Refused);
         net.cut.borrow_mut().extend((0..12).map(peer_address));
         net.silence_open_connections();
         sleep(Duration::from_secs(3)).await;
-        assert!(entries[alone].gathered_lines().contains("store_lost"));
+        assert!(entries[alone].buffered_log_lines().contains("store_lost"));
         net.cut.borrow_mut().clear();
         let is_told_again = || entries[alone].state_age() < Some(Duration::from_millis(700));
         let mut waited = 0;
@@ -531,7 +535,7 @@
         assert!(is_told_again(), "others tell it again");
         world.store.remove("server/s1");
         sleep(Duration::from_millis(900)).await;
-        let lines = entries[alone].gathered_lines();
+        let lines = entries[alone].buffered_log_lines();
         assert!(lines.contains("server_gone") && !lines.contains("server_lapsed"), "{lines}");
     });
 }
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -6,7 +6,7 @@
     DeliveredAnswer, FinishedRun, InFlightRequest, NextAction, PlannedRun, Request, Router,
     ServerReport,
 };
-use pondwalk_types::{Generation, Policy, Ran, Refusal, VersionId};
+use pondwalk_types::{Executed, Generation, Policy, Refusal, VersionId};
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
@@ -170,7 +170,7 @@
         &mut self,
         now: Duration,
         flight: &mut DriverFlight,
-        ran: Ran,
+        ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) -> NextAction {
