--- a/crates/decide/tests/router_invariants.rs
+++ b/crates/decide/tests/router_invariants.rs
@@ -274,7 +274,8 @@
                 self.router.on_run_failed(
                     now,
                     rng,
-                    in_flight, Executed::Unknown,
+                    in_flight,
+                    Executed::Unknown,
                     0.0,
                     Refusal::ContactLost,
                 )
@@ -284,7 +285,8 @@
                 self.router.on_run_failed(
                     now,
                     rng,
-                    in_flight, Executed::Yes,
+                    in_flight,
+                    Executed::Yes,
                     0.0,
                     Refusal::BackendFailed,
                 )
--- a/crates/direct/src/membership/forward.rs
+++ b/crates/direct/src/membership/forward.rs
@@ -82,7 +82,8 @@
     fn hear(&self, items: Vec<GossipItem>) -> Vec<GossipItem> {
         let now = self.clock.now();
         let is_new = |item: &GossipItem| {
-            let log = if item.is_for_roots_only() { &self.gossip_for_parents } else { &self.gossip };
+            let log =
+                if item.is_for_roots_only() { &self.gossip_for_parents } else { &self.gossip };
             log.borrow_mut().add(item.clone(), now)
         };
         let new: Vec<GossipItem> = items.into_iter().filter(is_new).collect();
