--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -151,8 +151,9 @@
     fn take_permit(&mut self, now: Duration) -> Result<(), Duration> {
         /// Key of the only server in the buckets.
         const SERVER_NAME: &str = "";
-        self.rate_limit
-            .map_or(Ok(()), |limit| self.permits.take(SERVER_NAME, limit, GranterRole::Primary, now))
+        self.rate_limit.map_or(Ok(()), |limit| {
+            self.permits.take(SERVER_NAME, limit, GranterRole::Primary, now)
+        })
     }
 
     /// Records the end of a running request and dispatches the next one.
--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -293,12 +293,7 @@
         running.filter(|session| roll_out.is_in_trial_share(*session)).collect()
     }
 
-    fn log_step(
-        &self,
-        service: &str,
-        step: RollOutStep,
-        written: &Result<Position, StoreError>,
-    ) {
+    fn log_step(&self, service: &str, step: RollOutStep, written: &Result<Position, StoreError>) {
         let step = format!("{step:?}").to_lowercase();
         let event = match written {
             Ok(Position { revision, .. }) => {
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -39,7 +39,7 @@
 
 /// What an entry that grants permits is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct PermitRequest {
+struct PermitRequestMessage {
     service: String,
     server: ServerId,
     life: ServerIncarnation,
@@ -149,7 +149,7 @@
     /// Asks for a permit, and notes in the fleet what came of it.
     pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: PermitRequest) {
         let said_ago = self.clock.now().saturating_sub(wanted.reported_at);
-        let request = PermitRequest {
+        let request = PermitRequestMessage {
             service: service.to_string(),
             server: wanted.server,
             life: wanted.incarnation,
@@ -172,7 +172,7 @@
     fn apply_permit_response(
         &self,
         service: &ServiceId,
-        request: &PermitRequest,
+        request: &PermitRequestMessage,
         answer: PermitResponse,
     ) {
         let now = self.clock.now();
@@ -198,7 +198,7 @@
     /// Decides about a permit, or lets those decide that come before this entry.
     async fn resolve_permit(
         &self,
-        request: &PermitRequest,
+        request: &PermitRequestMessage,
     ) -> Result<PermitResponse, Option<PeerError>> {
         match self.find_granter(request).await {
             GranterSearch::Decided(answer) => Ok(answer),
@@ -208,7 +208,7 @@
     }
 
     /// Asks those that may grant a permit in turn, until one answers or it is this entry's turn.
-    async fn find_granter(&self, request: &PermitRequest) -> GranterSearch {
+    async fn find_granter(&self, request: &PermitRequestMessage) -> GranterSearch {
         let order = self.members.granting_order(u128::from(server_hash(&request.server)));
         // NB: an entry that is not listed yet may not know the others, which may grant the same.
         let is_listed = self.members.own_listing().is_some() || self.settings.peers.is_none();
@@ -245,7 +245,7 @@
     async fn query_granter(
         &self,
         address: SocketAddr,
-        request: &PermitRequest,
+        request: &PermitRequestMessage,
     ) -> Result<PermitResponse, PeerError> {
         let answer = query_peer(self, address, PERMIT_PATH, request);
         match request.is_passed_on {
@@ -257,7 +257,7 @@
     /// Answers another entry's question.
     pub async fn handle_permit_request(&self, request: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
-        let mut request: PermitRequest = from_message(request, store)?;
+        let mut request: PermitRequestMessage = from_message(request, store)?;
         let answer = match request.is_passed_on {
             true => self.grant_permit(&request, self.local_role(&request.server)),
             false => {
@@ -277,10 +277,10 @@
     }
 
     /// Grants a permit or refuses it, by the latest word on the server's limit.
-    fn grant_permit(&self, request: &PermitRequest, granter: GranterRole) -> PermitResponse {
+    fn grant_permit(&self, request: &PermitRequestMessage, granter: GranterRole) -> PermitResponse {
         let now = self.clock.now();
         let said_at = now.saturating_sub(request.said_ago);
-        let PermitRequest { server, life, limit, .. } = request;
+        let PermitRequestMessage { server, life, limit, .. } = request;
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(request.service.as_str());
         let known = fleet.and_then(|fleet| {
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -137,7 +137,11 @@
         let State { fleets, engines, .. } = &mut *state;
         if self.core.settings.policy.learned_engines && self.ticket.queued_ms <= 0.0 {
             let engine = engine_for(engines, &self.job);
-            engine.record_first_byte(self.model_index, self.ticket.prefill_tokens, response_started_ms);
+            engine.record_first_byte(
+                self.model_index,
+                self.ticket.prefill_tokens,
+                response_started_ms,
+            );
         }
         if let Some(fleet) = fleets.get_mut(&self.job.service.name) {
             fleet.on_answer_started(&mut self.ticket, response_started_ms, now);
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -85,8 +85,11 @@
 
     /// What an entry that has heard nothing from this one is to know.
     pub fn crash_summary(&self) -> Option<Gossip> {
-        let ends =
-            self.state.borrow().quarantine.most_relevant_crashes(MAX_SUMMARY_CRASHES, self.clock.now());
+        let ends = self
+            .state
+            .borrow()
+            .quarantine
+            .most_relevant_crashes(MAX_SUMMARY_CRASHES, self.clock.now());
         (!ends.is_empty()).then_some(Gossip::Ended { ends })
     }
 
--- a/crates/direct/src/server_signals.rs
+++ b/crates/direct/src/server_signals.rs
@@ -50,7 +50,11 @@
 }
 
 /// What a head says of its server's rate limit; `is_whole_word` tells whether a head without a limit lifts it.
-fn reported_limit(dialect: &Dialect, headers: &HeaderMap, is_authoritative: bool) -> ReportedRateLimit {
+fn reported_limit(
+    dialect: &Dialect,
+    headers: &HeaderMap,
+    is_authoritative: bool,
+) -> ReportedRateLimit {
     if !headers.contains_key(&dialect.limit) {
         return if is_authoritative {
             ReportedRateLimit::NoLimit
