--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -5,22 +5,22 @@
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_types::{ModelId, RegionId, ServerId, VersionId, WorkspaceId};
 
-/// Names a group of backend servers that serve the same routes.
+/// Name of a group of backend servers that serve the same routes.
 pub type ServiceId = Rc<str>;
 
-/// Number of a configuration; rises with each change.
+/// Version of a configuration; increases with each change.
 pub type CatalogVersion = u64;
 
-/// What may be done with a request of a route after a failure.
+/// Retry semantics of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// It may run at most once.
+    /// The request may run at most once.
     Once,
-    /// It is answered by a series of events; the flag tells whether it may be resumed.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether another backend server may go on after the last event delivered.
+        /// Whether another backend server may resume after the last event delivered.
         resumable: bool,
     },
 }
@@ -31,7 +31,7 @@
         matches!(self, RouteKind::Repeatable | RouteKind::Stream { resumable: true })
     }
 
-    /// Whether answers are series of events.
+    /// Whether answers are event streams.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
@@ -40,106 +40,106 @@
 /// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// Service that receives the share.
     pub service: ServiceId,
-    /// Its weight among the route's services.
+    /// Weight relative to the route's other services.
     pub weight: f64,
 }
 
-/// One route, found by host and path.
+/// A route, matched by host and path.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name in logs.
+    /// Name in logs.
     pub name: String,
-    /// Host it belongs to, in lower case and without a port.
+    /// Host, in lower case and without a port.
     pub host: String,
-    /// Start of the paths it covers.
+    /// Prefix of the matching paths.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Retry semantics.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Maximum time to answer a request.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is worth most.
+    /// Target time to an answer, or to a stream's first event.
     pub objective: Duration,
-    /// Longest pause between events that keeps a stream in time.
+    /// Maximum gap between events for a stream to count as on time.
     pub max_event_gap: Option<Duration>,
-    /// Rank, 0 first.
+    /// Priority, 0 first.
     pub priority: u8,
     /// Models to choose from, smallest first; empty if the caller names one or none is needed.
     pub models: Vec<ModelId>,
-    /// Services that run it, with their weights.
+    /// Services that run the requests, with their weights.
     pub shares: Vec<Share>,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub anonymous: bool,
-    /// Regions that its requests must not leave; empty if they may go anywhere.
+    /// Regions that requests must not leave; empty if unrestricted.
     pub allowed_regions: Vec<RegionId>,
 }
 
 /// A model that a service's backend servers run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelPrice {
-    /// The model.
+    /// Id of the model.
     pub model: ModelId,
-    /// Price of a thousand tokens made; tokens read count a quarter.
+    /// Price of a thousand output tokens; a prompt token costs a quarter.
     pub price: f64,
 }
 
-/// Figures of a service's model engines.
+/// Model engine parameters of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one backend server runs at once.
+    /// Requests that one backend server runs concurrently.
     pub slots: u32,
-    /// Tokens that one backend server's memory holds.
+    /// Tokens that fit into one backend server's memory.
     pub memory_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     pub event_tokens: u32,
-    /// Models with their prices, as the service lists them.
+    /// Models with their prices, in the service's order.
     pub models: Vec<ModelPrice>,
 }
 
 /// A group of backend servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Connections that one backend server takes from all entries together.
+    /// Maximum number of connections to one backend server from all entries together.
     pub max_connections: u32,
-    /// Figures of its engines, if it runs models.
+    /// Engine parameters, if the service runs models.
     pub engine: Option<Engine>,
-    /// How its backend servers warm up, if they do not bear everything from their start.
+    /// Warm-up of the backend servers, if they can't take full load from the start.
     pub warm_up: Option<WarmUp>,
 }
 
 /// A customer with its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
-    /// Its keys.
+    /// API keys.
     pub keys: Vec<String>,
-    /// Rank of its requests, if it goes before that of the route.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Regions that its requests must not leave; empty if they may go anywhere.
+    /// Regions that requests must not leave; empty if unrestricted.
     pub allowed_regions: Vec<RegionId>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request's head.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
-    /// Time for which a connection may rest.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// In force until a configuration is held.
+    /// The limits in force until a configuration is held.
     fn default() -> Self {
         Limits {
             max_header_bytes: 16 * 1024,
@@ -150,12 +150,12 @@
     }
 }
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
-    /// Its number.
+    /// Version of the configuration.
     pub version: CatalogVersion,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: Limits,
     by_host: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<ServiceId, Rc<Service>>,
@@ -164,7 +164,7 @@
 }
 
 impl Catalog {
-    /// Builds the indexes.
+    /// Creates a configuration and its indexes.
     pub fn new(
         version: CatalogVersion,
         limits: Limits,
@@ -205,7 +205,7 @@
         self.by_key.get(key).map(|index| &self.workspaces[*index])
     }
 
-    /// Whether callers need keys at all.
+    /// Whether callers must present keys.
     pub fn requires_keys(&self) -> bool {
         !self.workspaces.is_empty()
     }
@@ -221,34 +221,34 @@
     }
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// The server accepts new work.
     Ready,
-    /// It is leaving.
+    /// The server is draining and accepts none.
     Draining,
 }
 
-/// A backend server as the store tells of it.
+/// A backend server's record in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Identity of the server; it may start again under the one that it had.
+    /// Id of the server, which is kept across restarts.
     pub id: ServerId,
-    /// When it started, in milliseconds of Unix time, where it tells.
+    /// Start time in milliseconds since the Unix epoch, if reported.
     pub born_ms: Option<u64>,
-    /// Service it belongs to.
+    /// Service of the server.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Listen address.
     pub address: std::net::SocketAddr,
-    /// Data centre it runs in.
+    /// Data centre of the server.
     pub data_centre: String,
-    /// Version of its software.
+    /// Software version.
     pub version: VersionId,
-    /// Requests it works on at once.
+    /// Requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub state: ServerState,
-    /// How much longer it was cold when it told this.
+    /// Remaining warm-up time at the time of the report.
     pub warm_up_left: Duration,
 }
--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -1,9 +1,9 @@
-//! The time that decisions see: how long this process has been running, the time included for which its
-//! machine was suspended.
+//! The clock used for decisions: process uptime including the time for which the machine was
+//! suspended.
 //!
-//! The steady clock, on which timers run, stands still while a machine is suspended. Keys, leases and
-//! configurations elsewhere grow old meanwhile, so everything that compares ages must count that time:
-//! it is what `CLOCK_BOOTTIME` has gained on the steady clock.
+//! The monotonic clock that drives timers stops while the machine is suspended. Keys, leases and
+//! configurations elsewhere age meanwhile, so every comparison of ages must include that time: the
+//! amount by which `CLOCK_BOOTTIME` has advanced beyond `CLOCK_MONOTONIC`.
 
 use std::{
     cell::Cell,
@@ -14,21 +14,21 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Where the clock starts. What other processes tell may be dated before the start of this one, by
-/// up to the longest time for which an old state is of any use.
+/// Value of the clock at the start. Times reported by other processes may lie before this process's
+/// start, by up to the maximum useful age of a state.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 
-/// A clock that starts some time after zero and does not stand still while the machine is suspended.
+/// A clock that starts at [`CLOCK_OFFSET`] and advances while the machine is suspended.
 #[derive(Debug, Clone)]
 pub struct Clock {
     origin: Instant,
-    /// What the clock that counts suspended time was ahead of the steady one at the start.
+    /// Lead of `CLOCK_BOOTTIME` over `CLOCK_MONOTONIC` at the start.
     boottime_lead_at_start: Option<Duration>,
-    /// Time for which the machine was suspended, as far as it was noticed.
+    /// Total suspension time observed.
     suspended: Rc<Cell<Duration>>,
-    /// Suspended time that a test makes up.
+    /// Suspension time simulated by a test.
     simulated_suspension: Rc<Cell<Duration>>,
-    /// What a test makes the time of day be at the start of the clock, in milliseconds since 1970.
+    /// Wall-clock time at the start as simulated by a test, in milliseconds since the Unix epoch.
     simulated_unix_ms: Rc<Cell<Option<u64>>>,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Duration {
         CLOCK_OFFSET + self.uptime()
     }
@@ -56,20 +56,20 @@
         self.origin.elapsed() + self.suspended()
     }
 
-    /// Time for which the machine has been suspended since the start.
+    /// Total time for which the machine has been suspended since the start.
     pub fn suspended(&self) -> Duration {
-        // NB: in this order, a pause between the two readings makes the lead look smaller than it is,
-        // never larger; so the largest one seen is the closest, and the time never steps back.
+        // In this order, a delay between the two readings makes the lead appear smaller, never
+        // larger; so the maximum observed is the closest, and the time never goes back.
         let boottime = read(ClockId::CLOCK_BOOTTIME);
         let steady = read(ClockId::CLOCK_MONOTONIC);
         if let (Some(at_start), Some(now)) = (self.boottime_lead_at_start, lead(boottime, steady)) {
-            let seen = now.saturating_sub(at_start);
-            self.suspended.set(self.suspended.get().max(seen));
+            let observed = now.saturating_sub(at_start);
+            self.suspended.set(self.suspended.get().max(observed));
         }
         self.suspended.get() + self.simulated_suspension.get()
     }
 
-    /// The time of day by the machine's own clock, in milliseconds since 1970. It may jump.
+    /// Wall-clock time of the machine in milliseconds since the Unix epoch. It may jump.
     pub fn unix_ms(&self) -> u64 {
         let since = match self.simulated_unix_ms.get() {
             Some(at_start) => Duration::from_millis(at_start) + self.uptime(),
@@ -78,23 +78,24 @@
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Lets the time of day be as if it had been this at the start; for tests.
+    /// Simulates a wall-clock time at the start, in milliseconds since the Unix epoch; for tests.
     pub fn simulate_unix_ms(&self, at_start: u64) {
         self.simulated_unix_ms.set(Some(at_start));
     }
 
-    /// The instant of a time, for timers; one that has passed counts as now, or as the start.
+    /// The instant of a time, for timers; a past time maps to a past instant, at the earliest the
+    /// start.
     pub fn instant(&self, at: Duration) -> Instant {
         self.origin + at.saturating_sub(CLOCK_OFFSET + self.suspended())
     }
 
-    /// Lets so much time pass as if the machine had been suspended; for tests.
+    /// Simulates a suspension of the machine; for tests.
     pub fn simulate_suspension(&self, time: Duration) {
         self.simulated_suspension.set(self.simulated_suspension.get() + time);
     }
 }
 
-/// A clock of the system; none if it cannot be read, so that the steady one alone counts.
+/// Reads a system clock; `None` if that fails, in which case only the monotonic clock is used.
 fn read(clock: ClockId) -> Option<Duration> {
     clock_gettime(clock).ok().map(Duration::from)
 }
--- a/crates/direct/src/content.rs
+++ b/crates/direct/src/content.rs
@@ -1,59 +1,59 @@
-//! What a request carries, as a fixed number by which all entries know it again.
+//! Content of a request: a hash by which all entries recognise it.
 //!
-//! Each try of a caller has an id of its own, so an id says nothing of what was tried before. The
-//! content does: who asks, on which path, with which body. Headers and the method are left out, since
-//! they change from try to try (an id, a time limit, the last event received), and so are host and
-//! query where there is a body: they name the way, and the body is what is asked. Without a body,
-//! host and query are all that tells two requests apart, so they count.
+//! Each attempt of a caller has an id of its own, so ids don't relate attempts. The content does:
+//! it covers the caller, the path and the body. Headers and the method are excluded, since they
+//! change between attempts (id, time limit, last event received). Host and query are excluded if
+//! there is a body, since the body then identifies the request; without a body they are included,
+//! as nothing else tells two requests apart.
 //!
-//! It is an HMAC-SHA-256 under the caller's name, cut to 128 bits: no caller can make a request that
-//! counts as another caller's. It takes as long as reading the body once, and is worked out only
-//! where something is known against any content at all.
+//! The content is an HMAC-SHA-256 keyed with the caller's name and truncated to 128 bits, so no
+//! caller can forge a request that counts as another caller's. Computing it takes one pass over the
+//! body and is done only if any content is under suspicion.
 
 use hmac::{Hmac, Mac};
 use pondwalk_decide::direct::Content;
 use sha2::Sha256;
 
-/// Bytes of the code that are kept.
+/// Length of the truncated hash in bytes.
 const CONTENT_BYTES: usize = 16;
 
-/// The parts of a request that make up its content.
+/// Parts of a request that its content covers.
 #[derive(Debug, Clone, Copy)]
 pub struct Parts<'a> {
-    /// Workspace of its key; empty where none is asked for.
+    /// Workspace of the key; empty if none is required.
     pub caller: &'a str,
-    /// Host that it names.
+    /// Host of the request.
     pub host: &'a str,
-    /// Path, and the query behind it.
+    /// Path and query.
     pub target: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// The content of a request of these parts.
+/// Computes the content of a request.
 pub fn content_of(parts: Parts<'_>) -> Content {
     let (path, query) = parts.target.split_once('?').unwrap_or((parts.target, ""));
     let mut hash = Hmac::<Sha256>::new_from_slice(parts.caller.as_bytes())
-        .unwrap_or_else(|_| unreachable!("a key of any length is taken"));
+        .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
     add(&mut hash, path.as_bytes());
     add(&mut hash, parts.body);
     if parts.body.is_empty() {
         add(&mut hash, parts.host.as_bytes());
         add(&mut hash, query.as_bytes());
     }
-    let code = hash.finalize().into_bytes();
-    let mut kept = [0; CONTENT_BYTES];
-    kept.copy_from_slice(&code[..CONTENT_BYTES]);
-    Content::from_be_bytes(kept)
+    let digest = hash.finalize().into_bytes();
+    let mut truncated = [0; CONTENT_BYTES];
+    truncated.copy_from_slice(&digest[..CONTENT_BYTES]);
+    Content::from_be_bytes(truncated)
 }
 
-/// Adds a part behind its length, so that no two parts can be taken for one.
+/// Adds a part prefixed with its length, so that different parts can't produce the same input.
 fn add(hash: &mut Hmac<Sha256>, part: &[u8]) {
     hash.update(&(part.len() as u64).to_be_bytes());
     hash.update(part);
 }
 
-/// A content as logs write it.
+/// Formats a content for logs.
 pub fn content_text(content: Content) -> String {
     format!("{content:032x}")
 }
--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -1,9 +1,9 @@
-//! Carries roll-outs forward and tells the operator how far they have come.
+//! Advances roll-outs and reports their progress to the operator.
 //!
-//! No entry leads. Whichever's turn it is to make a step that is due writes it under the condition
-//! that nobody has written since; the others learn of it with all other changes. Who comes second
-//! finds the condition broken and hears what was written. An entry that restarts takes up where the
-//! store says the roll-out stands.
+//! There is no leader. The entry whose rotation slot comes first writes a due step with a
+//! compare-and-swap; the others receive it through the watch like any other change. An entry that
+//! comes second gets a conflict and applies the step that was written. An entry that restarts
+//! resumes from the stage recorded in the store.
 
 mod apply;
 mod listing;
@@ -38,22 +38,23 @@
     port::{Port, Progress},
 };
 
-/// Where the entries keep how far a roll-out has come, by service.
+/// Key prefix of the roll-out stage records, one per service.
 const STAGE_PREFIX: &str = "pondwalk/roll-out/";
-/// Longest time between two looks at what is due.
+/// Maximum time between two checks for due steps.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time over which entries spread what all of them write at the same moment.
-const JITTER_RANGE: Duration = Duration::from_millis(120);
-/// Parts of that time.
-const JITTER_STEPS: usize = 120;
-/// Least time between two tellings of what an entry has seen.
+/// Range over which entries spread writes that all of them would otherwise make at the same moment.
+const STAGGER_RANGE: Duration = Duration::from_millis(120);
+/// Number of slots in [`STAGGER_RANGE`].
+const STAGGER_SLOTS: usize = 120;
+/// Minimum time between two reports of this entry's observations.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// The same for each entry: together they tell at most 400 times a second.
+/// Additional report interval per listed entry: all entries together report at most 400 times a
+/// second.
 const REPORT_INTERVAL_PER_ENTRY: Duration = Duration::from_micros(2_500);
-/// Pause after a step that could not be written.
+/// Delay after a step that could not be written.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Follows all roll-outs.
+/// Advances all roll-outs.
 pub struct Coordinator {
     core: Rc<Core>,
     port: Port,
@@ -61,23 +62,23 @@
     revisions: RefCell<HashMap<String, u64>>,
     stages: RefCell<HashMap<ServiceId, StageRecord>>,
     reported_progress: RefCell<HashMap<ServiceId, Progress>>,
-    /// Roll-outs of which a restored store was found to lack a step.
+    /// Roll-outs with a step that is missing from a restored store.
     lost_steps: RefCell<HashSet<ServiceId>>,
-    /// Until when a step is left alone whose write got no answer: by then the store tells whether it
-    /// was done.
+    /// Steps whose write got no reply, each with the time until which it isn't retried: by then the
+    /// watch shows whether the write was applied.
     unconfirmed_until: RefCell<HashMap<ServiceId, Duration>>,
-    /// Until when what was listed last is expected to be heard of.
+    /// Time by which the entries listed last should have appeared in the watch.
     listing_pending_until: Cell<Duration>,
-    /// What the store holds of contents that are held.
+    /// Writes the record of quarantined contents.
     quarantine_writer: quarantine::QuarantineWriter,
-    /// Versions all of whose servers turn everything away.
+    /// Versions of which every server rejects all requests.
     rejecting_versions: RefCell<RejectingVersions>,
-    /// When they are looked for next.
+    /// Time of the next check for such versions.
     next_rejection_check: Cell<Duration>,
 }
 
 impl Coordinator {
-    /// Knows of no roll-outs yet.
+    /// Creates a coordinator without any roll-outs.
     pub fn new(core: Rc<Core>, port: Port) -> Self {
         Coordinator {
             core,
@@ -95,17 +96,17 @@
         }
     }
 
-    /// Something was learned; what is due may have changed.
+    /// Wakes the coordinator after a state change, which may have made steps due.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Writes the steps that are due, for as long as the process runs.
+    /// Writes due steps for as long as the process runs.
     pub async fn run(&self) {
         let mut rotation = Rotation::default();
         let mut pause = POLL_INTERVAL;
         loop {
-            // NB: the time limit is the next regular look, or the next turn.
+            // The timeout is the next regular check or the next rotation slot.
             let _ = timeout(pause, self.wake.notified()).await;
             self.publish_observations();
             self.evaluate_trials();
@@ -116,7 +117,7 @@
                 rotation.ready(&due, now, |service, step| self.write_delay(service, step));
             pause = next.map_or(POLL_INTERVAL, |next| next.min(POLL_INTERVAL));
             for service in ready.into_iter().filter(|service| !self.is_awaiting_outcome(service)) {
-                // NB: another entry may have made the step meanwhile.
+                // Another entry may have written the step meanwhile.
                 if let Some(step) = self.due_step(&service) {
                     self.write_step(&service, step).await;
                 }
@@ -126,11 +127,12 @@
         }
     }
 
-    /// How long this entry waits with a step that is due.
+    /// How long this entry waits before it writes a due step.
     fn write_delay(&self, service: &ServiceId, step: Move) -> Duration {
         let membership = &self.core.settings.membership;
         let is_due_everywhere = match step {
-            // NB: news goes nowhere near the store, and is gathered on its way.
+            // Kept sessions are published by gossip, which doesn't load the store and is batched on
+            // its way.
             Move::Keep => return Duration::ZERO,
             Move::Begin | Move::Widen | Move::Complete => true,
             Move::Revert => !self.has_found_bad_locally(service),
@@ -138,16 +140,16 @@
         if is_due_everywhere && membership.ordered_steps {
             self.rotation_delay()
         } else {
-            JITTER_RANGE * self.core.members.hash_slot(JITTER_STEPS) as u32 / JITTER_STEPS as u32
+            STAGGER_RANGE * self.core.members.hash_slot(STAGGER_SLOTS) as u32 / STAGGER_SLOTS as u32
         }
     }
 
-    /// How long this entry leaves to those before it what is due at all.
+    /// How long this entry leaves due writes to the entries before it in rotation.
     pub(crate) fn rotation_delay(&self) -> Duration {
         rotation_delay(self.core.members.rank(), self.propagation_time())
     }
 
-    /// Longest time until an entry hears what was just written to the store.
+    /// Upper bound on the time until an entry receives a change that was just written to the store.
     fn propagation_time(&self) -> Duration {
         let times = &self.core.settings.membership.times;
         times.normal_confirmation_age() + self.core.state.borrow().store_latency
@@ -196,7 +198,7 @@
         let progress = Progress { service: service.clone(), target: target.clone(), outcome };
         let (progress_key, progress_value) = (self.port.encode_progress)(&progress);
         let record = StageRecord { target, stage: stage.into() };
-        // NB: two texts always serialize.
+        // Serializing two strings can't fail.
         let stage_value = serde_json::to_vec(&record).unwrap_or_default();
         let changes = vec![
             self.change(format!("{STAGE_PREFIX}{service}"), stage_value),
@@ -214,8 +216,8 @@
             self.unconfirmed_until.borrow_mut().insert(service.clone(), until);
         }
         if written.is_err() {
-            // NB: the watch brings what another entry wrote, and what an answer that was lost
-            // left behind; until then the step counts as due.
+            // The watch brings the step if another entry wrote it, or if it was applied although
+            // the reply was lost; until then the step stays due.
             tokio::time::sleep(RETRY_DELAY).await;
         } else if let Some(roll_out) = self.core.state.borrow_mut().roll_outs.get_mut(service) {
             roll_out.learn_stage(stage, self.core.clock.now());
@@ -223,18 +225,18 @@
             let (service, stage) = (service.to_string(), stage.into());
             outgoing = Some(Gossip::Stage { service, target: progress.target, stage });
         }
-        if let Some(news) = outgoing {
-            self.core.publish_gossip(news);
+        if let Some(gossip) = outgoing {
+            self.core.publish_gossip(gossip);
         }
     }
 
-    /// Tells the other entries of a bad version that the store could not be told of.
+    /// Publishes a bad version by gossip when the store can't be written.
     fn publish_bad_version(&self, service: &ServiceId) {
         let Some(target) = self.target_of(service) else { return };
         self.core.publish_gossip(Gossip::Bad { service: service.to_string(), target });
     }
 
-    /// Tells what this entry has seen of the versions on trial.
+    /// Publishes this entry's observations of the versions on trial.
     fn publish_observations(&self) {
         let now = self.core.clock.now();
         let interval = self.report_interval();
@@ -245,16 +247,16 @@
                 outgoing.push(Gossip::Seen { service, target, seen });
             }
         }
-        outgoing.into_iter().for_each(|news| self.core.publish_gossip(news));
+        outgoing.into_iter().for_each(|gossip| self.core.publish_gossip(gossip));
     }
 
-    /// Time between two tellings of what this entry has seen. All entries together tell no more
-    /// often than a root can hear.
+    /// Time between two reports of observations, so that all entries together don't exceed what a
+    /// root can process.
     fn report_interval(&self) -> Duration {
         (REPORT_INTERVAL_PER_ENTRY * self.core.members.count() as u32).max(MIN_REPORT_INTERVAL)
     }
 
-    /// Weighs what has been seen of the versions on trial, and leaves those that are bad.
+    /// Evaluates the observations of the versions on trial and reverts bad ones.
     fn evaluate_trials(&self) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -270,7 +272,8 @@
         }
     }
 
-    /// Tells which sessions that the trial would move run through this entry already.
+    /// Publishes the sessions that this entry runs on the old version although the trial would move
+    /// them.
     fn publish_kept_sessions(&self, service: &ServiceId, target: String) {
         let sessions = self.kept_sessions(service, &target);
         for batch in sessions.chunks(MAX_SESSIONS_PER_ITEM) {
@@ -298,7 +301,7 @@
         self.core.event_log.record(LogPriority::State, &event);
     }
 
-    /// Writes to the store, counted and timed.
+    /// Commits changes to the store; counts and times the call.
     pub(crate) async fn commit(
         &self,
         changes: Vec<Change>,
--- a/crates/direct/src/coordinator/apply.rs
+++ b/crates/direct/src/coordinator/apply.rs
@@ -1,4 +1,4 @@
-//! What entries learn of roll-outs from the store: orders, stages, doubts and kept sessions.
+//! Applies roll-out state from the store: orders, stages and reported progress.
 
 use pondwalk_decide::direct::{RollOut, Stage};
 use pondwalk_store::StoreEntry;
@@ -17,7 +17,8 @@
 };
 
 impl Coordinator {
-    /// Learns the last change of a key, or that the key is gone.
+    /// Records the latest revision of a key, or its removal, and applies the coordinator's own
+    /// records.
     pub fn apply_revision(&self, key: &str, entry: Option<&StoreEntry>) {
         if is_usage_key(key) && key == self.usage_key() {
             self.core.apply_usage_record(entry);
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Learns of an order, or that it was taken back.
+    /// Applies a roll-out order, or its withdrawal.
     pub fn apply_order(&self, service: &ServiceId, order: Option<RollOutOrder>) {
         let Some(order) = order else {
             self.core.state.borrow_mut().roll_outs.remove(service);
@@ -47,8 +48,8 @@
         }
         let share = self.core.settings.roll_out.exposure;
         let now = self.core.clock.now();
-        // NB: it is to be done in a time that runs from when it was given, not from when a late
-        // answer told of it.
+        // The time limit counts from when the order was given, not from when a late reply brought
+        // it.
         let given_at = now.saturating_sub(state.store_latency);
         let times = &self.core.settings.membership.times;
         let propagation = times.confirm_interval + times.exchange;
@@ -56,8 +57,8 @@
             RollOut::new(order.target.clone(), order.within, given_at, share, propagation);
         let previous = state.roll_outs.insert(service.clone(), roll_out);
         let fleet = state.fleet(service);
-        // NB: the servers of a version that was reverted stay for a while, and are no part of the
-        // old version that the next one is compared with.
+        // Servers of a reverted version stay for a while; they aren't part of the old version with
+        // which the next one is compared.
         if let Some(previous) = previous.filter(RollOut::is_off) {
             fleet.leave_out(previous.target());
         }
@@ -70,7 +71,7 @@
         self.apply_stored_state(service);
     }
 
-    /// Learns what the operator was told.
+    /// Applies the progress that was reported to the operator.
     pub fn apply_progress(&self, service: &ServiceId, progress: Option<&Progress>) {
         match progress {
             Some(progress) => {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Forgets the revisions of keys that a whole reading does not show.
+    /// Forgets the revisions of keys that are missing from a snapshot.
     pub fn retain_listed(&self, entries: &[StoreEntry]) {
         let usage_key = self.usage_key();
         if entries.iter().all(|entry| entry.key != usage_key) {
@@ -98,7 +99,8 @@
     }
 
     fn apply_stage_record(&self, service: &ServiceId, value: &[u8]) {
-        let Some(record) = self.parse_record::<StageRecord>(service, "read the stage", value)
+        let Some(record) =
+            self.parse_record::<StageRecord>(service, "parse the stage record", value)
         else {
             return;
         };
@@ -106,7 +108,7 @@
         self.apply_stored_state(service);
     }
 
-    /// Reads a record of ours; one that cannot be read is logged.
+    /// Parses one of the entries' own records; logs those that can't be parsed.
     fn parse_record<T: DeserializeOwned>(
         &self,
         service: &str,
@@ -122,21 +124,21 @@
         record.ok()
     }
 
-    /// Lets the roll-out of a service learn something, if it is still the one to this target.
+    /// Updates the roll-out of a service if its target is still `target`.
     pub(super) fn update_roll_out(
         &self,
         service: &str,
         target: &str,
-        learn: impl FnOnce(&mut RollOut),
+        update: impl FnOnce(&mut RollOut),
     ) {
         let mut state = self.core.state.borrow_mut();
         let roll_out = state.roll_outs.get_mut(service);
         if let Some(roll_out) = roll_out.filter(|roll_out| *roll_out.target() == target) {
-            learn(roll_out);
+            update(roll_out);
         }
     }
 
-    /// Lets the roll-out of a service learn what the store holds about it.
+    /// Applies what the store holds on a service's roll-out.
     fn apply_stored_state(&self, service: &ServiceId) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
--- a/crates/direct/src/coordinator/listing.rs
+++ b/crates/direct/src/coordinator/listing.rs
@@ -1,4 +1,4 @@
-//! Lists entries in the store: those that have started, by one of the roots in one write.
+//! Lists started entries in the store, several in one write by a root.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
     metrics::StoreCause,
 };
 
-/// Entries listed by one write. The platform's store takes up to 32 rows in a call, and each change
-/// is a condition and a write.
+/// Entries listed per write. The platform's store accepts up to 32 rows per call, and each change
+/// takes a condition and a write.
 const MAX_LISTINGS_PER_WRITE: usize = 16;
-/// Age of the news of an entry's start from which it is listed, so that those that start together
-/// are listed together.
+/// Age at which an announced start is listed, so that entries that start together are listed in one
+/// write.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
 
 impl Coordinator {
-    /// Lists the entries that have told of their start, if it is this one's turn; `wait` is how long
-    /// it leaves that to the others.
+    /// Lists the entries that announced their start, if this entry is next in rotation; `wait` is
+    /// its rotation delay.
     pub(super) async fn list_joined(&self, wait: Duration) {
-        // NB: while the store is away nobody can be listed, and each try counts as a call.
-        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
+        // During an outage no entry can be listed, and each attempt counts as a store call.
+        let queries_peer = matches!(self.core.source(), ChangeSource::Entry { .. });
         let is_write_pending = self.core.clock.now() < self.listing_pending_until.get();
-        if asks_others || is_write_pending || self.core.outage().is_some() {
+        if queries_peer || is_write_pending || self.core.outage().is_some() {
             return;
         }
         let unlisted = self.unlisted(BATCH_DELAY + wait);
@@ -38,18 +38,18 @@
                 let key = format!("{ENTRY_PREFIX}{}", batch[0].0);
                 let event = RollOutEvent::NotListed { key, error: error.to_string() };
                 self.core.event_log.record(LogPriority::State, &event);
-                // NB: whoever is not listed in the end lists itself.
+                // An entry that stays unlisted lists itself.
                 return;
             }
         }
     }
 
-    /// Lists this entry by a write of its own; for when nobody else has.
+    /// Lists this entry with a write of its own, for when no root has done so.
     pub async fn list_self(&self, listing: Listing) {
         let name = &self.core.settings.name;
         let change = self.listing(name, &listing);
         let key = change.key.clone();
-        // NB: an entry that is not listed is asked by nobody, and tries again.
+        // An unlisted entry receives no requests from others and retries later.
         if let Err(error) = self.commit(vec![change], StoreCause::Listing).await {
             let event = RollOutEvent::NotListed { key, error: error.to_string() };
             self.core.event_log.record(LogPriority::State, &event);
@@ -60,12 +60,12 @@
         self.change(format!("{ENTRY_PREFIX}{name}"), listing.to_string().into_bytes())
     }
 
-    /// Entries that started this long ago and are not listed where they are.
+    /// Entries that announced their start at least `min_age` ago and aren't listed at that address.
     fn unlisted(&self, min_age: Duration) -> Vec<(String, Listing)> {
         let now = self.core.clock.now();
-        let news = self.core.gossip.borrow();
+        let gossip = self.core.gossip.borrow();
         let mut unlisted = Vec::new();
-        for (age, item) in news.all(now) {
+        for (age, item) in gossip.all(now) {
             let Gossip::Joined { listing } = item.news else { continue };
             if age >= min_age && !self.core.members.is_stored(&item.origin, listing) {
                 unlisted.retain(|(name, _)| *name != item.origin);
--- a/crates/direct/src/coordinator/lost_steps.rs
+++ b/crates/direct/src/coordinator/lost_steps.rs
@@ -1,7 +1,7 @@
-//! Writes again what a store that was restored from a copy has lost of the roll-outs.
+//! Rewrites roll-out steps that are missing from a store restored from a backup.
 //!
-//! No entry forgets how far a roll-out has come. Where the store holds less than that, the operator was told
-//! less, and the step is due once more.
+//! Entries remember the stage of each roll-out. If the restored store holds an earlier one, the
+//! operator's view is behind as well, and the step becomes due again.
 
 use pondwalk_decide::direct::{Move, RollOut, Stage};
 
@@ -9,14 +9,15 @@
 use crate::{catalog::ServiceId, port::Outcome};
 
 impl Coordinator {
-    /// Forgets what the store held before it was restored; what it holds now is learned next.
+    /// Forgets the store's content from before the restoration; the restored content is applied
+    /// next.
     pub fn clear_stored(&self) {
         self.stages.borrow_mut().clear();
         self.reported_progress.borrow_mut().clear();
         self.clear_quarantine_record();
     }
 
-    /// Finds the roll-outs that are further than the restored store knows.
+    /// Marks the roll-outs whose stage is ahead of the restored store.
     pub fn find_lost_steps(&self) {
         let state = self.core.state.borrow();
         let known = state.roll_outs.iter();
@@ -24,7 +25,7 @@
         self.lost_steps.borrow_mut().extend(lost.map(|(service, _)| service.clone()));
     }
 
-    /// The step of a roll-out that the store has lost, if it still lacks it.
+    /// The step of a roll-out that the store lost, if it is still missing.
     pub(super) fn lost_step(&self, service: &ServiceId, roll_out: &RollOut) -> Option<Move> {
         let is_lost = self.lost_steps.borrow().contains(service);
         if is_lost && self.is_step_missing(service, roll_out) {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether the store holds an earlier stage of a roll-out than is known, or the operator was told so.
+    /// Whether the store's stage record or the reported progress is behind the stage known here.
     fn is_step_missing(&self, service: &ServiceId, roll_out: &RollOut) -> bool {
         let Some(known) = roll_out.known_stage() else { return false };
         let (stages, reported) = (self.stages.borrow(), self.reported_progress.borrow());
@@ -56,7 +57,7 @@
     }
 }
 
-/// What the operator is told at a stage.
+/// The outcome reported to the operator at a stage.
 pub(super) fn outcome_at(stage: Stage) -> Outcome {
     match stage {
         Stage::Trial | Stage::Widening => Outcome::InProgress,
--- a/crates/direct/src/coordinator/quarantine.rs
+++ b/crates/direct/src/coordinator/quarantine.rs
@@ -1,4 +1,4 @@
-//! Keeps contents that are held in the store, for entries that start when nobody else knows.
+//! Stores the quarantined contents, for entries that start when no running entry remembers them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,43 +13,43 @@
     quarantine::{MAX_STORED_CRASHES, QUARANTINE_KEY, QuarantineEvent, StoredQuarantine},
 };
 
-/// Least time between two writes: what begins to be held at about the same time goes in one.
+/// Minimum time between two writes; contents quarantined at about the same time share a write.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the store holds, and when this entry may write it.
+/// The stored quarantine record, and when this entry may write it.
 #[derive(Debug, Default)]
 pub struct QuarantineWriter {
     stored: RefCell<StoredQuarantine>,
-    /// Since when something has been missing there.
+    /// Since when crashes have been missing from the record.
     due_since: Cell<Option<Duration>>,
     /// Earliest time of the next write.
     next_write_at: Cell<Duration>,
 }
 
 impl Coordinator {
-    /// Forgets what the store held.
+    /// Forgets the record held by the store.
     pub(super) fn clear_quarantine_record(&self) {
         self.quarantine_writer.stored.take();
     }
 
-    /// Learns what the store holds.
+    /// Applies the record held by the store.
     pub(super) fn apply_quarantine_record(&self, value: &[u8]) {
         let stored: StoredQuarantine = match postcard::from_bytes(value) {
             Ok(stored) => stored,
-            // NB: another writer's, or another version's; whatever is held here is written over it.
+            // Written by a foreign writer or another release; the next write replaces it.
             Err(error) => return self.log_quarantine_error(error.to_string()),
         };
         self.core.receive_crashes(&stored.ends, stored.age(self.core.clock.unix_ms()));
         *self.quarantine_writer.stored.borrow_mut() = stored;
     }
 
-    /// Writes what is missing in the store, if it is this entry's turn; `wait` is how long it leaves
-    /// that to the others.
+    /// Writes missing crashes to the store if this entry is next in rotation; `wait` is its
+    /// rotation delay.
     pub(super) async fn write_quarantine_record(&self, wait: Duration) {
         let now = self.core.clock.now();
-        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
+        let queries_peer = matches!(self.core.source(), ChangeSource::Entry { .. });
         let record = self.pending_record();
-        if asks_others || self.core.outage().is_some() || record.is_none() {
+        if queries_peer || self.core.outage().is_some() || record.is_none() {
             self.quarantine_writer.due_since.set(None);
             return;
         }
@@ -74,12 +74,12 @@
                     &QuarantineEvent::QuarantineStored { ends, revision },
                 );
             }
-            // NB: the watch brings what another entry wrote; what is missing then is still due.
+            // The watch brings what another entry wrote; anything still missing stays due.
             Err(error) => self.log_quarantine_error(error.to_string()),
         }
     }
 
-    /// What is to lie in the store, if something is missing there and there is room for it.
+    /// The record to write, if crashes are missing from the store and there is room for them.
     fn pending_record(&self) -> Option<StoredQuarantine> {
         let quarantined = self.core.quarantined_crashes();
         if quarantined.is_empty() {
--- a/crates/direct/src/coordinator/rejecting_versions.rs
+++ b/crates/direct/src/coordinator/rejecting_versions.rs
@@ -1,8 +1,8 @@
-//! Versions all of whose servers turn everything away.
+//! Detects versions of which every server rejects all requests.
 //!
-//! A server that asks for a pause is no evidence against its version, nor is a request that it did not run.
-//! A version none of whose servers takes anything would so be told complete, and those of the version
-//! before it would stop.
+//! A backoff requested by a server doesn't count as evidence against its version, nor does a
+//! request that it didn't run. Without this check a version whose servers accept no requests would
+//! be reported as complete, and the servers of the previous version would be stopped.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -11,19 +11,21 @@
 use super::{Coordinator, records::RollOutEvent};
 use crate::{catalog::ServiceId, event_log::LogPriority};
 
-/// Time after which such a version is told as one, and left if it is on trial. Servers ask for pauses of a few
-/// seconds while they are full; one that has just started is full for as long at most.
+/// Time after which such a version is logged, and reverted if it is on trial. Servers request
+/// backoffs of a few seconds while they are full, and one that has just started is full for no
+/// longer.
 const MIN_REJECTION_TIME: Duration = Duration::from_secs(10);
 
-/// Time between two looks. Each goes over all servers, of which there may be thousands, while the conductor is
-/// woken by all that is learned.
+/// Time between two checks. Each iterates over all servers, possibly thousands, while the
+/// coordinator wakes on every state change.
 const REJECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Versions that turn everything away, by service.
+/// Versions that reject all requests, by service.
 pub type RejectingVersions = BTreeSet<(ServiceId, VersionId)>;
 
 impl Coordinator {
-    /// Tells of versions that begin or cease to turn everything away, and leaves one that is on trial.
+    /// Logs versions that start or stop rejecting all requests, and aborts the trial of such a
+    /// version.
     pub(super) fn check_rejecting_versions(&self) {
         let now = self.core.clock.now();
         if now < self.next_rejection_check.get() {
--- a/crates/direct/src/coordinator/rotation.rs
+++ b/crates/direct/src/coordinator/rotation.rs
@@ -1,8 +1,8 @@
-//! Whose turn it is to make a step that is due at all entries at once.
+//! Write order of the entries for steps that become due at all of them at once.
 //!
-//! The first entry in order makes it at once, and the next ones only if, after as long as the news
-//! of it takes to reach them, the step is still due. So mostly one entry writes a step, and one that
-//! has died delays it by a bounded time.
+//! The first entry in rotation writes immediately; each next one only if the step is still due
+//! after the time that a write takes to reach it. Usually a single entry writes, and an entry that
+//! has failed delays the step by a bounded time.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,20 +10,21 @@
 
 use crate::catalog::ServiceId;
 
-/// Entries in order that wait for one another. If all of them are gone, the others follow together.
+/// Entries that wait for one another in rotation. If all of them are gone, the others follow
+/// together.
 const MAX_ORDERED_ENTRIES: u32 = 3;
-/// Time for each entry over which the others spread their tries then.
+/// Additional delay per entry after those, to spread their attempts.
 const UNORDERED_DELAY_PER_ENTRY: Duration = Duration::from_millis(5);
 
-/// The steps that are due, and since when.
+/// Due steps, and since when each has been due.
 #[derive(Debug, Default)]
 pub struct Rotation {
     due: HashMap<ServiceId, (Move, Duration)>,
 }
 
 impl Rotation {
-    /// Notes which steps are due now. Returns those services whose step has been due for as long as
-    /// `wait` says, and the time until the next one will have been.
+    /// Updates the set of due steps. Returns the services whose step has been due for at least
+    /// `wait`, and the time until the next one will have been.
     pub fn ready(
         &mut self,
         due: &[(ServiceId, Move)],
@@ -46,8 +47,8 @@
     }
 }
 
-/// How long the entry at place `rank` of the order waits with a step, where news of one takes
-/// `news` to reach it.
+/// Delay of the entry at position `rank` in rotation, where a write takes `propagation` to reach
+/// it.
 pub fn rotation_delay(rank: usize, propagation: Duration) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     let others = rank.saturating_sub(MAX_ORDERED_ENTRIES);
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -1,4 +1,4 @@
-//! What one entry believes, shared by all tasks on its thread.
+//! State and services of one entry, shared by all tasks on its thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,70 +25,71 @@
     usage::Usage,
 };
 
-/// Whether the process is to end.
+/// Phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// It is not.
+    /// No shutdown was requested.
     Running,
-    /// Callers are asked to go elsewhere; work is still taken.
+    /// Callers are directed elsewhere; new work is still accepted.
     Draining,
-    /// Only work is taken whose own time limit ends before this one does.
+    /// Only work whose deadline lies before the end is accepted.
     Closing {
         /// When the process ends, on its own clock.
         end: Duration,
     },
 }
 
-/// Everything that tasks share.
+/// State and services shared by all tasks of an entry.
 pub struct Core {
-    /// What the process was told at its start.
+    /// Settings from the start of the process.
     pub settings: DirectSettings,
-    /// Names of headers.
+    /// Header names and fixed texts.
     pub dialect: Dialect,
-    /// Time since the start.
+    /// Process clock.
     pub clock: Clock,
     /// Opens connections to backend servers.
     pub connect: Connect,
-    /// Logs.
+    /// Event log.
     pub event_log: EventLog,
-    /// Counters.
+    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Whether the process is to end.
+    /// Phase of the shutdown.
     pub shutdown: Cell<ShutdownPhase>,
-    /// The entries that are listed.
+    /// The listed entries.
     pub members: Members,
-    /// Random number of this life of the process, by which other entries tell it from the next.
+    /// Random id of this incarnation of the process, which distinguishes it from others of the same
+    /// name.
     pub incarnation: u64,
-    /// Entry that told the first state, as long as no other is known.
+    /// Entry that provided the initial state, used until the listed entries are known.
     pub initial_source: Cell<Option<SocketAddr>>,
-    /// News that all entries are to hear.
+    /// Gossip for all entries.
     pub gossip: RefCell<GossipLog>,
-    /// News that only goes up the tree.
+    /// Gossip sent towards the root only.
     pub gossip_for_parents: RefCell<GossipLog>,
-    /// Items of news that this entry has told.
+    /// Number of gossip items published by this entry.
     pub gossip_sent: Cell<u64>,
-    /// News to be passed on.
+    /// Gossip waiting to be sent.
     pub outbox: Outbox,
-    /// Wakes those that wait for a confirmation or for news.
+    /// Notified when the state was confirmed or gossip arrived.
     pub state_changed: Notify,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
-    /// Ends of servers seen a moment ago.
+    /// Crashes observed recently and not yet published.
     pub seen_crashes: SeenCrashes,
-    /// Contents that others hold and that came to a good end here.
+    /// Contents to clear at other entries.
     pub pending_clearances: PendingClearances,
-    /// Permits granted for servers that name a rate limit.
+    /// Permits granted for servers with a rate limit.
     pub permits: PermitState,
-    /// Leave to run that is to be given back.
+    /// Unused probes to release.
     pub released_probes: ReleasedProbes,
-    /// Usage that is counted and reported, where the deployment asks for that.
+    /// Usage counts and reporter, if the deployment reports usage.
     pub usage: Option<Usage>,
-    /// What changes.
+    /// Mutable state.
     pub state: RefCell<State>,
 }
 
 impl Core {
-    /// A process that knows nothing yet.
+    /// Creates the core of a process that has no state yet.
     pub fn new(
         settings: DirectSettings,
         dialect: Dialect,
@@ -127,16 +128,16 @@
         }
     }
 
-    /// How long the store has been away, if the last call to it failed: since it last confirmed
-    /// anything, or since the start.
+    /// Duration of the store outage if the last call failed: time since the last confirmation, or
+    /// since the start.
     pub fn outage(&self) -> Option<Duration> {
         let state = self.state.borrow();
         let now = self.clock.now();
-        state.source_lost.then(|| state.freshness.age(now).unwrap_or(self.clock.uptime()))
+        state.store_call_failed.then(|| state.freshness.age(now).unwrap_or(self.clock.uptime()))
     }
 
-    /// Where this entry learns of changes. While nobody is listed yet, the entry that told the first
-    /// state tells the rest, and a seed must expect to be that one.
+    /// Source of state changes. Until entries are listed, that is the entry that provided the
+    /// initial state, and a seed must expect to be that entry.
     pub fn source(&self) -> ChangeSource {
         match (self.members.source(self.clock.now()), self.initial_source.get()) {
             (ChangeSource::StoreStandalone, Some(address)) => {
@@ -149,14 +150,14 @@
         }
     }
 
-    /// The seeds without this entry.
+    /// All seeds except this entry.
     fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         let seeds = self.settings.membership.seeds.iter().copied();
         seeds.filter(|seed| Some(*seed) != self.settings.peers)
     }
 
-    /// Entries to which news is passed on: the one that this entry asks, or the other roots. While
-    /// nobody is listed yet, the seeds take the place of the roots.
+    /// Entries to which gossip is forwarded: the one that this entry queries, or the other roots.
+    /// Until entries are listed, the seeds stand in for the roots.
     pub fn parents(&self) -> Vec<SocketAddr> {
         match self.source() {
             ChangeSource::Entry { address, .. } => vec![address],
@@ -166,35 +167,38 @@
         }
     }
 
-    /// Whether all news that goes up reaches this entry: it asks the store, or stands next in order to.
+    /// Whether all gossip towards the root reaches this entry: it queries the store, or is among
+    /// the next to do so.
     pub fn receives_all_gossip(&self) -> bool {
-        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
-        asks_store || self.members.rank() < root_count(self.members.count()).max(MIN_GOSSIP_TARGETS)
+        let queries_store = !matches!(self.source(), ChangeSource::Entry { .. });
+        queries_store
+            || self.members.rank() < root_count(self.members.count()).max(MIN_GOSSIP_TARGETS)
     }
 
-    /// Age of the last confirmation by the store that the state rests on, if any.
+    /// Age of the last store confirmation of the state, if any.
     pub fn state_age(&self) -> Option<Duration> {
         self.state.borrow().freshness.age(self.clock.now())
     }
 
-    /// Whether nobody has confirmed this entry's state for so long, and `further`, that the store may be away.
+    /// Whether the state has not been confirmed for so long, plus `further`, that the store may be
+    /// unavailable.
     pub fn is_state_outdated(&self, further: Duration) -> bool {
         let state = self.state.borrow();
-        // NB: where the store answers late to all, one more that asks it learns nothing sooner.
+        // If the store replies late to everyone, one more query brings nothing sooner.
         let limit = self.settings.membership.times.fallback_age + state.store_latency + further;
         state.freshness.age(self.clock.now()).is_none_or(|age| age > limit)
     }
 
-    /// Lets the bounds over all entries be shared by the entries that are listed now.
+    /// Shares the global bounds among the entries listed now.
     pub fn update_bound_shares(&self) {
         let names = self.members.names();
         self.state.borrow_mut().set_bound_sharing(names.iter().map(String::as_str));
     }
 
-    /// Counters, histograms, and where this entry stands among the others, one a line.
+    /// Counters, histograms and gauges in text form, one per line.
     pub fn metrics_text(&self) -> String {
         let mut text = self.metrics.text();
-        let asks_store = !matches!(self.source(), ChangeSource::Entry { .. });
+        let queries_store = !matches!(self.source(), ChangeSource::Entry { .. });
         let state = self.state.borrow();
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
@@ -211,7 +215,7 @@
             ("contents_held", state.quarantine.count_held(self.clock.now()) as u64),
             ("contents_given_way", state.quarantine.given_way()),
             ("entries_listed", self.members.count() as u64),
-            ("asks_store", u64::from(asks_store)),
+            ("asks_store", u64::from(queries_store)),
             ("store_era", state.replica.position().era),
             ("news_remembered", self.gossip.borrow().all(self.clock.now()).count() as u64),
         ];
@@ -220,17 +224,17 @@
             gauges.push(("state_age_ms", age.as_millis() as u64));
         }
         for (name, value) in gauges {
-            // NB: writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = writeln!(text, "pondwalk_{name} {value}");
         }
         text
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the entry accepts callers.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         let Some(catalog) = &state.catalog else { return false };
-        // NB: without keys there is nothing that an old configuration must not be trusted with.
+        // Without keys an outdated configuration grants nothing that it must not.
         let serves = !catalog.requires_keys() || state.freshness.honours_keys(self.clock.now());
         self.shutdown.get() == ShutdownPhase::Running && serves
     }
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -1,57 +1,57 @@
-//! Names of the headers and paths that callers and backend servers speak.
+//! Names of headers and paths used between callers, entries and backend servers.
 
 use hyper::header::HeaderName;
 
-/// Header names and fixed texts of one deployment.
+/// Header names and fixed texts of a deployment.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Caller's id of one request; echoed by backend servers.
+    /// Id that the caller gives a request; echoed by backend servers.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender still waits.
+    /// Remaining time that the sender waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Parts of the prompt in order, as `ID:TOKENS` by commas.
+    /// Parts of the prompt in order, as comma-separated `ID:TOKENS`.
     pub prompt_parts: HeaderName,
-    /// Tokens of the prompt, and most tokens out.
+    /// Prompt tokens and maximum output tokens, as `IN,OUT`.
     pub token_usage: HeaderName,
-    /// Caller's guess of the tokens out.
+    /// Caller's estimate of the output tokens.
     pub length_hint: HeaderName,
-    /// Model asked for.
+    /// Requested model.
     pub model: HeaderName,
-    /// Conversation that the request belongs to.
+    /// Session of the request.
     pub session: HeaderName,
-    /// Last event of a stream that the caller has.
+    /// Last stream event that the caller has received.
     pub last_event_id: HeaderName,
-    /// Workspace of the caller's key, as told to backend servers.
+    /// Workspace of the caller's key, for backend servers.
     pub workspace: HeaderName,
-    /// Backend server that a request is meant for.
+    /// Backend server that a request is intended for.
     pub expected_server: HeaderName,
-    /// Rank of a request at a backend server, 0 first.
+    /// Priority of a request at a backend server, 0 first.
     pub priority: HeaderName,
-    /// Marks an answer of a backend server that did not run the request.
+    /// Marks the response of a backend server that didn't run the request.
     pub not_run: HeaderName,
-    /// Proof of a backend server that it made the answer.
+    /// Signature of the backend server that produced the answer.
     pub signature: HeaderName,
-    /// A model's own opinion of its answer, 0 to 100.
+    /// A model's confidence in its answer, 0 to 100.
     pub confidence: HeaderName,
-    /// A backend server's load, as `RUNNING,WAITING,SLOTS`; not every server tells it.
+    /// Load of a backend server as `RUNNING,WAITING,SLOTS`; optional.
     pub load: HeaderName,
-    /// Tells in an answer, by `1`, that its backend server is leaving.
+    /// Set to `1` in responses of a draining backend server.
     pub leaving: HeaderName,
-    /// Requests a second that a backend server takes from all entries together, as a decimal number; told by one
-    /// in need.
+    /// Requests a second that a backend server accepts from all entries together, as a decimal
+    /// number; sent by servers near overload.
     pub limit: HeaderName,
-    /// Headers that only the entry may set; those of callers are dropped.
+    /// Headers that only the entry may set; callers' values are dropped.
     pub reserved: Vec<HeaderName>,
     /// Scheme of the `authorization` header that carries a key.
     pub key_scheme: &'static str,
-    /// Path of the readiness question.
+    /// Path of the readiness check.
     pub readiness_path: &'static str,
-    /// Text in place of a model by which callers leave the choice to the entry.
+    /// Model name by which callers leave the choice to the entry.
     pub any_model: &'static str,
 }
 
 impl Dialect {
-    /// The product's own names.
+    /// The default names of this project.
     pub fn pondwalk() -> Self {
         let name = HeaderName::from_static;
         Dialect {
--- a/crates/direct/src/draining_servers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -1,9 +1,9 @@
-//! Looks whether servers that said they leave have started anew, while the store can't tell.
+//! Detects restarts of draining servers while the store is unavailable.
 //!
-//! A server's word that it leaves binds for its life. The store tells of the next one; while it is away, all
-//! servers that were restarted in place would be left out, and callers with them. So connections are opened to
-//! their addresses and closed again, without a byte: once nothing has listened there for long, whatever
-//! listens again is another process.
+//! A server's draining signal holds for its incarnation. The store announces the next one; during
+//! an outage all servers restarted in place would stay unused. Therefore connections are opened to
+//! their addresses and closed again without sending a byte: once nothing has listened there for
+//! long enough, a new listener is another process.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,29 +13,29 @@
 
 use crate::{catalog::ServiceId, core::Core, event_log::LogPriority};
 
-/// Time between two looks; a server that starts anew in place is mostly away for some seconds.
+/// Poll interval; a server restarted in place is usually away for some seconds.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Servers looked at each time. When hundreds are replaced while the store is away, hundreds of entries open at
-/// most some ten connections a second each.
+/// Servers probed per poll. When hundreds are replaced during an outage, hundreds of entries open
+/// at most about ten connections a second each.
 const MAX_PROBES_PER_POLL: usize = 5;
-/// Longest time for a connection to open; one that takes longer tells nothing.
+/// Connect timeout; a slower connection is inconclusive.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A server that said it leaves has started anew.
+/// A draining server was restarted.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum DrainingServerEvent<'a> {
     LeaverStartedAnew { server: &'a str },
 }
 
-/// A server to look at.
+/// A server to probe.
 struct DrainingServer {
     service: ServiceId,
     server: ServerId,
     address: SocketAddr,
 }
 
-/// Looks after servers that leave for as long as the process runs.
+/// Watches draining servers for as long as the process runs.
 pub async fn watch_draining_servers(core: Rc<Core>) {
     let mut offset = 0;
     loop {
@@ -44,7 +44,7 @@
         if draining.is_empty() {
             continue;
         }
-        // NB: by turns, so that each is looked at however many there are.
+        // In rotation, so that every server is probed however many there are.
         let rotation = draining.iter().cycle().skip(offset % draining.len());
         for server in rotation.take(MAX_PROBES_PER_POLL.min(draining.len())) {
             probe_server(&core, server).await;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Servers whose next life nobody could tell of.
+/// Draining servers, if the store may be unable to announce their next incarnation.
 fn list_draining(core: &Core) -> Vec<DrainingServer> {
     if !core.is_state_outdated(Duration::ZERO) {
         return Vec::new();
@@ -77,7 +77,7 @@
     let listens = match timeout(CONNECT_TIMEOUT, (core.connect)(server.address)).await {
         Ok(Ok(_)) => true,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => false,
-        // NB: silence, or a reset, is no sign that nothing listens.
+        // A timeout or a reset doesn't show that nothing listens.
         _ => return,
     };
     let now = core.clock.now();
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry with all that runs in it, apart from sockets and signals.
+//! An entry with all its tasks, except for sockets and signals.
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,31 +26,31 @@
     usage,
 };
 
-/// Time between two batches of log lines.
+/// Interval between batches of log lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at what may be forgotten.
+/// Interval between removals of expired quarantine data.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
-/// Time after the signal to stop for which all new work is still taken. The balancer asks once a
-/// second and needs two misses; where others are stopped in turn, each tenth of a second more
-/// closes a gap in which none is open. A stream taken later than three seconds after the signal
-/// would have too little time left.
+/// Time after the stop signal for which new work is still accepted. The load balancer checks once a
+/// second and needs two failures; when other entries are stopped in turn, each tenth of a second
+/// more closes a gap in which none accepts work. A stream accepted later than three seconds after
+/// the signal would have too little time left.
 const DRAIN_NOTICE: Duration = Duration::from_millis(2_900);
-/// Part of the grace time by which the process has ended.
+/// Fraction of the grace period after which the process has ended.
 const GRACE_FRACTION: f64 = 0.95;
-/// Time between two looks at whether all work is done.
+/// Poll interval for the end of all work.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shortest suspension of the machine that is logged.
+/// Minimum suspension of the machine that is logged.
 const MIN_LOGGED_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// The machine stood still; all that is known is as much older than timers tell.
+/// The machine was suspended; the state is older by that time than timers show.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum SuspensionEvent {
     MachineWasSuspended { suspended_ms: u64, freshness_ms: Option<u64> },
 }
 
-/// Logs a suspension that has not been logged yet; `known` is what was noticed before.
+/// Logs a suspension that has not been logged yet; `known` is the total logged before.
 fn log_suspension(core: &Core, known: &mut Duration) {
     let suspended = core.clock.suspended();
     let new = suspended.saturating_sub(*known);
@@ -65,7 +65,7 @@
     core.event_log.record(LogPriority::State, &event);
 }
 
-/// A step of a planned stop.
+/// Phase of a graceful shutdown, as logged.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum StopEvent {
@@ -74,7 +74,7 @@
     Stopped { under_way: usize },
 }
 
-/// One entry.
+/// An entry.
 #[derive(Clone)]
 pub struct Entry {
     core: Rc<Core>,
@@ -84,7 +84,7 @@
 }
 
 impl Entry {
-    /// An entry that knows nothing yet; `seed` starts its random numbers.
+    /// Creates an entry without state; `seed` initializes its random numbers.
     pub fn new(
         settings: DirectSettings,
         dialect: Dialect,
@@ -99,7 +99,7 @@
         Entry { core, coordinator, gate: Rc::default(), port }
     }
 
-    /// Starts to follow the store, on the current thread's local tasks.
+    /// Starts the background tasks as local tasks of the current thread.
     pub fn start(&self) {
         let coordinator = Rc::clone(&self.coordinator);
         spawn_local(async move { coordinator.run().await });
@@ -132,7 +132,7 @@
         });
     }
 
-    /// Answers the requests on one caller's connection.
+    /// Serves the requests on a caller's connection.
     pub async fn serve<I>(&self, io: I)
     where
         I: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -140,7 +140,7 @@
         http::connection(Rc::clone(&self.core), io, Rc::clone(&self.gate)).await;
     }
 
-    /// Answers the questions on one connection from another entry.
+    /// Serves the requests on a connection from another entry.
     pub async fn serve_peer<I>(&self, io: I)
     where
         I: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -148,47 +148,47 @@
         membership::serve(Rc::clone(&self.core), io).await;
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the entry accepts callers.
     pub fn is_ready(&self) -> bool {
         self.core.is_ready()
     }
 
-    /// Its name.
+    /// Name of the entry.
     pub fn name(&self) -> &str {
         &self.core.settings.name
     }
 
-    /// Counters and histograms as text.
+    /// Counters and histograms in text form.
     pub fn metrics_text(&self) -> String {
         self.core.metrics_text()
     }
 
-    /// Age of the last confirmation by the store that this entry's state rests on, if any.
+    /// Age of the last store confirmation of this entry's state, if any.
     pub fn state_age(&self) -> Option<Duration> {
         self.core.state_age()
     }
 
-    /// What is shared by the tasks of this entry.
+    /// State and services shared by the entry's tasks.
     pub(crate) fn core(&self) -> &Rc<Core> {
         &self.core
     }
 
-    /// Lets time pass as if the machine had been suspended; for tests.
+    /// Simulates a suspension of the machine; for tests.
     pub fn simulate_suspension(&self, time: Duration) {
         self.core.clock.simulate_suspension(time);
     }
 
-    /// Lets the time of day be as if it had been this at the start, in milliseconds since 1970; for tests.
+    /// Simulates a wall-clock time at the start, in milliseconds since the Unix epoch; for tests.
     pub fn simulate_unix_ms(&self, at_start: u64) {
         self.core.clock.simulate_unix_ms(at_start);
     }
 
-    /// Log lines gathered and not yet handed to the writer.
+    /// Log lines that have not been passed to the writer yet.
     pub fn buffered_log_lines(&self) -> String {
         self.core.event_log.buffered()
     }
 
-    /// Sends callers elsewhere, finishes what is under way, and returns within the grace time.
+    /// Directs callers elsewhere, finishes the work in flight, and returns within the grace period.
     pub async fn drain(&self) {
         let core = &self.core;
         let signalled_at = core.clock.now();
--- a/crates/direct/src/event_log.rs
+++ b/crates/direct/src/event_log.rs
@@ -1,8 +1,8 @@
-//! Structured logs: one JSON object a line, one line for each decision.
+//! Structured event log: one JSON object per line.
 //!
-//! The lines that may be written in a second are bounded, with a part kept for failures. Lines
-//! are gathered and handed to a writer of their own thread every so often; if that cannot keep
-//! up, they are dropped and counted. Nothing here ever waits.
+//! The number of lines per second is limited, with a share reserved for failures. Lines are
+//! buffered and passed in batches to a writer thread; if it can't keep up, they are dropped and
+//! counted. Logging never blocks.
 
 use std::{
     cell::RefCell,
@@ -23,25 +23,25 @@
 
 use crate::clock::Clock;
 
-/// Batches of lines that may wait for the writer.
+/// Maximum number of batches queued for the writer.
 const MAX_QUEUED_BATCHES: NonZeroUsize = NonZeroUsize::new(8).unwrap();
-/// Bytes gathered after which a batch is handed over early.
+/// Buffered bytes above which a batch is submitted early.
 const BATCH_BYTES: usize = 16 * 1024;
-/// Part of the lines in a second that successes may use.
+/// Fraction of the lines per second available to successes.
 const SUCCESS_SHARE: f64 = 0.5;
 
-/// How a line ranks when there are too many.
+/// Priority of a line when the rate limit is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogPriority {
-    /// A change of what the process believes; always written.
+    /// A state change; always written.
     State,
-    /// A failure of a request.
+    /// A failed request.
     Failure,
-    /// What went as it should.
+    /// A successful request.
     Success,
 }
 
-/// One line.
+/// A log line.
 #[derive(Debug, Serialize)]
 struct Line<'a, E: Serialize> {
     /// Time since the start of the process, in milliseconds.
@@ -59,7 +59,7 @@
     dropped: u64,
 }
 
-/// Where lines go.
+/// Rate-limited event log.
 pub struct EventLog {
     process: String,
     clock: Clock,
@@ -68,18 +68,18 @@
     buffer: RefCell<Buffer>,
 }
 
-/// Hands batches of lines to a thread of its own.
+/// Passes batches of lines to a thread of its own.
 struct Writer {
     logger: Logger,
-    /// Whether the thread could not take the latest batch.
+    /// Whether the thread rejected the latest batch.
     rejected: Arc<AtomicBool>,
 }
 
-/// What can keep the logs from being written.
+/// Error of the logging backend.
 pub type LogError = spdlog::Error;
 
 impl EventLog {
-    /// Writes to standard output, at most `lines_per_s`.
+    /// Logs to standard output, at most `lines_per_s`.
     pub fn to_stdout(process: &str, lines_per_s: u32) -> Result<Self, LogError> {
         let out = StdStreamSink::builder()
             .std_stream(StdStream::Stdout)
@@ -88,13 +88,13 @@
         Self::to_sink(out, process, lines_per_s)
     }
 
-    /// Writes to an output that may be slow or blocked, at most `lines_per_s`.
+    /// Logs to a sink that may be slow or blocked, at most `lines_per_s`.
     pub fn to_sink(out: Arc<dyn Sink>, process: &str, lines_per_s: u32) -> Result<Self, LogError> {
         let writer = Some(Writer::new(out)?);
         Ok(EventLog { writer, ..Self::in_memory(process, lines_per_s) })
     }
 
-    /// Gathers and bounds lines, but writes none; for tests.
+    /// Buffers rate-limited lines without writing them; for tests.
     pub fn in_memory(process: &str, lines_per_s: u32) -> Self {
         EventLog {
             process: process.to_owned(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes a line in.
+    /// Adds an event to the log.
     pub fn record<E: Serialize>(&self, priority: LogPriority, event: &E) {
         let at = self.clock.uptime();
         let mut buffer = self.buffer.borrow_mut();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Hands what is gathered to the writer.
+    /// Submits the buffered lines to the writer.
     pub fn flush(&self) {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.dropped > 0 {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Lines gathered and not handed over; for tests.
+    /// Lines that have not been submitted yet; for tests.
     pub fn buffered(&self) -> String {
         self.buffer.borrow().text.clone()
     }
@@ -173,13 +173,13 @@
             .build_arc()?;
         let rejected = Arc::new(AtomicBool::new(false));
         let rejected_flag = Arc::clone(&rejected);
-        // NB: without a handler the library tells of each loss on standard error, and may block.
+        // Without a handler the library reports each loss on standard error, which may block.
         let on_error = move |_: spdlog::Error| rejected_flag.store(true, Ordering::Relaxed);
         let logger = Logger::builder().sink(queue).error_handler(on_error).build()?;
         Ok(Writer { logger, rejected })
     }
 
-    /// Whether the thread could take a batch.
+    /// Submits a batch; returns whether the thread accepted it.
     fn try_submit(&self, batch: &str) -> bool {
         spdlog::info!(logger: self.logger, "{batch}");
         !self.rejected.swap(false, Ordering::Relaxed)
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -1,7 +1,7 @@
-//! Keeps what the process believes in step with the platform's store.
+//! Keeps the entry's state in sync with the platform's store.
 //!
-//! Changes come from another entry where one can tell them, and else from the store. Either way
-//! an answer also confirms that nothing else had changed when the store was last asked.
+//! Changes come from another entry if one can provide them, otherwise from the store. Either way a
+//! reply also confirms that there were no other changes at the time the store was queried.
 
 mod apply;
 mod calls;
@@ -34,12 +34,12 @@
     port::Port,
 };
 
-/// First pause after a failed call; doubles with each in a row.
+/// Delay after a failed call; doubles with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest such pause; keeps a store that comes back from being found late.
+/// Maximum such delay; bounds how late the store's return is noticed.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// Time that others are given to list an entry that has told of its start: that of the news, and of
-/// a root or two that have just gone.
+/// Time left to the roots to list an entry that announced its start: covers gossip propagation and
+/// the failure of one or two roots.
 const LISTING_GRACE: Duration = Duration::from_secs(4);
 
 /// Follows the store for as long as the process runs.
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whose answer a confirmation was heard in.
+/// Origin of a confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StateSource {
     Store,
@@ -91,45 +91,46 @@
     port: Port,
     coordinator: Rc<Coordinator>,
     store_lost: bool,
-    /// Whose answer is being taken in.
+    /// Origin of the reply that is being applied.
     applying_from: StateSource,
-    /// Pause after the next failed call.
+    /// Delay after the next failed call.
     backoff: Duration,
-    /// Whole readings under way.
+    /// List calls (snapshots) in flight.
     list_calls: PendingCalls<Listing>,
-    /// Calls for what has changed that are under way.
+    /// Watch calls in flight.
     watch_calls: PendingCalls<WatchReply>,
-    /// Earliest time of the next such call by an entry that asks the store.
+    /// Earliest time of the next watch call, for an entry that queries the store.
     next_watch_at: Instant,
-    /// Earliest time of the next round of questions to others by one that has lost it.
+    /// Earliest time of the next round of peer requests, for an entry that has lost the store.
     next_peer_round_at: Instant,
     client: PeerClient,
-    /// Entry that was asked last, if any.
+    /// Entry that was queried last, if any.
     last_source: Option<String>,
-    /// Entries in a row that could not be reached.
+    /// Consecutive entries that could not be reached.
     unreachable_in_row: u32,
-    /// Earliest time of the next question to the store by an entry that should learn from others.
+    /// Earliest time of the next direct store call by an entry that normally queries another entry.
     next_fallback_at: Duration,
     fallback_backoff: Duration,
-    /// Whether a first state was learned.
+    /// Whether an initial state was applied.
     has_initial_state: bool,
-    /// Questions to others while this entry has lost the store.
+    /// Index of the next peer to query while the store is lost.
     peer_cursor: usize,
-    /// Whether this entry has told of its start.
+    /// Whether this entry has announced its start.
     has_announced: bool,
-    /// When it may see to its listing again.
+    /// Earliest time of the next attempt to get this entry listed.
     next_listing_at: Duration,
-    /// Whether the state that is being taken in comes from a restored copy.
+    /// Whether the snapshot that is being applied comes from a restored store.
     is_restoring: bool,
-    /// Until when evacuations hold that a restored store lacks and the operator may write again.
+    /// Evacuations missing from a restored store, each with the time until which it stays in force
+    /// so that the operator can rewrite it.
     lost_evacuations: RefCell<BTreeMap<DataCentreId, Duration>>,
-    /// Servers whose entries cannot be read, as far as that was logged.
+    /// Servers whose record can't be decoded and was logged.
     unreadable: RefCell<BTreeSet<ServerId>>,
 }
 
 impl Follower {
-    /// Learns what changed after `position`, from another entry or from the store; `None` if
-    /// all must be read anew.
+    /// Receives the changes after `position` from another entry or from the store; `None` if a new
+    /// snapshot is needed.
     async fn sync_next(&mut self, position: Position) -> Option<Position> {
         match self.core.source() {
             ChangeSource::Entry { name, address } => {
@@ -161,9 +162,10 @@
         }
     }
 
-    /// Sees to it that this entry is listed in the store, so that others may ask it.
+    /// Ensures that this entry is listed in the store, so that others can query it.
     ///
-    /// It tells of its start, and a root lists all that have; if none does, it lists itself.
+    /// The entry announces its start by gossip, and a root lists all announced entries in one
+    /// write; if no root does, the entry lists itself.
     async fn ensure_listed(&mut self) {
         let Some(address) = self.core.settings.peers else { return };
         let own = membership::Listing { address, link_mbps: self.core.settings.link_mbps };
@@ -203,10 +205,11 @@
         }
     }
 
-    /// Learns everything, from another entry or from the store; `None` if that is to be tried again.
+    /// Loads a full snapshot from another entry or from the store; `None` if the load must be
+    /// retried.
     async fn load_snapshot(&mut self) -> Option<Position> {
         if !self.has_initial_state {
-            // NB: a reading that is under way goes on; whichever tells first is taken.
+            // A list call in flight continues; whichever reply arrives first is used.
             let fetched = tokio::select! {
                 biased;
                 outcome = self.list_calls.next() => return self.handle_list_reply(outcome).await,
@@ -275,7 +278,8 @@
         position
     }
 
-    /// The state was confirmed by the store at `at`; its answer was heard from it, or from others.
+    /// Records that the store confirmed the state at `at`, as reported by the store itself or by a
+    /// peer.
     fn confirm(&mut self, at: Duration, position: Position, source: StateSource) {
         let mut state = self.core.state.borrow_mut();
         let before = state.freshness.confirmed();
@@ -284,21 +288,21 @@
             return;
         }
         state.confirmation_count += 1;
-        state.source_lost = false;
+        state.store_call_failed = false;
         drop(state);
         self.core.state_changed.notify_waiters();
         self.coordinator.wake();
-        // NB: to an entry that asks the store, the store stays lost while only others can tell of
-        // it; it goes on to probe it at long intervals.
-        let asks_others = matches!(self.core.source(), ChangeSource::Entry { .. });
-        if source == StateSource::Peer && !asks_others {
+        // For an entry that queries the store, the store stays lost while only peers can provide
+        // its changes; the entry keeps probing it at long intervals.
+        let queries_peer = matches!(self.core.source(), ChangeSource::Entry { .. });
+        if source == StateSource::Peer && !queries_peer {
             return;
         }
         self.backoff = INITIAL_BACKOFF;
         self.fallback_backoff = peers::INITIAL_FALLBACK_BACKOFF;
         self.next_fallback_at = Duration::ZERO;
         if std::mem::replace(&mut self.store_lost, false) {
-            // NB: that others can tell again says nothing of the store; this entry may have been the
+            // A peer's reply says nothing about the store's outage: this entry may have been the
             // only one to lose it.
             if source == StateSource::Store {
                 self.core.state.borrow_mut().store_returned = Some(self.core.clock.now());
@@ -309,16 +313,16 @@
         }
     }
 
-    /// Whether a whole state is of another era than the one held.
+    /// Whether a snapshot is of a different era than the state held.
     fn is_restored(&self, position: Position) -> bool {
         self.has_initial_state && self.core.state.borrow().replica.position().era != position.era
     }
 
-    /// The store was restored from a copy, and lacks what was written to it after that.
+    /// Handles a store that was restored from a backup and lacks later writes.
     fn on_store_restored(&mut self, entries: &[StoreEntry], position: Position) {
         let mut state = self.core.state.borrow_mut();
         let before = state.replica.position();
-        // NB: a store that is restored was away, even if nobody noticed.
+        // A restoration implies an outage, even if no call failed.
         state.store_returned = Some(self.core.clock.now());
         drop(state);
         self.core
@@ -326,15 +330,15 @@
             .record(LogPriority::State, &FollowEvent::StoreRestored { before, position });
         let listed = entries.iter().filter_map(|entry| entry.key.strip_prefix(ENTRY_PREFIX));
         self.core.members.set_stored(&listed.collect());
-        // NB: whoever is not listed any more tells the others, as at its start.
+        // An entry that is no longer listed announces itself as after a start.
         self.has_announced = false;
         self.next_listing_at = Duration::ZERO;
     }
 
-    /// A call failed; the store counts as lost until it answers.
+    /// Records a failed call; the store counts as lost until the next reply.
     fn on_store_failure(&mut self, error: &StoreError) {
         self.core.metrics.count(Counter::StoreFailures);
-        self.core.state.borrow_mut().source_lost = true;
+        self.core.state.borrow_mut().store_call_failed = true;
         if !std::mem::replace(&mut self.store_lost, true) {
             let age = self.core.state.borrow().freshness.age(self.core.clock.now());
             let freshness_ms = age.map(|age| age.as_millis() as u64);
--- a/crates/direct/src/follow/apply.rs
+++ b/crates/direct/src/follow/apply.rs
@@ -1,4 +1,4 @@
-//! Takes in what was learned: configurations, backend servers, other entries, roll-outs.
+//! Applies store records: configurations, backend servers, entry listings, roll-outs.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -13,9 +13,10 @@
     port::{Evacuation, StoreRecord, UnreadableRecord},
 };
 
-/// Unreadable entries of servers that are told apart in the logs.
+/// Maximum number of undecodable server records that are logged individually.
 const MAX_UNREADABLE_LOGGED: usize = 256;
-/// Time after the store's return in which an entry that is missing may have lapsed only.
+/// Time after the store's return during which a missing server record counts as lapsed rather than
+/// removed.
 const STORE_RETURN_GRACE: Duration = Duration::from_secs(2);
 
 impl Follower {
@@ -95,7 +96,8 @@
 
     fn apply_server(&self, mut server: BackendServer) {
         self.unreadable.borrow_mut().remove(&server.id);
-        // NB: a copy may be older than the word of a server that it leaves, which binds for its life.
+        // A backup may be older than the server's draining signal, which stays valid for the
+        // server's incarnation.
         if self.is_restoring && self.core.state.borrow().is_draining(&server) {
             server.state = ServerState::Draining;
         }
@@ -122,11 +124,11 @@
         self.core.event_log.record(LogPriority::State, &event);
     }
 
-    /// An entry of a server cannot be read: it names no server, whatever it named before.
+    /// Removes a server whose record can't be decoded, whatever the record named before.
     fn remove_unreadable_server(&self, id: &str, error: &UnreadableRecord) {
         self.core.state.borrow_mut().remove_server(id);
         let mut unreadable = self.unreadable.borrow_mut();
-        // NB: one line for each, however often it is written.
+        // Logs each server once, however often its record is written.
         if unreadable.len() < MAX_UNREADABLE_LOGGED && unreadable.insert(id.to_owned()) {
             let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
             self.core.event_log.record(LogPriority::State, &event);
@@ -141,7 +143,7 @@
             Evacuation::Ordered => state.evacuate(data_centre),
             Evacuation::Cancelled => state.reinstate(data_centre, now),
         };
-        // NB: none of them means that no server is known there; the order may name another place.
+        // Zero means that no server there is known; the order may name an unknown data centre.
         let servers = state.fleets.values().map(|fleet| fleet.count_in(data_centre)).sum();
         drop(state);
         if is_new {
@@ -153,18 +155,19 @@
         }
     }
 
-    /// Whether the store is just back, so that what it does not list may have lapsed meanwhile.
+    /// Whether the store has only just returned, so that records missing from it may have lapsed
+    /// during the outage.
     fn may_have_lapsed(&self) -> bool {
         let returned = |at| self.core.clock.now().saturating_sub(at) < STORE_RETURN_GRACE;
-        // NB: what others tell while this entry alone has lost the store has not lapsed.
-        // And one that asks the store after long silence, for the first time, may be the first to
-        // hear from it again.
+        // Records missing from a peer's reply while only this entry has lost the store have not
+        // lapsed. An entry that queries the store for the first time after a long silence may be
+        // the first to reach it again.
         let lost = (self.store_lost || self.core.is_state_outdated(Duration::ZERO))
             && self.applying_from == StateSource::Store;
         lost || self.core.state.borrow().store_returned.is_some_and(returned)
     }
 
-    /// Forgets the servers and evacuations that the store's return did not bring back.
+    /// Removes the servers and evacuations that the store's return did not bring back.
     pub(super) fn remove_lapsed(&self) {
         self.expire_lost_evacuations();
         let lapsed = self.core.state.borrow_mut().remove_lapsed(self.core.clock.now());
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Puts a configuration in force unless a newer one is; within one life none reverts.
+    /// Puts a configuration in force unless a newer one is held; versions never go back within one
+    /// incarnation.
     fn install(&self, catalog: Catalog, store_revision: u64) {
         let mut state = self.core.state.borrow_mut();
         let held = state.catalog.as_ref().map_or(0, |catalog| catalog.version);
@@ -203,14 +207,14 @@
         self.core.event_log.record(LogPriority::State, &event);
     }
 
-    /// Forgets the servers and evacuations that a whole reading does not show.
+    /// Removes the servers and evacuations that are missing from a snapshot.
     pub(super) fn retain_listed(&self, entries: &[StoreEntry]) {
-        let mut shown = HashSet::new();
+        let mut listed = HashSet::new();
         let mut evacuated = HashSet::new();
         for entry in entries {
             match self.port.decode_entry(entry) {
                 Ok(StoreRecord::Server(id, _)) => {
-                    shown.insert(id);
+                    listed.insert(id);
                 }
                 Ok(StoreRecord::Evacuation(data_centre, Evacuation::Ordered)) => {
                     evacuated.insert(data_centre);
@@ -228,7 +232,7 @@
             }
         }
         let known: Vec<String> = self.core.state.borrow().service_of.keys().cloned().collect();
-        for id in known.iter().filter(|id| !shown.contains(*id)) {
+        for id in known.iter().filter(|id| !listed.contains(*id)) {
             self.apply_record(StoreRecord::Server(id.clone(), None), 0);
         }
         self.coordinator.retain_listed(entries);
--- a/crates/direct/src/follow/calls.rs
+++ b/crates/direct/src/follow/calls.rs
@@ -1,8 +1,8 @@
-//! Reading calls to the store that are under way, several at a time.
+//! Read calls to the store, several of which may be in flight.
 //!
-//! A call is given up only when its answer no longer comes. While it is unanswered another is sent at
-//! the next regular time, so that how often the state is confirmed does not depend on how long an
-//! answer takes; a connection that has gone silent delays it by one such time.
+//! A call is abandoned only when its reply stalls. While it is pending, another one is sent at the
+//! next regular interval, so the confirmation rate doesn't depend on the reply time, and a silent
+//! connection delays confirmations by one interval only.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -13,33 +13,33 @@
     time::{Instant, sleep_until},
 };
 
-/// Time without a byte of its answer after which a call is given up, besides its own wait: the
-/// longest answer time for which anything is promised is 4 s, and a third more is left to the way.
+/// Time without a byte of the reply after which a call is abandoned, in addition to its own wait.
+/// Guarantees cover reply times of up to 4 s; half as much again is left for transfer.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time since the last byte for which an answer counts as being read, besides what the store took to
-/// begin it, since the next page takes as long. A lost packet is sent again after some 0.2 s, then
-/// 0.4 s.
+/// Time since the last byte for which a reply counts as being received, in addition to the time to
+/// its first byte, since the next page takes as long. TCP retransmits a lost packet after about 0.2
+/// s, then 0.4 s.
 const RECEIVING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a call asked, and when.
+/// Parameters of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallParams {
-    /// Own time at which it was sent.
+    /// Local time at which the call was sent.
     pub sent: Duration,
-    /// Place after which it asks for changes; the first one for a whole reading.
+    /// Position after which changes are requested; the default for a list call.
     pub after: Position,
-    /// How long the store was to wait for one.
+    /// How long the store waits for a change before it replies.
     pub wait: Duration,
 }
 
-/// A call that has ended.
+/// A completed call.
 #[derive(Debug)]
 pub struct CallOutcome<T> {
-    /// What it asked.
+    /// Parameters of the call.
     pub params: CallParams,
-    /// Bytes of its answer.
+    /// Size of the reply in bytes.
     pub bytes: usize,
-    /// Its answer, or why there is none.
+    /// The reply, or why there is none.
     pub reply: Result<T, StoreError>,
 }
 
@@ -52,7 +52,7 @@
     task: AbortHandle,
 }
 
-/// The calls under way; all are ended with it.
+/// Calls in flight; dropping this aborts them.
 #[derive(Debug)]
 pub struct PendingCalls<T> {
     tasks: JoinSet<CallOutcome<T>>,
@@ -79,27 +79,27 @@
         self.calls.push(Call { id: task.id(), params, started: Instant::now(), progress, task });
     }
 
-    /// Whether an answer is being read. A further call would only take part of the link from it.
+    /// Whether a reply is being received. A further call would only take bandwidth from it.
     pub fn is_receiving(&self) -> bool {
         self.calls.iter().any(Call::is_receiving)
     }
 
-    /// When the oldest call under way was sent, if any is.
+    /// When the oldest call in flight was sent, if there is one.
     pub fn oldest_sent(&self) -> Option<Duration> {
         self.calls.iter().map(|call| call.params.sent).min()
     }
 
-    /// Waits for the next call to end; forever if none is under way.
+    /// Waits for the next call to complete; forever if none is in flight.
     pub async fn next(&mut self) -> CallOutcome<T> {
         loop {
             self.keep_furthest();
             tokio::select! {
                 biased;
-                Some(ended) = self.tasks.join_next_with_id() => {
-                    let id = ended.as_ref().map_or_else(JoinError::id, |(id, _)| *id);
+                Some(joined) = self.tasks.join_next_with_id() => {
+                    let id = joined.as_ref().map_or_else(JoinError::id, |(id, _)| *id);
                     self.calls.retain(|call| call.id != id);
-                    // NB: a call that was dropped ends without an answer.
-                    if let Ok((_, outcome)) = ended {
+                    // An aborted call yields no outcome.
+                    if let Ok((_, outcome)) = joined {
                         return outcome;
                     }
                 }
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Drops the calls whose answers are being read, but would only bring what is known by
+    /// Drops calls whose replies are being received but would only repeat what is known at
     /// `position`.
     pub fn drop_superseded(&mut self, position: Position) {
         self.drop_if(|call| call.params.after < position && call.progress.bytes() > 0);
     }
 
-    /// Drops the calls for changes after a place before this one.
+    /// Drops the calls for changes after an earlier position than this one.
     pub fn drop_before(&mut self, position: Position) {
         self.drop_if(|call| call.params.after < position);
     }
@@ -124,8 +124,8 @@
         self.drop_if(|_| true);
     }
 
-    /// Of two answers that come at the same time each brings what the other does, and halves its
-    /// speed; the one that has come furthest is kept.
+    /// Concurrent replies carry the same content and share the bandwidth, so only the one that has
+    /// received most is kept.
     fn keep_furthest(&mut self) {
         let receiving = self.calls.iter().filter(|call| call.is_receiving());
         let furthest = receiving.max_by_key(|call| call.progress.bytes()).map(|call| call.id);
@@ -157,7 +157,7 @@
     }
 }
 
-/// Waits for an answer for as long as it makes progress, with no pause over `limit`.
+/// Waits for a reply as long as it makes progress, with no gap longer than `limit`.
 async fn await_with_progress<T>(
     call: PortCall<T>,
     limit: Duration,
--- a/crates/direct/src/follow/events.rs
+++ b/crates/direct/src/follow/events.rs
@@ -1,9 +1,9 @@
-//! Log lines about what the process believes.
+//! Log events of state changes.
 
 use pondwalk_store::{Era, Position};
 use serde::Serialize;
 
-/// A change of what the process believes.
+/// A change of the entry's state.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum FollowEvent<'a> {
--- a/crates/direct/src/follow/initial_state.rs
+++ b/crates/direct/src/follow/initial_state.rs
@@ -1,7 +1,8 @@
-//! Hears a first state from one of the seeds.
+//! Fetches the initial state from one of the seeds.
 //!
-//! After a restart of all entries the seeds read the store and all others hear it from them; an
-//! entry that starts while the store is away learns what others still hold.
+//! After a restart of all entries only the seeds read the store, and the others fetch the state
+//! from them. An entry that starts during a store outage gets the state that running entries still
+//! hold.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,28 +19,28 @@
     membership::{PeerClient, PeerError, StateRequest, StateRequestKind, StateUpdate},
 };
 
-/// Time for which an entry that starts asks others before it reads the store.
+/// Time for which a starting entry queries seeds before it reads the store.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
-/// The same for a seed, which others wait for.
+/// The same for a seed, which other entries wait for.
 const SEED_FETCH_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time after which the next seed is asked too.
+/// Delay before the next seed is queried as well.
 const SEED_STAGGER: Duration = Duration::from_millis(50);
-/// Longest time for one answer.
+/// Timeout of one reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before a seed is asked again; it may be about to start too.
+/// Delay before a seed is queried again; it may be starting too.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// What a seed told, and the way to it.
+/// State received from a seed, and the client that received it.
 pub struct InitialState {
-    /// The seed.
+    /// Address of the seed.
     pub from: SocketAddr,
-    /// What it told.
+    /// The state.
     pub reply: StateUpdate,
-    /// Holds the connection to it, and how its clock runs.
+    /// Holds the connection to the seed and the offset of its clock.
     pub client: PeerClient,
 }
 
-/// Asks the seeds, one shortly after the other, until the first of them tells; `None` if none does.
+/// Queries the seeds, staggered, until the first one replies with its state; `None` if none does.
 pub async fn fetch(core: &Rc<Core>) -> Option<InitialState> {
     let membership = &core.settings.membership;
     let own = core.settings.peers?;
@@ -49,10 +50,10 @@
     if !membership.first_state || seeds.is_empty() {
         return None;
     }
-    // NB: each entry starts with another one, so that no seed is asked by all.
+    // Entries start with different seeds, so that no seed is queried by all of them.
     let first = core.members.hash_slot(seeds.len());
     seeds.rotate_left(first);
-    // NB: a seed does not wait for the others, which would wait for it.
+    // A seed doesn't wait for the other seeds, which would wait for it in turn.
     let (kind, limit) = match is_seed {
         true => (StateRequestKind::FirstStateNow, SEED_FETCH_TIMEOUT),
         false => (StateRequestKind::FirstState, FETCH_TIMEOUT),
@@ -75,10 +76,10 @@
     None
 }
 
-/// Asks one seed again and again until `end`.
+/// Queries one seed repeatedly until `end`.
 ///
-/// While `hearing` says that another has begun to tell the state, nobody else is asked for it: a large one
-/// would only take part of the link from it.
+/// While `receiving` is non-zero another seed is sending its state, and no further query is sent: a
+/// second large reply would only take bandwidth from the first.
 async fn poll_seed(
     core: &Core,
     seed: SocketAddr,
@@ -110,7 +111,7 @@
 }
 
 fn log_failure(core: &Core, seed: SocketAddr, error: Option<PeerError>) {
-    let error = error.map_or(String::from("no time was left"), |error| error.to_string());
+    let error = error.map_or(String::from("no time left"), |error| error.to_string());
     let event = FollowEvent::SourceFailed { entry: &seed.to_string(), error };
     core.event_log.record(LogPriority::State, &event);
 }
--- a/crates/direct/src/follow/peers.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -1,4 +1,4 @@
-//! Learns from other entries, and tells when that must give way to the store.
+//! Gets state from other entries, and decides when to fall back to the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,21 +12,21 @@
     metrics::{Counter, StoreCause},
 };
 
-/// Other entries that one which has lost the store asks between two calls to it.
+/// Peers queried between two store calls by an entry that has lost the store.
 const PEERS_PER_ROUND: usize = 6;
-/// Entries in a row that cannot be reached before the store is asked.
+/// Consecutive unreachable entries after which the store is queried.
 const MAX_UNREACHABLE_IN_ROW: u32 = 3;
-/// Time for each entry over which those that hear nothing spread their questions to the store, so
-/// that an outage doesn't bring all of them there at once.
+/// Delay per entry by which fallback calls to the store are staggered, so that an outage doesn't
+/// bring all entries there at once.
 const FALLBACK_STAGGER: Duration = Duration::from_millis(30);
-/// Pause between two such questions; doubles with each in a row.
+/// Delay between two fallback calls; doubles with each consecutive one.
 pub const INITIAL_FALLBACK_BACKOFF: Duration = Duration::from_secs(3);
-/// Longest such pause.
+/// Maximum such delay.
 const MAX_FALLBACK_BACKOFF: Duration = Duration::from_secs(12);
 
 impl Follower {
-    /// Whether an entry that should learn from others must ask the store itself: none can be
-    /// reached, or for long none has told anything of use.
+    /// Whether an entry that normally queries a peer must query the store itself: no peer can be
+    /// reached, or none has confirmed the state for too long.
     pub(super) fn should_fall_back(&self) -> bool {
         if self.watch_calls.is_receiving() {
             return false;
@@ -38,7 +38,7 @@
         self.core.clock.now() >= self.next_fallback_at && self.core.is_state_outdated(spread)
     }
 
-    /// Asks the store beside the others, and puts off the next such question.
+    /// Queries the store in addition to the peers, and schedules the next fallback.
     pub(super) fn fall_back(&mut self, position: Position) {
         self.unreachable_in_row = 0;
         self.log_source_change(None);
@@ -47,8 +47,8 @@
         self.fallback_backoff = (self.fallback_backoff * 2).min(MAX_FALLBACK_BACKOFF);
     }
 
-    /// Asks others in turn, a few each time, for what the store does not tell this entry: it may be
-    /// among those that are turned away.
+    /// Queries a few peers in rotation for changes that the store doesn't deliver to this entry,
+    /// which may be among those the store rejects.
     pub(super) async fn poll_peers(&mut self, position: Position) -> Position {
         let others = self.core.members.reachable_peers(self.core.clock.now());
         for _ in 0..PEERS_PER_ROUND.min(others.len()) {
@@ -64,7 +64,7 @@
                     self.apply_peer_reply(reply, next);
                     return next;
                 }
-                // NB: that others have lost the store too is no news.
+                // The peer has lost the store too; the next one may not have.
                 Err(PeerError::Stale) => {}
                 Err(error) => {
                     self.core.members.record_result(name, Some(&error), self.core.clock.now());
@@ -75,8 +75,8 @@
         position
     }
 
-    /// Asks another entry once, unless an answer of the store comes before; `None` if all must be
-    /// read anew.
+    /// Queries another entry once, unless a store reply arrives before; `None` if a new snapshot is
+    /// needed.
     pub(super) async fn poll_source(
         &mut self,
         name: &str,
@@ -120,13 +120,13 @@
         }
     }
 
-    /// When an entry that says nothing is given up: when what it told before has grown too old.
+    /// When to abandon a silent peer: once the state that it reported before has become too old.
     fn reply_deadline(&self) -> Instant {
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
         let too_old =
             state.freshness.confirmed().unwrap_or_default() + times.max_peer_confirmation_age;
-        // NB: where the store answers late every state is as old, and told anew at each interval.
+        // If the store replies late, every state is that old, and peers reply at each interval.
         let hold = match state.store_latency > times.exchange {
             true => times.stale_hold_time.max(times.confirm_interval + times.exchange),
             false => times.stale_hold_time,
@@ -139,24 +139,24 @@
         StateRequest { store: self.core.settings.store.address, after, kind, deadline }
     }
 
-    /// Takes in what another entry told, and from when it is; `position` is where that leads.
+    /// Applies a peer's reply; `position` is the position after it.
     pub(super) fn apply_peer_reply(&mut self, mut reply: StateUpdate, position: Position) {
         self.core.metrics.count_many(Counter::PeerBytesReceived, reply.bytes);
         if reply.position.era != position.era {
-            // NB: it has not heard of the restoration yet; a confirmation from before says nothing now.
+            // The peer has not received the restoration yet; its confirmation from before is void.
             self.core.receive_from_parent(std::mem::take(&mut reply.gossip));
             self.coordinator.wake();
             return;
         }
         let confirmed = reply.confirmed;
-        // NB: most entries make no calls to the store, and hear of its loss only with its return.
+        // Most entries make no store calls and are informed of an outage only once it is over.
         let mut state = self.core.state.borrow_mut();
         state.store_returned = state.store_returned.max(reply.store_returned);
         state.store_latency = reply.store_takes;
         drop(state);
         self.watch_calls.drop_superseded(position);
         self.applying_from = StateSource::Peer;
-        let news = std::mem::take(&mut reply.gossip);
+        let gossip = std::mem::take(&mut reply.gossip);
         if reply.whole {
             let entries: Vec<StoreEntry> =
                 reply.into_events().into_iter().filter_map(written_entry).collect();
@@ -164,7 +164,7 @@
         } else {
             self.apply_changes(&reply.into_events(), position);
         }
-        self.core.receive_from_parent(news);
+        self.core.receive_from_parent(gossip);
         if let Some(confirmed) = confirmed {
             self.confirm(confirmed, position, StateSource::Peer);
         }
--- a/crates/direct/src/follow/watch.rs
+++ b/crates/direct/src/follow/watch.rs
@@ -1,4 +1,4 @@
-//! Asks the store what has changed, and takes its answers in.
+//! Watches the store for changes and handles its replies.
 
 use std::time::Duration;
 
@@ -15,33 +15,33 @@
     metrics::{StoreCause, Timer},
 };
 
-/// Wait of a watch that is only to tell what has changed by now.
+/// Wait of a watch that only fetches the changes so far.
 pub const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
-/// Wait of the first watch after the store was lost. Its answer confirms the state again, and
-/// until then keys may not be honoured.
+/// Wait of the first watch after a store loss. Keys may be rejected until its reply confirms the
+/// state again.
 const WATCH_WAIT_AFTER_LOSS: Duration = Duration::from_millis(20);
-/// Pause after a watch of an entry that is alone, if it brought changes, so that a burst of them
-/// costs a few calls only. It is a small part of the time in which a change must be in force.
+/// Delay after a watch of a lone entry that brought changes, so that a burst of changes takes few
+/// calls. It is a small part of the time within which a change must be in force.
 const BURST_DELAY: Duration = Duration::from_millis(350);
-/// Silence of the store, beyond what its last answer took, from which it counts as lost, so that
-/// others are asked. Answers come in milliseconds; one in seven tenths of a second is out of order.
+/// Silence of the store, beyond its last reply time, after which it counts as lost and peers are
+/// queried. Replies normally take milliseconds; 700 ms indicates a fault.
 const STORE_SILENCE_LIMIT: Duration = Duration::from_millis(700);
-/// Bytes from which an answer counts as large: reading it again costs a narrow link more than an
-/// answer time is worth.
+/// Size from which a reply counts as large: reading it twice costs more of a narrow link than a
+/// reply time is worth.
 const LARGE_REPLY_BYTES: usize = 64 * 1024;
-/// Time between two looks at an answer that is being read.
+/// Poll interval while a reply is being received.
 const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Follower {
-    /// Asks the store at regular times, so that the confirmations that others rest on are never
-    /// older than an answer takes and the time between two of them, whatever changes when.
+    /// Queries the store at regular intervals, so that the confirmations other entries rely on are
+    /// never older than a reply time plus one interval, whenever changes occur.
     ///
-    /// NB: a waiting watch would tell a change sooner, but is dated by when it was sent: a change
-    /// that ends one late lets the next confirmation come two waits after the last. And a question
-    /// that waited for the answer to the one before would make the age two answers' time.
+    /// A long-polling watch would deliver changes sooner, but a confirmation is dated by when the
+    /// call was sent: a change that ends a wait late would delay the next confirmation to two waits
+    /// after the last. Sequential calls would make the age two reply times.
     pub(super) async fn poll_store(&mut self, position: Position) -> Option<Position> {
         let interval = self.core.settings.membership.times.confirm_interval;
-        // NB: one that was alone until now may have put its next question off for longer.
+        // A formerly lone entry may have scheduled its next call later.
         self.next_watch_at = self.next_watch_at.min(Instant::now() + interval);
         if self.may_start_watch() {
             self.start_watch(position, MIN_WATCH_WAIT, StoreCause::Watching);
@@ -55,7 +55,7 @@
         self.wait_for_reply(self.next_wakeup(), position).await
     }
 
-    /// Waits at the store for changes; for an entry on which no other rests.
+    /// Long-polls the store for changes; used by an entry that no other relies on.
     pub(super) async fn watch_alone(&mut self, position: Position) -> Option<Position> {
         if self.may_start_watch() {
             let wait = self.core.settings.store.watch_wait;
@@ -70,7 +70,7 @@
         Instant::now() >= self.next_watch_at && !self.watch_calls.is_receiving()
     }
 
-    /// When to look next if no answer comes before.
+    /// When to wake next if no reply arrives before.
     fn next_wakeup(&self) -> Instant {
         if self.watch_calls.is_receiving() {
             Instant::now() + PROGRESS_POLL_INTERVAL
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Starts a call for what has changed after `position`.
+    /// Starts a call for the changes after `position`.
     pub(super) fn start_watch(&mut self, position: Position, wait: Duration, cause: StoreCause) {
         let sent = self.core.clock.now();
         let wait = if self.store_lost { wait.min(WATCH_WAIT_AFTER_LOSS) } else { wait };
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes an answer in; `None` if all must be read anew.
+    /// Handles a watch reply; `None` if a new snapshot is needed.
     pub(super) fn handle_watch_reply(
         &mut self,
         outcome: CallOutcome<WatchReply>,
@@ -105,7 +105,7 @@
     ) -> Option<Position> {
         let CallOutcome { params, bytes, reply } = outcome;
         match reply {
-            // NB: what was asked before a restoration says nothing of what came after it.
+            // A call from before a restoration says nothing about the state after it.
             Ok(_) if params.after.era != position.era => Some(position),
             Ok(WatchReply::Changes(_, latest)) if latest.era != position.era => {
                 self.watch_calls.clear();
@@ -115,7 +115,7 @@
                 let next = latest.max(position);
                 self.record_reply(params, bytes);
                 self.applying_from = StateSource::Store;
-                // NB: calls overlap; what an answer of a later one has brought is not gone back on.
+                // Calls overlap; changes already applied from a later call's reply are skipped.
                 let events: Vec<StoreEvent> = events
                     .into_iter()
                     .filter(|event| event.revision() > position.revision)
@@ -132,7 +132,7 @@
                 }
                 Some(next)
             }
-            // NB: of the history that an earlier question asked for, nothing is needed any more.
+            // An earlier call asked for compacted history that is no longer needed.
             Ok(WatchReply::HistoryGone) if params.after < position => Some(position),
             Ok(WatchReply::HistoryGone) => {
                 self.core
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether an answer to this question would still have told something.
+    /// Whether a reply to this call could still have brought something new.
     fn is_still_relevant(&self, params: CallParams) -> bool {
         self.core.state.borrow().freshness.confirmed().is_none_or(|at| params.sent >= at)
     }
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Counts the store as lost once it has been silent for longer than it should.
+    /// Marks the store as lost once it has been silent for too long.
     fn check_silence(&mut self) {
         let Some(oldest) = self.watch_calls.oldest_sent() else { return };
-        let takes = self.core.state.borrow().store_latency;
+        let latency = self.core.state.borrow().store_latency;
         let wait = self.core.settings.store.watch_wait;
         let limit =
-            STORE_SILENCE_LIMIT + takes + if self.is_alone() { wait } else { MIN_WATCH_WAIT };
+            STORE_SILENCE_LIMIT + latency + if self.is_alone() { wait } else { MIN_WATCH_WAIT };
         let confirmed = self.core.state.borrow().freshness.confirmed().unwrap_or_default();
         let from = oldest.max(confirmed);
         let is_silent = self.core.clock.now().saturating_sub(from) > limit;
--- a/crates/direct/src/forecasts.rs
+++ b/crates/direct/src/forecasts.rs
@@ -1,5 +1,4 @@
-//! What a request would lead to if it were sent now: what each model would cost it, as the
-//! decision weighs them.
+//! Forecasts the cost of sending a request now with each model, as input of the model choice.
 
 use std::collections::HashMap;
 
@@ -8,17 +7,17 @@
 
 use crate::{catalog::ServiceId, core::Core, request::Job, state::State};
 
-/// Tokens read that count as much as one made in an answer's size; from the users' rules.
+/// Prompt tokens that count as one output token in the size of an answer, by the users' rules.
 const OUTPUT_TOKEN_SIZE: f64 = 10.0;
-/// Tokens read that take as much of a server's time as one made; from the users' figures of their
-/// engines (0.27 ms of each step for one more request, 0.053 ms for a token read).
+/// Prompt tokens that take as much server time as one output token; derived from the users' engine
+/// figures (0.27 ms of each step for one more request, 0.053 ms per prompt token).
 const READ_TOKENS_PER_OUTPUT_TOKEN: f64 = 5.0;
-/// Time that a typical answer of the largest model takes for each token of its size, as a part of
-/// the time to read one: half of a prompt's size is held already or made, not read.
+/// Server time per token of size of a typical answer by the largest model, as a fraction of its
+/// time to read one token: half of a prompt's size is cached or consists of output tokens.
 const TYPICAL_READ_FRACTION: f64 = 0.5;
 
-/// What asking each of the route's models would cost a job that has used this part of its
-/// objective, servers in `avoid` left out; nothing if no server could take it.
+/// Cost terms of each of the route's models for a job that has used the fraction `used` of its
+/// objective, excluding the servers in `avoid`; empty if no server is available.
 pub fn model_terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<Terms> {
     let prices = job.prices();
     let objective_ms = job.route.objective.as_secs_f64().max(0.001) * 1_000.0;
@@ -30,20 +29,19 @@
     let mut terms = Vec::with_capacity(prices.len());
     for (position, price) in prices.into_iter().enumerate() {
         let number = position as ModelNumber;
-        let ask = placement_request(engine, job, number, avoid, VersionRule::Any);
-        // NB: without a server for one model there is none for any.
-        let Some(forecast) = fleet.forecast(&ask, core.clock.now()) else { return Vec::new() };
+        let request = placement_request(engine, job, number, avoid, VersionRule::Any);
+        // If one model has no server, none has.
+        let Some(forecast) = fleet.forecast(&request, core.clock.now()) else { return Vec::new() };
         let begins = used + forecast.begins_ms / objective_ms;
-        let generation_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(ask.model);
+        let generation_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(request.model);
         let ends = (begins * objective_ms + generation_ms) / allowed_ms;
-        let load = relative_load(engine, job, forecast.read_ms, ask.read_ms_per_token);
-        terms.push(Terms { model: ask.model, price, load, begins, ends });
+        let load = relative_load(engine, job, forecast.read_ms, request.read_ms_per_token);
+        terms.push(Terms { model: request.model, price, load, begins, ends });
     }
     terms
 }
 
-/// Servers' time that an answer takes, by its size, as a multiple of a typical one's of the route's
-/// largest model.
+/// Server time per size of an answer, relative to a typical answer of the route's largest model.
 fn relative_load(engine: &Engine, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
     let (tokens_in, tokens_out) =
         (f64::from(job.prompt.tokens_in), f64::from(job.prompt.tokens_out));
@@ -54,7 +52,7 @@
     (read_ms + output_ms) / size / (TYPICAL_READ_FRACTION * largest)
 }
 
-/// What a job asks of a server with the model at a position of its route's list.
+/// Placement request of a job for the model at position `number` of its route.
 pub fn placement_request<'a>(
     engine: &Engine,
     job: &'a Job,
@@ -74,7 +72,7 @@
     }
 }
 
-/// What is known of the engines of a job's service.
+/// Engine estimates of a job's service, created on first use.
 pub fn engine_for<'a>(engines: &'a mut HashMap<ServiceId, Engine>, job: &Job) -> &'a mut Engine {
     let models = job.service.engine.as_ref().map_or(0, |engine| engine.models.len());
     let service = job.service.name.clone();
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,9 +1,9 @@
-//! An entry that reaches backend servers directly, without an agent beside them.
+//! An entry that reaches backend servers directly, without agents beside them.
 //!
-//! Callers speak HTTP to it; it chooses model, version and backend server, sends the request
-//! with its body untouched, and passes the answer back. Configuration, backend servers and
-//! roll-out orders come from the platform's store, whose form a [`Port`] hides; the names of
-//! headers come as a [`Dialect`].
+//! Callers speak HTTP to the entry. It chooses model, version and backend server, forwards the
+//! request with its body unchanged, and relays the answer. Configuration, backend servers and
+//! roll-out orders come from the platform's store, accessed through a [`Port`]; header names come
+//! from a [`Dialect`].
 
 pub mod catalog;
 mod clock;
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -97,11 +97,11 @@
                 NEWS_PATH => hear_news(&core, request).await,
                 PROBE_PATH => {
                     answer_question(&core, request, async |core, body| {
-                        core.handle_probe_request(body)
+                        core.handle_probe_query(body)
                     })
                     .await
                 }
-                PERMIT_PATH => answer_question(&core, request, Core::handle_permit_request).await,
+                PERMIT_PATH => answer_question(&core, request, Core::handle_permit_query).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -1,74 +1,74 @@
-//! Counters and latency histograms, told as text.
+//! Counters and latency histograms in text form.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, time::Duration};
 
 use hdrhistogram::Histogram;
 
-/// Longest latency told apart, in milliseconds.
+/// Maximum latency recorded, in milliseconds.
 const MAX_LATENCY_MS: u64 = 60_000;
-/// Significant digits of latencies.
+/// Significant digits of recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles told of each histogram.
+/// Quantiles exported per histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// What is counted.
+/// Event counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
-    /// Requests read.
+    /// Requests received.
     Requests,
-    /// Answers of success passed on.
+    /// Successful answers relayed.
     Answered,
-    /// Requests refused that did not run.
+    /// Refused requests that did not run.
     Refused,
-    /// Requests failed whose outcome is unknown or that ran.
+    /// Failed requests that ran or whose outcome is unknown.
     Failed,
-    /// Requests whose caller left.
+    /// Requests whose caller disconnected.
     Abandoned,
-    /// Sends to backend servers.
+    /// Requests sent to backend servers.
     Sends,
-    /// Sends beyond a request's first.
+    /// Requests sent beyond the first attempt.
     FurtherSends,
-    /// Sends that a backend server turned away without running them.
+    /// Requests that a backend server rejected without running them.
     NotRun,
-    /// Backend servers that said in an answer that they leave.
+    /// Backend servers that reported in a response that they are draining.
     ServersDraining,
-    /// Times that a backend server asked to be sent nothing for a while.
+    /// Backoffs requested by backend servers.
     BackoffsRequested,
-    /// Changes of rate limits that backend servers name.
+    /// Changes of rate limits reported by backend servers.
     LimitsChanged,
-    /// Permits that were given to this entry for servers that name a rate limit.
+    /// Permits granted to this entry for servers with a rate limit.
     PermitsGiven,
-    /// Permits that it asked for in vain.
+    /// Permits refused to this entry.
     PermitsRefused,
-    /// Requests held back until a server that was cold or paused could take one more.
+    /// Requests that waited for a server with capacity.
     WaitedForCapacity,
-    /// Requests that did not leave, since their server's data centre was evacuated or it turned cold.
+    /// Requests withheld because their server turned cold or its data centre was evacuated.
     Withheld,
-    /// Backend servers that could not be reached and count as cold when they are again.
+    /// Unreachable backend servers that are presumed cold once they return.
     ServersPresumedCold,
-    /// Connections that broke while a request was at a backend server.
+    /// Connections broken while a backend server had the request.
     ConnectionsBroken,
-    /// Times that the content of a request began to be held, since servers ended under it.
+    /// Contents quarantined because servers crashed under them.
     ContentsQuarantined,
-    /// Runs of such a content by leave of the entry that grants them.
+    /// Runs of quarantined contents as granted probes.
     Probes,
-    /// Ends of servers that this entry saw and did not tell, since they were too many at once.
+    /// Crashes observed by this entry but not published, since there were too many at once.
     CrashesNotReported,
-    /// Answers of smaller models dropped for a stronger one's.
+    /// Answers of smaller models dropped in favour of a larger model's.
     Escalations,
     /// Streams resumed at another backend server.
     Resumes,
-    /// Calls to the store that failed.
+    /// Failed calls to the store.
     StoreFailures,
-    /// Questions of other entries answered with a state.
+    /// Requests of other entries answered with a state.
     QuestionsAnswered,
-    /// Reports of usage that the platform took from this entry.
+    /// Usage reports accepted by the platform from this entry.
     UsageReports,
-    /// Calls with such reports that came to nothing.
+    /// Failed calls with usage reports.
     UsageCallsFailed,
-    /// Bytes of states and news told to other entries.
+    /// Bytes of state and gossip sent to other entries.
     PeerBytesSent,
-    /// Bytes of states heard from other entries.
+    /// Bytes of state received from other entries.
     PeerBytesReceived,
 }
 
@@ -107,28 +107,28 @@
     }
 }
 
-/// Why the store was called.
+/// Reason for a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoreCause {
-    /// A start read everything; one reading may take several calls.
+    /// Initial snapshot; one may take several calls.
     FirstReading,
-    /// Everything was read anew, since history was gone.
+    /// New snapshot after the history was compacted.
     Rereading,
-    /// An entry whose place it is asked for changes.
+    /// Watch by an entry that queries the store.
     Watching,
-    /// An entry that should have heard from others asked for changes.
+    /// Watch by an entry that normally queries another entry.
     Fallback,
-    /// The store was tried again after it was lost.
+    /// Retry after the store was lost.
     Probing,
-    /// Entries were listed.
+    /// Listing of entries.
     Listing,
-    /// Contents that are held were written.
+    /// Write of the quarantine record.
     Quarantine,
-    /// The record of who reports usage was written.
+    /// Write of the usage reporter's record.
     UsageRecord,
-    /// A step of a roll-out was written.
+    /// Successful write of a roll-out step.
     StepWon,
-    /// A step of a roll-out could not be written, mostly since another entry was first.
+    /// Failed write of a roll-out step, usually since another entry was first.
     StepLost,
 }
 
@@ -149,18 +149,18 @@
     }
 }
 
-/// What is timed.
+/// Measured durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// From a request's arrival to the head of its answer.
+    /// From the arrival of a request to the head of its answer.
     FirstByte,
-    /// From a request's arrival to the end of its answer.
+    /// From the arrival of a request to the end of its answer.
     WholeAnswer,
-    /// One call to the store, watches left out.
+    /// A store call, except for watches.
     StoreCall,
-    /// Age of the configuration's confirmation when a request arrives.
+    /// Time since the configuration was last confirmed, on arrival of a request.
     ConfigurationAge,
-    /// Time by which an answer began later than expected for its prompt and the load known.
+    /// Delay of a response beyond the time expected for its prompt and the known load.
     ServerQueue,
 }
 
@@ -185,12 +185,12 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.count_many(counter, 1);
     }
 
-    /// Counts several.
+    /// Adds to a counter.
     pub fn count_many(&self, counter: Counter, n: usize) {
         *self.counters.borrow_mut().entry(counter).or_default() += n as u64;
     }
@@ -200,7 +200,7 @@
         *self.store_calls.borrow_mut().entry(cause).or_default() += 1;
     }
 
-    /// Takes a time in.
+    /// Records a duration.
     pub fn time(&self, timer: Timer, took: Duration) {
         let mut timers = self.timers.borrow_mut();
         timers
@@ -209,10 +209,10 @@
             .saturating_record(took.as_millis() as u64);
     }
 
-    /// All of them, one a line.
+    /// All metrics in text form, one per line.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // NB: writing to a string does not fail.
+        // Writing to a string can't fail.
         for (counter, count) in self.counters.borrow().iter() {
             let _ = writeln!(text, "pondwalk_{} {count}", counter.name());
         }
@@ -232,8 +232,8 @@
     }
 }
 
-/// An empty histogram that grows with what it is told.
+/// Creates an empty, auto-resizing histogram.
 fn new_latency_histogram() -> Histogram<u32> {
     let bounded = Histogram::new_with_max(MAX_LATENCY_MS, SIGNIFICANT_DIGITS);
-    bounded.unwrap_or_else(|_| unreachable!("the bounds are constants that the library takes"))
+    bounded.unwrap_or_else(|_| unreachable!("the bounds are valid constants"))
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -1,8 +1,9 @@
-//! Permits for backend servers that name a rate limit: asked for before a request is sent, and granted to all
-//! entries by one of them.
+//! Permits for backend servers that report a rate limit. An entry requests one before it sends a
+//! request; for each server a single entry grants them to all others.
 //!
-//! The first entry in a server's order grants them. Whoever cannot reach it asks the next one, which grants a part
-//! only after it has tried those before it itself.
+//! The first entry in a server's granting order grants its permits. An entry that can't reach it
+//! asks the next one, which grants a reduced share, and only after it has failed to reach those
+//! before it.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -25,61 +26,62 @@
     metrics::Counter,
 };
 
-/// Entries that are tried in turn before a question is given up. More that do not answer say that this entry is
-/// cut off itself.
+/// Granters tried before a query is abandoned. If more don't reply, this entry is probably
+/// isolated itself.
 const MAX_GRANTERS_TRIED: usize = 3;
-/// Longest time for each of those that a stand-in asks, so that its own answer comes before its asker gives up.
+/// Timeout for each granter that a stand-in tries, so that its own reply arrives before its
+/// querying entry gives up.
 const FORWARDED_TIMEOUT: Duration = Duration::from_millis(75);
-/// Time for which an entry that did not answer is passed over.
+/// Time for which an entry that didn't reply is skipped.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(2);
-/// Time after which a permit may be asked for again that nobody could grant.
+/// Backoff after a permit query that no entry replied to.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(500);
-/// Entries that did not answer which are remembered before those of long ago are forgotten.
+/// Maximum number of unresponsive entries remembered before expired ones are removed.
 const MAX_UNRESPONSIVE: usize = 512;
 
-/// What an entry that grants permits is asked.
+/// Query to an entry that grants permits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct PermitRequest {
+struct PermitQuery {
     service: String,
     server: ServerId,
     life: LifeMark,
-    /// The limit that the asker knows.
+    /// The limit known to the querying entry.
     limit: ServerLimit,
-    /// How long ago it was said.
+    /// Age of that limit.
     said_ago: Duration,
-    /// Whether the asker stands in for the entry that is asked, which must then decide alone.
+    /// Whether the querying entry stands in for the receiver, which must then decide on its own.
     is_passed_on: bool,
 }
 
-/// What came of asking for a permit.
+/// Reply to a permit query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum PermitResponse {
+enum PermitReply {
     /// One request may be sent.
     Given,
-    /// None may, for so long.
+    /// No request may be sent for this long.
     Refused { opens_in: Duration },
-    /// The server has named no limit since.
+    /// The server has stopped reporting a limit since.
     Lifted { ago: Duration },
 }
 
-/// What an entry grants, and which others it could not ask.
+/// Permits granted by this entry, and entries that could not be reached.
 #[derive(Debug, Default)]
 pub struct PermitState {
     buckets: RefCell<PermitBuckets>,
-    /// Until when entries that did not answer are passed over.
+    /// Unresponsive entries, each with the time until which it is skipped.
     unresponsive: RefCell<HashMap<SocketAddr, Duration>>,
-    /// Requests that wait for a permit, by service.
+    /// Number of requests waiting for a permit, by service.
     waiting: RefCell<HashMap<ServiceId, usize>>,
 }
 
-/// Counts a request as one that waits for a permit until it is dropped.
+/// Counts a request as waiting for a permit until dropped.
 pub struct PermitWaiter {
     core: Rc<Core>,
     service: ServiceId,
 }
 
 impl PermitWaiter {
-    /// Lets one more request of a service wait, unless `most` do.
+    /// Registers one more waiting request of a service, unless `max` are waiting.
     pub fn enter(core: &Rc<Core>, service: &ServiceId, max: usize) -> Option<Self> {
         let mut waiting = core.permits.waiting.borrow_mut();
         let count = waiting.entry(service.clone()).or_default();
@@ -101,7 +103,7 @@
 }
 
 impl PermitState {
-    /// Whether an entry is passed over. One that did not answer is tried again by one request at a time.
+    /// Whether an entry is skipped. After [`UNRESPONSIVE_TIME`] a single request tries it again.
     fn should_skip(&self, address: SocketAddr, now: Duration) -> bool {
         let mut unresponsive = self.unresponsive.borrow_mut();
         let Some(until) = unresponsive.get_mut(&address) else { return false };
@@ -125,31 +127,31 @@
     }
 }
 
-/// What became of permits and limits.
+/// Log event of permits and limits.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum PermitEvent<'a> {
-    /// No entry that could grant a permit for this server answered.
+    /// No entry that could grant a permit for this server replied.
     PermitUnanswered { server: &'a str, error: String },
-    /// Another entry has told of a server's rate limit; none if it names none any more.
+    /// Another entry reported a server's rate limit; `None` if the limit was lifted.
     ServerLimitHeard { server: &'a str, from: &'a str, per_s: Option<f64> },
 }
 
-/// What an entry's walk along those that may grant a permit led to.
+/// Result of the search for a granter.
 enum GranterSearch {
-    /// One of them decided.
-    Decided(PermitResponse),
-    /// It is this entry's turn.
+    /// Another entry decided.
+    Decided(PermitReply),
+    /// This entry decides.
     Local(Granter),
-    /// None of them answered.
+    /// No entry replied.
     Unanswered(Option<PeerError>),
 }
 
 impl Core {
-    /// Asks for a permit, and notes in the fleet what came of it.
+    /// Requests a permit and records the reply in the fleet.
     pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
         let said_ago = self.clock.now().saturating_sub(wanted.said_at);
-        let request = PermitRequest {
+        let query = PermitQuery {
             service: service.to_string(),
             server: wanted.server,
             life: wanted.life,
@@ -157,63 +159,56 @@
             said_ago,
             is_passed_on: false,
         };
-        let answer = match self.resolve_permit(&request).await {
-            Ok(answer) => answer,
+        let reply = match self.resolve_permit(&query).await {
+            Ok(reply) => reply,
             Err(error) => {
-                let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
-                let event = PermitEvent::PermitUnanswered { server: &request.server, error };
+                let error =
+                    error.map_or("no other entry is known".to_owned(), |one| one.to_string());
+                let event = PermitEvent::PermitUnanswered { server: &query.server, error };
                 self.event_log.record(LogPriority::Failure, &event);
-                PermitResponse::Refused { opens_in: UNANSWERED_BACKOFF }
+                PermitReply::Refused { opens_in: UNANSWERED_BACKOFF }
             }
         };
-        self.apply_permit_response(&service, &request, answer);
+        self.apply_permit_response(&service, &query, reply);
     }
 
-    fn apply_permit_response(
-        &self,
-        service: &ServiceId,
-        request: &PermitRequest,
-        answer: PermitResponse,
-    ) {
+    fn apply_permit_response(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(service) else { return };
-        match answer {
-            PermitResponse::Given => {
+        match reply {
+            PermitReply::Given => {
                 self.metrics.count(Counter::PermitsGiven);
-                fleet.take_permit(&request.server, Ok(()), now);
+                fleet.take_permit(&query.server, Ok(()), now);
             }
-            PermitResponse::Refused { opens_in } => {
+            PermitReply::Refused { opens_in } => {
                 self.metrics.count(Counter::PermitsRefused);
-                fleet.take_permit(&request.server, Err(now + opens_in), now);
+                fleet.take_permit(&query.server, Err(now + opens_in), now);
             }
-            PermitResponse::Lifted { ago } => {
+            PermitReply::Lifted { ago } => {
                 let at = now.saturating_sub(ago);
-                fleet.is_told_limit(&request.server, &request.life, None, at);
-                fleet.take_permit(&request.server, Err(now), now);
+                fleet.is_told_limit(&query.server, &query.life, None, at);
+                fleet.take_permit(&query.server, Err(now), now);
             }
         }
     }
 
-    /// Decides about a permit, or lets those decide that come before this entry.
-    async fn resolve_permit(
-        &self,
-        request: &PermitRequest,
-    ) -> Result<PermitResponse, Option<PeerError>> {
-        match self.find_granter(request).await {
-            GranterSearch::Decided(answer) => Ok(answer),
-            GranterSearch::Local(granter) => Ok(self.grant_permit(request, granter)),
+    /// Decides on a permit query, here or at the entries that come first in the granting order.
+    async fn resolve_permit(&self, query: &PermitQuery) -> Result<PermitReply, Option<PeerError>> {
+        match self.find_granter(query).await {
+            GranterSearch::Decided(reply) => Ok(reply),
+            GranterSearch::Local(granter) => Ok(self.grant_permit(query, granter)),
             GranterSearch::Unanswered(error) => Err(error),
         }
     }
 
-    /// Asks those that may grant a permit in turn, until one answers or it is this entry's turn.
-    async fn find_granter(&self, request: &PermitRequest) -> GranterSearch {
-        let order = self.members.granting_order(u128::from(server_hash(&request.server)));
-        // NB: an entry that is not listed yet may not know the others, which may grant the same.
+    /// Tries the granters in order until one replies or this entry itself is next.
+    async fn find_granter(&self, query: &PermitQuery) -> GranterSearch {
+        let order = self.members.granting_order(u128::from(server_hash(&query.server)));
+        // An entry that isn't listed yet may not know the others, which may grant the same permits.
         let is_listed = self.members.own_listing().is_some() || self.settings.peers.is_none();
         let mut error = None;
-        let mut asked = 0;
+        let mut tried = 0;
         for (place, (_, address)) in order.into_iter().enumerate() {
             let Some(address) = address else {
                 return match is_listed {
@@ -221,17 +216,17 @@
                     false => GranterSearch::Unanswered(error),
                 };
             };
-            if asked == MAX_GRANTERS_TRIED {
+            if tried == MAX_GRANTERS_TRIED {
                 break;
             }
             if self.permits.should_skip(address, self.clock.now()) {
                 continue;
             }
-            asked += 1;
-            match self.query_granter(address, request).await {
-                Ok(answer) => {
+            tried += 1;
+            match self.query_granter(address, query).await {
+                Ok(reply) => {
                     self.permits.mark_responsive(address);
-                    return GranterSearch::Decided(answer);
+                    return GranterSearch::Decided(reply);
                 }
                 Err(failed) => {
                     self.permits.mark_unresponsive(address, self.clock.now());
@@ -245,62 +240,62 @@
     async fn query_granter(
         &self,
         address: SocketAddr,
-        request: &PermitRequest,
-    ) -> Result<PermitResponse, PeerError> {
-        let answer = query_peer(self, address, PERMIT_PATH, request);
-        match request.is_passed_on {
-            true => timeout(FORWARDED_TIMEOUT, answer).await.map_err(|_| PeerError::Timeout)?,
-            false => answer.await,
+        query: &PermitQuery,
+    ) -> Result<PermitReply, PeerError> {
+        let reply = query_peer(self, address, PERMIT_PATH, query);
+        match query.is_passed_on {
+            true => timeout(FORWARDED_TIMEOUT, reply).await.map_err(|_| PeerError::Timeout)?,
+            false => reply.await,
         }
     }
 
-    /// Answers another entry's question.
-    pub async fn handle_permit_request(&self, request: &[u8]) -> Result<Bytes, MessageError> {
+    /// Handles another entry's permit query.
+    pub async fn handle_permit_query(&self, query: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
-        let mut request: PermitRequest = from_message(request, store)?;
-        let answer = match request.is_passed_on {
-            true => self.grant_permit(&request, self.local_role(&request.server)),
+        let mut query: PermitQuery = from_message(query, store)?;
+        let reply = match query.is_passed_on {
+            true => self.grant_permit(&query, self.local_role(&query.server)),
             false => {
-                request.is_passed_on = true;
-                let decided = self.resolve_permit(&request).await;
-                decided.unwrap_or(PermitResponse::Refused { opens_in: UNANSWERED_BACKOFF })
+                query.is_passed_on = true;
+                let decided = self.resolve_permit(&query).await;
+                decided.unwrap_or(PermitReply::Refused { opens_in: UNANSWERED_BACKOFF })
             }
         };
-        to_message(store, &answer)
+        to_message(store, &reply)
     }
 
-    /// In which place this entry grants permits for a server.
+    /// This entry's role as a granter for a server.
     fn local_role(&self, server: &str) -> Granter {
         let order = self.members.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
         place.map_or(Granter::StandIn, role_at)
     }
 
-    /// Grants a permit or refuses it, by the latest word on the server's limit.
-    fn grant_permit(&self, request: &PermitRequest, granter: Granter) -> PermitResponse {
+    /// Grants or refuses a permit by the latest known limit of the server.
+    fn grant_permit(&self, query: &PermitQuery, granter: Granter) -> PermitReply {
         let now = self.clock.now();
-        let said_at = now.saturating_sub(request.said_ago);
-        let PermitRequest { server, life, limit, .. } = request;
+        let said_at = now.saturating_sub(query.said_ago);
+        let PermitQuery { server, life, limit, .. } = query;
         let mut state = self.state.borrow_mut();
-        let fleet = state.fleets.get_mut(request.service.as_str());
+        let fleet = state.fleets.get_mut(query.service.as_str());
         let known = fleet.and_then(|fleet| {
             fleet.is_told_limit(server, life, Some(*limit), said_at);
             fleet.limit_of(server, life)
         });
         drop(state);
         let limit = match known {
-            Some((None, at)) => return PermitResponse::Lifted { ago: now.saturating_sub(at) },
+            Some((None, at)) => return PermitReply::Lifted { ago: now.saturating_sub(at) },
             Some((Some(known), _)) => known,
             None => *limit,
         };
-        let taken = self.permits.buckets.borrow_mut().take(server, limit, granter, now);
-        match taken {
-            Ok(()) => PermitResponse::Given,
-            Err(until) => PermitResponse::Refused { opens_in: until.saturating_sub(now) },
+        let granted = self.permits.buckets.borrow_mut().take(server, limit, granter, now);
+        match granted {
+            Ok(()) => PermitReply::Given,
+            Err(until) => PermitReply::Refused { opens_in: until.saturating_sub(now) },
         }
     }
 
-    /// Another entry has heard of a server's rate limit, or that it names none any more.
+    /// Applies a rate limit, or its removal, received from another entry.
     pub fn receive_limit(&self, item: &GossipItem) {
         let Gossip::Limited { fleet, server, life, limit } = &item.news else { return };
         let at = self.clock.now().saturating_sub(item.age);
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -1,7 +1,7 @@
-//! A request's place at one backend server, given back when it is dropped.
+//! Assignment of a request to one backend server, released on drop.
 //!
-//! What is seen of the server while the request is there is noted where it belongs: in the fleet,
-//! the engine's times, the roll-out's evidence and the session's version.
+//! Observations of the server are recorded in the fleet, the engine estimates, the roll-out
+//! evidence and the session's version.
 
 mod choice;
 
@@ -24,32 +24,32 @@
 use choice::find_with_rule;
 pub use choice::{NextSend, PlacementError};
 
-/// A place at one backend server.
+/// Assignment of a request to one backend server.
 pub struct Placement {
     core: Rc<Core>,
     job: Rc<Job>,
     ticket: Ticket,
-    /// The model among those of its service.
+    /// Index of the model in its service.
     model_index: ServiceModel,
     sent: Duration,
-    /// Time until its answer began, in milliseconds, once it has.
+    /// Time to the start of the response in milliseconds, once it has started.
     response_started_ms: f64,
     /// Whether another server could take the request.
     pub has_alternative: bool,
-    /// Where the server listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Version of its software.
+    /// Version of the server's software.
     pub version: VersionId,
-    /// Model that runs there, where the entry chooses it.
+    /// Model to run, if the entry chooses it.
     pub model: Option<ModelId>,
-    /// Whether the run is known to be over, or never to have begun.
+    /// Whether the run is known to have finished, or never to have started.
     is_finished: Cell<bool>,
-    /// Whether it runs as a probe.
+    /// Whether the request runs as a probe.
     is_probe: Cell<bool>,
 }
 
 impl Placement {
-    /// Finds a place for a job, if any server may take it now.
+    /// Places a job on a server, if one is available now.
     pub fn find(
         core: &Rc<Core>,
         job: &Rc<Job>,
@@ -58,13 +58,14 @@
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
         let session = job.session.unwrap_or_else(|| state.rng.random());
-        let found = find_with_rule(&mut state, job, next, Some(session), now, |fleet, ask, rng| {
-            let ticket = fleet.place(ask, now, rng)?;
-            let server = fleet.facts(&ticket.server)?;
-            let (address, version) = (server.address, server.version.clone());
-            let has_alternative = fleet.has_other(ask, &ticket.server, now);
-            Some((ticket, address, version, has_alternative))
-        });
+        let found =
+            find_with_rule(&mut state, job, next, Some(session), now, |fleet, request, rng| {
+                let ticket = fleet.place(request, now, rng)?;
+                let server = fleet.facts(&ticket.server)?;
+                let (address, version) = (server.address, server.version.clone());
+                let has_alternative = fleet.has_other(request, &ticket.server, now);
+                Some((ticket, address, version, has_alternative))
+            });
         let (ticket, address, version, has_alternative) = found?;
         if let Some(session) = job.session {
             state.sessions.note(session, &version, now);
@@ -89,42 +90,42 @@
         })
     }
 
-    /// The request runs there as a probe.
+    /// Marks the request as a probe.
     pub fn mark_probe(&self) {
         self.is_probe.set(true);
     }
 
-    /// The run there is over, or never began.
+    /// Marks the run as finished, or as never started.
     pub fn mark_finished(&self) {
         self.is_finished.set(true);
     }
 
-    /// The place was taken ahead, and the run there begins only now.
+    /// Marks a run that was reserved ahead as started.
     pub fn mark_unfinished(&self) {
         self.is_finished.set(false);
     }
 
-    /// Identity of the server.
+    /// Id of the server.
     pub fn server(&self) -> &ServerId {
         &self.ticket.server
     }
 
-    /// Time until the answer was expected to begin, in milliseconds.
+    /// Expected time to the start of the response, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
         self.ticket.expected_ms
     }
 
-    /// Time since the request was placed here.
+    /// Time since the request was placed.
     pub fn elapsed(&self) -> Duration {
         self.core.clock.now().saturating_sub(self.sent)
     }
 
-    /// How much later than on an idle server the answer began, in milliseconds.
+    /// How much later than on an idle server the response started, in milliseconds.
     pub fn queued_ms(&self) -> f64 {
         (self.response_started_ms - self.ticket.expected_ms).max(0.0)
     }
 
-    /// The answer has begun.
+    /// Records the start of the response.
     pub fn on_response_started(&mut self) {
         let now = self.core.clock.now();
         let response_started_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The server told its load with the answer.
+    /// Records the load that the server reported with its response.
     pub fn record_load(&self, load: ServerLoad) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -151,11 +152,11 @@
         }
     }
 
-    /// The whole answer has been passed on; how fast its tokens came tells of others to come.
+    /// Records that the whole answer was relayed; its token rate updates the engine estimate.
     pub fn on_completed(&self) {
         let tokens_out = self.job.prompt.tokens_out;
-        let learns = self.core.settings.policy.learned_engines;
-        if !learns || self.model.is_none() || tokens_out == 0 {
+        let is_learning = self.core.settings.policy.learned_engines;
+        if !is_learning || self.model.is_none() || tokens_out == 0 {
             return;
         }
         let generation_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.response_started_ms;
@@ -164,7 +165,7 @@
         engine.note_token_ms(self.model_index, generation_ms / f64::from(tokens_out));
     }
 
-    /// The server answered, with a failure of its own or not; true if a roll-out is off by it.
+    /// Records a response, `failed` if the server failed; returns whether it trips a roll-out.
     pub fn on_response(&self, failed: bool) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -175,8 +176,8 @@
         self.record_evidence(failed)
     }
 
-    /// The answer did not begin in the time given, which counts as a failure of the server and its version; true
-    /// if a roll-out is off.
+    /// Records that no response started in time, a failure of the server and its version; returns
+    /// whether it trips a roll-out.
     pub fn on_response_timeout(&self) -> bool {
         self.on_connection_broken();
         self.record_evidence(true)
@@ -187,7 +188,7 @@
         &self.job.service.name
     }
 
-    /// Kind of the request, as evidence about versions tells them apart: by route and model.
+    /// Kind of the request in version evidence: its route and model.
     pub fn kind(&self) -> String {
         match &self.model {
             Some(model) => format!("{}/{model}", self.job.route.name),
@@ -205,7 +206,7 @@
         roll_out.note(&self.version, &evidence, now)
     }
 
-    /// The connection broke, or no answer came; this is evidence about the server alone.
+    /// Records a broken connection or a missing response; evidence about the server only.
     pub fn on_connection_broken(&self) {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Whether the request may leave now that its connection stands.
+    /// Whether the request may still be sent now that the connection is open.
     pub fn may_dispatch(&self) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -222,7 +223,7 @@
         fleet.is_none_or(|fleet| fleet.may_leave(&self.ticket, now))
     }
 
-    /// The server could not be reached; other entries are told if it may be cold by that.
+    /// Records that the server was unreachable; published to other entries if it is presumed cold.
     pub fn on_unreachable(&self, why: Unreached) {
         self.mark_finished();
         let now = self.core.clock.now();
@@ -238,7 +239,7 @@
         }
     }
 
-    /// The server turned the request away.
+    /// Records that the server rejected the request.
     pub fn on_rejected(&self) {
         self.mark_finished();
         let now = self.core.clock.now();
@@ -248,7 +249,7 @@
         }
     }
 
-    /// The server said in an answer that it leaves. Returns whether that is news.
+    /// Records that the server is draining; returns whether this is new.
     pub fn on_draining(&self) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -256,22 +257,23 @@
         fleet.is_some_and(|fleet| fleet.told_leaving(&self.ticket, now))
     }
 
-    /// An answer of the server spoke of its rate limit. Returns whether that has changed.
-    pub fn on_limit_reported(&self, word: LimitWord) -> bool {
+    /// Records the rate limit reported with a response; returns whether it changed.
+    pub fn on_limit_reported(&self, reported: LimitWord) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(&self.job.service.name) else { return false };
-        let changes = fleet.told_limit(&self.ticket, word, now);
-        let news = fleet.take_limit_news(&self.ticket, now);
+        let changes = fleet.told_limit(&self.ticket, reported, now);
+        let limit_update = fleet.take_limit_news(&self.ticket, now);
         drop(state);
-        if let Some((life, limit)) = news {
+        if let Some((life, limit)) = limit_update {
             let (fleet, server) = (self.job.service.name.to_string(), self.ticket.server.clone());
             self.core.publish_gossip(Gossip::Limited { fleet, server, life, limit });
         }
         changes
     }
 
-    /// The server asked in an answer to be sent nothing for a while. Returns how long it gets nothing.
+    /// Records a backoff requested by the server; returns the time for which the server gets no
+    /// requests.
     pub fn on_backoff_requested(&self, asked: Duration) -> Option<Duration> {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
@@ -281,7 +283,7 @@
         Some(until.saturating_sub(now))
     }
 
-    /// Another server has its address.
+    /// Records that another server has this address.
     pub fn on_server_replaced(&self) {
         self.mark_finished();
         let mut state = self.core.state.borrow_mut();
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! Which servers a send may go to, by versions on trial and what the servers can take now.
+//! Selects the servers that a send may use, by the versions on trial and the servers' availability.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
     state::State,
 };
 
-/// Why there is no place for a request.
+/// Why a request can't be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementError {
-    /// No server takes new work.
+    /// No server accepts new work.
     NoServer,
-    /// All that could take it leave.
+    /// All eligible servers are draining.
     AllDraining,
-    /// Those that do are cold or name a rate limit and have taken what they may for now, or asked for a pause.
+    /// All eligible servers are cold, at their rate limit, or in a requested backoff.
     Unavailable(Opening),
 }
 
-/// What the next send of a request asks for.
+/// Constraints of a request's next send.
 #[derive(Debug, Clone, Copy)]
 pub struct NextSend<'a> {
-    /// Its model, among those of the route.
+    /// Index of the model in the route's list.
     pub model: ModelNumber,
-    /// Servers that are not asked again.
+    /// Servers to exclude.
     pub avoid: &'a [ServerId],
-    /// The version whose server failed the request before.
+    /// Version whose server failed the request before.
     pub failed: Option<&'a str>,
 }
 
 impl Placement {
-    /// How surely a request could be sent now, and if it could not, why.
+    /// How certain it is that the request can be sent now, or why it can't.
     ///
-    /// NB: it is asked before an answer that was made is dropped for another one.
+    /// Checked before an existing answer is dropped in favour of another one.
     pub fn certainty(
         core: &Core,
         job: &Job,
@@ -50,11 +50,12 @@
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
         let certainty =
-            |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| fleet.certainty(ask, now);
+            |fleet: &mut Fleet, request: &Ask<'_>, _: &mut SmallRng| fleet.certainty(request, now);
         find_with_rule(&mut state, job, next, job.session, now, certainty)
     }
 
-    /// The permit that a request needs first where it would go to a server that names a rate limit.
+    /// The permit needed before the request can be sent, if it would go to a server with a rate
+    /// limit.
     pub fn wanted_permit(core: &Core, job: &Job, next: NextSend<'_>) -> Option<WantedPermit> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
@@ -62,23 +63,26 @@
             return None;
         }
         let session = job.session.unwrap_or_else(|| state.rng.random());
-        let wanted =
-            |fleet: &mut Fleet, ask: &Ask<'_>, rng: &mut SmallRng| fleet.want_permit(ask, now, rng);
+        let wanted = |fleet: &mut Fleet, request: &Ask<'_>, rng: &mut SmallRng| {
+            fleet.want_permit(request, now, rng)
+        };
         find_with_rule(&mut state, job, next, Some(session), now, wanted).ok()
     }
 
-    /// Permits that may come before `until` for a request that no server takes without one, at most.
+    /// Maximum number of permits that may arrive before `until` for a request that no server takes
+    /// without one.
     pub fn permits_before(core: &Core, job: &Job, next: NextSend<'_>, until: Duration) -> usize {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let permits = |fleet: &mut Fleet, ask: &Ask<'_>, _: &mut SmallRng| {
-            Some(fleet.permits_before(ask, until, now))
+        let permits = |fleet: &mut Fleet, request: &Ask<'_>, _: &mut SmallRng| {
+            Some(fleet.permits_before(request, until, now))
         };
         find_with_rule(&mut state, job, next, job.session, now, permits).unwrap_or_default()
     }
 }
 
-/// Finds something for a send by the rule of its session's version; a request without a session may go to any.
+/// Applies `find` under the version rule of the session; a request without a session may use any
+/// version.
 pub(super) fn find_with_rule<T>(
     state: &mut State,
     job: &Job,
@@ -95,44 +99,45 @@
         (Some(roll_out), Some(session)) => roll_out.rule(session, pinned, next.failed, now),
         _ => VersionRule::Any,
     };
-    let ask = placement_request(engine_for(engines, job), job, next.model, next.avoid, rule);
+    let request = placement_request(engine_for(engines, job), job, next.model, next.avoid, rule);
     let target = roll_out.map(|one| one.target().as_str());
-    find_with_fallback(fleet, &ask, target, now, |fleet, ask| find(fleet, ask, rng))
+    find_with_fallback(fleet, &request, target, now, |fleet, request| find(fleet, request, rng))
 }
 
-/// Finds something by the rule; where a version has no server open, at any other than the one on trial.
+/// Applies `find` under the rule; if the pinned version has no open server, under any version but
+/// the one on trial.
 ///
-/// NB: not where its servers are merely cold or pause. A session that went to another version for a moment
-/// would be on two of them.
+/// Not if its servers are merely cold or backing off: a session that moved to another version
+/// briefly would use two versions.
 fn find_with_fallback<T>(
     fleet: &mut Fleet,
-    ask: &Ask<'_>,
+    request: &Ask<'_>,
     target: Option<&str>,
     now: Duration,
     mut find: impl FnMut(&mut Fleet, &Ask<'_>) -> Option<T>,
 ) -> Result<T, PlacementError> {
-    if let Some(found) = find(fleet, ask) {
+    if let Some(found) = find(fleet, request) {
         return Ok(found);
     }
-    let reason = unavailability(fleet, ask, now);
-    let (VersionRule::Only(_), Some(target)) = (ask.versions, target) else {
+    let reason = unavailability(fleet, request, now);
+    let (VersionRule::Only(_), Some(target)) = (request.versions, target) else {
         return Err(reason);
     };
     if matches!(reason, PlacementError::Unavailable(_)) {
         return Err(reason);
     }
-    let other = Ask { versions: VersionRule::Except(target), ..*ask };
+    let other = Ask { versions: VersionRule::Except(target), ..*request };
     find(fleet, &other).ok_or_else(|| match unavailability(fleet, &other, now) {
         PlacementError::NoServer => reason,
         other => other,
     })
 }
 
-/// Why no server may take a request now.
-fn unavailability(fleet: &Fleet, ask: &Ask<'_>, now: Duration) -> PlacementError {
-    match fleet.opens_at(ask, now) {
+/// Why no server is available now.
+fn unavailability(fleet: &Fleet, request: &Ask<'_>, now: Duration) -> PlacementError {
+    match fleet.opens_at(request, now) {
         Some(opening) => PlacementError::Unavailable(opening),
-        None if fleet.has_leaving(ask, now) => PlacementError::AllDraining,
+        None if fleet.has_leaving(request, now) => PlacementError::AllDraining,
         None => PlacementError::NoServer,
     }
 }
--- a/crates/direct/src/port.rs
+++ b/crates/direct/src/port.rs
@@ -1,4 +1,4 @@
-//! What lies in the platform's store, in the product's terms.
+//! Interface to the platform: its store, the records in the store, and usage reports.
 
 use std::{future::Future, pin::Pin, rc::Rc, time::Duration};
 
@@ -10,30 +10,30 @@
 
 use crate::catalog::{BackendServer, Catalog, ServiceId};
 
-/// An operator's order to move a service to another version.
+/// An operator's order to roll out a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RollOutOrder {
-    /// Service to move.
+    /// Service to update.
     pub service: ServiceId,
-    /// Version to move it to.
+    /// Version to roll out.
     pub target: VersionId,
-    /// Time within which it is to be done.
+    /// Time limit of the roll-out.
     pub within: Duration,
 }
 
-/// Whether the backend servers of a data centre get anything.
+/// Whether the backend servers of a data centre get requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evacuation {
-    /// Nothing more goes to them.
+    /// No requests are sent to them.
     Ordered,
     /// They may be used again.
     Cancelled,
 }
 
-/// How far a roll-out has come, as told to the operator.
+/// Outcome of a roll-out as reported to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Under way.
+    /// The roll-out is in progress.
     InProgress,
     /// All traffic goes to the new version.
     Completed,
@@ -41,101 +41,101 @@
     Reverted,
 }
 
-/// The operator's view of a roll-out.
+/// Progress of a roll-out as reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Progress {
-    /// Service that moves.
+    /// Service that is updated.
     pub service: ServiceId,
-    /// Version it moves to.
+    /// Version that is rolled out.
     pub target: VersionId,
-    /// How far it has come.
+    /// Outcome so far.
     pub outcome: Outcome,
 }
 
-/// Something the store holds, or no longer holds.
+/// A decoded store record, or the absence of one.
 #[derive(Debug, Clone)]
 pub enum StoreRecord {
-    /// A whole configuration.
+    /// A complete configuration.
     Catalog(Box<Catalog>),
-    /// A backend server, or that it is gone.
+    /// A backend server; `None` if it was removed.
     Server(ServerId, Option<BackendServer>),
-    /// An entry of a backend server that cannot be read; it names no server to use.
+    /// A record of a backend server that can't be decoded; the server must not be used.
     UnreadableServer(ServerId, UnreadableRecord),
-    /// A data centre is to be evacuated, or was taken back.
+    /// An evacuation of a data centre, or its cancellation.
     Evacuation(DataCentreId, Evacuation),
-    /// An order to roll out, or that it was taken back.
+    /// A roll-out order; `None` if it was withdrawn.
     Order(ServiceId, Option<RollOutOrder>),
-    /// Progress of a roll-out, or that nothing is told of it.
+    /// Reported progress of a roll-out; `None` if there is none.
     Progress(ServiceId, Option<Progress>),
-    /// Nothing that an entry uses.
+    /// A record that entries don't use.
     Unrelated,
 }
 
-/// An entry of the store that cannot be read.
+/// A record that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{key}` cannot be read: {reason}")]
+#[error("cannot decode `{key}`: {reason}")]
 pub struct UnreadableRecord {
-    /// Key of the entry.
+    /// Key of the record.
     pub key: String,
-    /// What is wrong with it.
+    /// Why it can't be decoded.
     pub reason: String,
 }
 
-/// Reads one key with its value, or its absence.
+/// Decodes the value of a key, or its absence.
 pub type DecodeRecord = Rc<dyn Fn(&str, Option<&[u8]>) -> Result<StoreRecord, UnreadableRecord>>;
-/// Key and value under which a roll-out's progress is told.
+/// Encodes a roll-out's progress as key and value.
 pub type EncodeProgress = Rc<dyn Fn(&Progress) -> (String, Vec<u8>)>;
 
-/// A report of usage, with what shows who speaks.
+/// A usage report with the credentials of its sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Name of the entry that holds the task.
+    /// Name of the entry that holds the reporting task.
     pub holder: String,
-    /// Its number as a holder.
+    /// Fencing token of the holder.
     pub fencing_token: FencingToken,
-    /// Window that it is of.
+    /// Reported window.
     pub window: WindowId,
-    /// Requests that began to run in it, by workspace.
+    /// Requests that started in the window, by workspace.
     pub counts: UsageCounts,
 }
 
-/// Why a call to the platform that one entry makes for all came to nothing.
+/// Why a usage report failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ReportError {
-    /// The platform has seen a higher number.
-    #[error("a higher number has been seen")]
+    /// The platform has seen a higher fencing token.
+    #[error("the platform has seen a higher fencing token")]
     StaleFencingToken,
-    /// The platform takes no more calls for now, or answers otherwise than it should.
-    #[error("the platform answers {0}")]
+    /// The platform rejects further calls for now, or replied with an unexpected status.
+    #[error("the platform replied with status {0}")]
     UnexpectedStatus(u16),
-    /// It cannot be reached.
-    #[error("the platform cannot be reached")]
+    /// The platform can't be reached.
+    #[error("cannot reach the platform")]
     Unreachable,
-    /// No answer came; the call may be carried out yet.
-    #[error("no answer came")]
+    /// No reply arrived; the call may still take effect.
+    #[error("no reply arrived")]
     NoAnswer,
 }
 
-/// Future of one such call.
+/// Future of a usage report.
 pub type ReportFuture = Pin<Box<dyn Future<Output = Result<(), ReportError>>>>;
-/// Reports usage to the platform, in the given time at most.
+/// Reports usage to the platform within the given time.
 pub type ReportUsage = Rc<dyn Fn(UsageReport, Duration) -> ReportFuture>;
 
-/// The platform: its store's calls, how to read and write what lies there, and other calls.
+/// The platform: store calls, record formats and usage reports.
 #[derive(Clone)]
 pub struct Port {
-    /// The calls.
+    /// Store calls.
     pub store: StorePort,
-    /// Reads an entry.
+    /// Decodes a record.
     pub decode: DecodeRecord,
-    /// Writes progress.
+    /// Encodes roll-out progress.
     pub encode_progress: EncodeProgress,
-    /// Reports usage, where the deployment asks for that.
+    /// Reports usage, if the deployment requires it.
     pub report_usage: Option<ReportUsage>,
 }
 
 impl Port {
-    /// Reads an entry that exists.
+    /// Decodes an existing record.
     pub fn decode_entry(&self, entry: &StoreEntry) -> Result<StoreRecord, UnreadableRecord> {
         (self.decode)(&entry.key, Some(&entry.value))
     }
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -1,7 +1,8 @@
-//! Requests that end servers: what this entry sees of them, tells the others, and lets run.
+//! Requests that crash servers: detection, exchange with other entries, and quarantine.
 //!
-//! An end counts here at once. It is told to all others after a moment, in which other servers may end
-//! too: what ends several servers that it did not run on is not the request. A good end is told as well.
+//! A crash counts at this entry immediately. It is published to the others after [`crashes`] has
+//! collected further crashes of the same moment: a request isn't the cause if servers that it
+//! didn't run on crashed too. Successful runs are published as well.
 
 mod clearance;
 mod crashes;
@@ -29,15 +30,15 @@
     request::{Job, Refusal},
 };
 
-/// Ends that an entry tells another which has heard nothing from it before.
+/// Maximum number of crashes sent to an entry that has received none from this one.
 const MAX_SUMMARY_CRASHES: usize = 1_024;
-/// Time after the start in which no probe is granted where others could have granted one: those that
-/// were under way when the process ended before are over then, or known to have ended a server.
+/// Time after the start during which no probe is granted if others could have granted one: by then
+/// the probes granted before the restart have finished, or are known to have crashed a server.
 const STARTUP_GRACE: Duration = Duration::from_secs(5);
-/// Time beyond its deadline for which a probe may be under way.
+/// Time by which a probe may outlast its deadline.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
-/// One end with the time since it was seen.
+/// A crash with the time since it was observed.
 pub type AgedCrash = (ServerEnd, Duration);
 
 impl Core {
@@ -50,13 +51,13 @@
         state.quarantine.standing(job.content(), self.clock.now())
     }
 
-    /// Ends of servers that count against a request.
+    /// Number of server crashes that count against a request.
     pub fn crash_count(&self, job: &Job) -> usize {
         let state = self.state.borrow();
         if state.quarantine.is_empty() { 0 } else { state.quarantine.ends(job.content()) }
     }
 
-    /// Hears of ends that another entry saw.
+    /// Applies crashes observed by another entry.
     pub fn receive_crashes(&self, crashes: &[AgedCrash], age: Duration) {
         let now = self.clock.now();
         for (crash, extra_age) in crashes {
@@ -74,20 +75,20 @@
         }
     }
 
-    /// Hears of a good end at another entry.
+    /// Applies a successful run at another entry.
     pub fn receive_clearance(&self, content: Content, from: &str, age: Duration) {
         let at = self.clock.now().saturating_sub(age);
         let crashes = self.state.borrow_mut().quarantine.note_whole(content, at);
         self.log_cleared(content, crashes, from);
     }
 
-    /// What an entry that has heard nothing from this one is to know.
+    /// The crashes sent to an entry that has received none from this one.
     pub fn crash_summary(&self) -> Option<Gossip> {
         let ends = self.state.borrow().quarantine.weightiest(MAX_SUMMARY_CRASHES, self.clock.now());
         (!ends.is_empty()).then_some(Gossip::Ended { ends })
     }
 
-    /// The ends of contents that may not run freely, with the time since each.
+    /// The crashes of quarantined contents, with the time since each.
     pub fn quarantined_crashes(&self) -> Vec<AgedCrash> {
         let state = self.state.borrow();
         if state.quarantine.is_empty() {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Grants a probe that this entry or another asks for.
+    /// Decides on a probe requested by this entry or another one.
     pub fn grant_probe(&self, content: Content, lease: Duration) -> Grant {
         let now = self.clock.now();
         let order = self.members.granting_order(content);
@@ -110,13 +111,13 @@
         self.state.borrow_mut().quarantine.grant(probe, now)
     }
 
-    /// Forgets contents that nothing has been seen of for long.
+    /// Forgets contents without recent crashes or runs.
     pub fn forget_old_crashes(&self) {
         let now = self.clock.now();
         self.state.borrow_mut().quarantine.forget_old(now);
     }
 
-    /// Logs that a content is held from now on.
+    /// Logs that a content has been quarantined.
     fn log_if_quarantined(&self, content: Content) {
         let now = self.clock.now();
         let state = self.state.borrow();
@@ -135,7 +136,7 @@
         self.event_log.record(LogPriority::Failure, &event);
     }
 
-    /// Logs that a content is cleared of so many ends, if it was held by them.
+    /// Logs that a content is cleared, if `crashes` had quarantined it.
     fn log_cleared(&self, content: Content, crashes: usize, from: &str) {
         if !Quarantine::holds_from(crashes) {
             return;
@@ -144,7 +145,7 @@
         self.event_log.record(LogPriority::Failure, &event);
     }
 
-    /// Why a request that may not run before `until` is refused.
+    /// The refusal of a request that may not run before `until`.
     pub fn crash_refusal(&self, until: Duration) -> Refusal {
         let available_in = until.saturating_sub(self.clock.now());
         Refusal::CrashesServers { available_in }
--- a/crates/direct/src/quarantine/clearance.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -1,4 +1,4 @@
-//! Contents that came to a good end here, and the word that this entry puts in for them.
+//! Clears contents that succeeded at this entry but are quarantined at others.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -7,27 +7,29 @@
 
 use crate::{core::Core, membership::Gossip, request::Job};
 
-/// Ends of servers from which others are told that a content is cleared of them. A single one holds
-/// nothing; where many servers end it would double the messages, some two hundred on a day with trouble.
+/// Number of crashes from which a clearance is published. A single crash quarantines nothing, and
+/// where many servers crash it would double the messages, about two hundred on a bad day.
 const MIN_CRASHES_TO_PUBLISH: usize = 2;
-/// Turns over which entries spread their word for a content that came to a good end there.
-const JITTER_STEPS: usize = 10;
-/// Time between two of them.
-const JITTER_STEP: Duration = Duration::from_millis(30);
+/// Number of slots over which entries spread the clearances of a content that succeeded at several
+/// of them.
+const STAGGER_SLOTS: usize = 10;
+/// Time between two slots.
+const STAGGER_SLOT: Duration = Duration::from_millis(30);
 
-/// Contents that others hold and that came to a good end here.
+/// Contents that others quarantine although they succeeded here; clearances to be published.
 #[derive(Debug, Default)]
 pub struct PendingClearances {
     contents: RefCell<Vec<Content>>,
     changed: Notify,
 }
 
-/// Clears contents that others hold and that came to a good end here, for as long as the process runs.
+/// Publishes pending clearances for as long as the process runs.
 pub async fn publish_clearances(core: Rc<Core>) {
-    // NB: many entries may know; the first one's word reaches the others while they wait.
+    // Many entries may have the same clearance; the first one to publish reaches the others while
+    // they wait.
     loop {
         core.pending_clearances.changed.notified().await;
-        sleep(JITTER_STEP * core.members.hash_slot(JITTER_STEPS) as u32).await;
+        sleep(STAGGER_SLOT * core.members.hash_slot(STAGGER_SLOTS) as u32).await;
         for content in core.pending_clearances.contents.take() {
             if core.can_clear(content) {
                 core.clear(content);
@@ -37,7 +39,7 @@
 }
 
 impl Core {
-    /// A run came to a good end, which speaks for what it carries.
+    /// Records a successful run, which clears its content.
     pub fn record_success(&self, job: &Job) {
         let now = self.clock.now();
         let content = job.content();
@@ -47,7 +49,7 @@
         self.clear(content);
     }
 
-    /// Has a content cleared that others hold and that came to a good end here.
+    /// Queues the clearance of a content that others quarantine although it succeeded here.
     pub(super) fn queue_clearance(&self, content: Content) {
         if self.can_clear(content) {
             self.pending_clearances.contents.borrow_mut().push(content);
@@ -57,8 +59,8 @@
 
     fn can_clear(&self, content: Content) -> bool {
         let state = self.state.borrow();
-        let is_held = state.quarantine.standing(content, self.clock.now()) != Standing::Free;
-        is_held && state.good_contents.holds(content)
+        let is_quarantined = state.quarantine.standing(content, self.clock.now()) != Standing::Free;
+        is_quarantined && state.good_contents.holds(content)
     }
 
     fn clear(&self, content: Content) {
--- a/crates/direct/src/quarantine/crashes.rs
+++ b/crates/direct/src/quarantine/crashes.rs
@@ -1,4 +1,5 @@
-//! Ends of servers that this entry sees: judged together with others of the same moment, then told.
+//! Server crashes observed by this entry: those of one moment are evaluated together, then
+//! published.
 
 use std::{
     cell::RefCell,
@@ -20,30 +21,30 @@
     placement::Placement, request::Job, state::State,
 };
 
-/// Time in which servers count as ending at the same moment: a connection that breaks with its server's
-/// process is noticed in some milliseconds, by an entry that has much to do in some tens.
+/// Window in which crashes count as simultaneous. An entry notices a broken connection within
+/// milliseconds, under load within tens of milliseconds.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(50);
-/// Ends in one item of news, some 50 bytes each.
+/// Crashes per gossip item, about 50 bytes each.
 const MAX_CRASHES_PER_MESSAGE: usize = 256;
-/// Ends of one moment that an entry tells: what it has aboard when a data centre of the planned size
-/// loses power, several times over.
+/// Maximum number of crashes published per window: several times the requests that an entry has in
+/// flight when a data centre of the planned size loses power.
 const MAX_PUBLISHED_CRASHES: usize = 1_024;
-/// Other servers that are tried when one ended under a probe. That all of them are down by chance, while a
-/// few requests end servers, is rare.
+/// Other servers probed after a crash under a probe. While only a few requests crash servers, it is
+/// unlikely that all of the sampled ones are down by chance.
 const REACHABILITY_SAMPLE: usize = 4;
-/// Time for one of them to take a connection; one opens in a few milliseconds.
+/// Connect timeout of such a probe; a connection opens in a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after which a request that was left says nothing of how its server ended: one that is told to
-/// stop does so in some milliseconds, or is over soon.
+/// Time after which an abandoned run is no longer related to a crash of its server: a cancelled run
+/// stops within milliseconds, or finishes soon.
 const ABANDONED_RUN_TTL: Duration = Duration::from_secs(1);
-/// Such requests that are remembered.
+/// Maximum number of abandoned runs remembered.
 const MAX_ABANDONED_RUNS: usize = 128;
-/// Ends under one content that count as evidence about the versions of the servers. One that ends every
-/// server gives no more of it than this, and a version whose servers end under everything is found by
-/// the contents that go on well elsewhere.
+/// Crashes under one content that count as evidence about the servers' versions. A content that
+/// crashes every server yields no further evidence, and a version whose servers crash under any
+/// content is detected by contents that succeed elsewhere.
 const MAX_CRASHES_AS_EVIDENCE: usize = 2;
 
-/// An end, with what is needed to judge it.
+/// A crash with the data needed to evaluate it.
 #[derive(Debug)]
 struct SeenCrash {
     content: Content,
@@ -52,18 +53,18 @@
     service: ServiceId,
     server: ServerId,
     version: VersionId,
-    /// Kind of the request, as evidence about versions tells them apart.
+    /// Kind of the request in version evidence.
     kind: String,
-    /// The try.
+    /// Id of the request.
     request: RequestId,
     on_probe: bool,
-    /// Ends that counted against the content before.
+    /// Crashes that counted against the content before.
     prior_crashes: usize,
-    /// Whether it is known for good ends.
+    /// Whether the content has succeeded before.
     has_succeeded: bool,
 }
 
-/// A request that was left at a server without knowing how its run ended.
+/// A run that was abandoned before its outcome was known.
 #[derive(Debug)]
 struct AbandonedRun {
     content: Content,
@@ -73,7 +74,7 @@
     on_probe: bool,
 }
 
-/// Ends that this entry saw a moment ago and has not told yet.
+/// Crashes observed within [`CORRELATION_WINDOW`] and not published yet.
 #[derive(Debug, Default)]
 pub struct SeenCrashes {
     crashes: RefCell<Vec<SeenCrash>>,
@@ -82,7 +83,7 @@
 }
 
 impl SeenCrashes {
-    /// Takes out the requests that were left at a server shortly before it ended.
+    /// Removes and returns the runs abandoned at a server shortly before it crashed.
     fn drain_abandoned(&self, server: &str, now: Duration) -> VecDeque<AbandonedRun> {
         let mut abandoned = self.abandoned.borrow_mut();
         abandoned.retain(|run| now < run.at + ABANDONED_RUN_TTL);
@@ -94,9 +95,9 @@
 }
 
 impl Core {
-    /// A request was left at a server, by its caller or for another server, before its run was over.
+    /// Records a run that was abandoned at a server, by its caller or in favour of another server.
     ///
-    /// NB: whoever leaves early each time would not be there when the server ends.
+    /// Otherwise a caller that always disconnects early would never be related to a crash.
     pub fn record_abandoned_run(&self, job: &Job, server: &ServerId, on_probe: bool) {
         let at = self.clock.now();
         let mut abandoned = self.seen_crashes.abandoned.borrow_mut();
@@ -107,7 +108,8 @@
         abandoned.push_back(AbandonedRun { content, server, request, at, on_probe });
     }
 
-    /// A server broke off all connections, or at least this one, while it had the request.
+    /// Records that a server dropped the connection, possibly by crashing, while it ran the
+    /// request.
     pub fn record_server_crash(self: &Rc<Self>, job: &Job, placement: &Placement, on_probe: bool) {
         let now = self.clock.now();
         self.record_crash(job.content(), &job.id, placement, on_probe);
@@ -139,7 +141,7 @@
         self.log_if_quarantined(content);
         self.queue_clearance(content);
         self.seen_crashes.loss.borrow_mut().note(content, server);
-        let seen = SeenCrash {
+        let observed = SeenCrash {
             content,
             id,
             at: now,
@@ -153,7 +155,7 @@
             has_succeeded,
         };
         let mut crashes = self.seen_crashes.crashes.borrow_mut();
-        crashes.push(seen);
+        crashes.push(observed);
         if crashes.len() == 1 {
             let core = Rc::clone(self);
             spawn_local(async move {
@@ -163,14 +165,14 @@
         }
     }
 
-    /// Judges the ends of one moment together, and tells them.
+    /// Evaluates the crashes of one window together and publishes them.
     async fn publish_crashes(&self) {
-        let seen = self.seen_crashes.crashes.take();
+        let observed = self.seen_crashes.crashes.take();
         let loss = self.seen_crashes.loss.take();
         let mut published: Vec<AgedCrash> =
-            Vec::with_capacity(seen.len().min(MAX_PUBLISHED_CRASHES));
-        self.record_version_evidence(&seen, &loss);
-        for crash in seen {
+            Vec::with_capacity(observed.len().min(MAX_PUBLISHED_CRASHES));
+        self.record_version_evidence(&observed, &loss);
+        for crash in observed {
             let in_common_loss = self.is_common_loss(&loss, &crash).await;
             let now = self.clock.now();
             let SeenCrash { content, id, at, on_probe, ref server, .. } = crash;
@@ -189,16 +191,17 @@
         }
     }
 
-    /// Takes the ends as evidence about the servers' versions: one for each server.
+    /// Records the crashes as evidence about the servers' versions, one per server.
     ///
-    /// NB: not where a request was aboard that has ended others too; it is the cause then, and must not
-    /// make a good version look bad. Nor in a common loss, which has a cause of its own.
-    fn record_version_evidence(&self, seen: &[SeenCrash], loss: &Loss) {
+    /// Excluded are servers that ran a request which has crashed others too: that request is the
+    /// likely cause and must not make a good version look bad. Common losses are excluded as well,
+    /// since they have another cause.
+    fn record_version_evidence(&self, observed: &[SeenCrash], loss: &Loss) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let State { roll_outs, fleets, .. } = &mut *state;
         let mut servers: HashMap<&ServerId, Option<&SeenCrash>> = HashMap::new();
-        for crash in seen {
+        for crash in observed {
             let known = fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
             let has_cause = !crash.has_succeeded && crash.prior_crashes >= MAX_CRASHES_AS_EVIDENCE
                 || loss.excuses(crash.content, known);
@@ -223,18 +226,19 @@
         }
     }
 
-    /// Whether other servers ended at the same moment, so that the request need not be the cause.
+    /// Whether other servers were lost at the same moment, so that the request need not be the
+    /// cause.
     async fn is_common_loss(&self, loss: &Loss, crash: &SeenCrash) -> bool {
         let servers =
             self.state.borrow().fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
         if loss.excuses(crash.content, servers) {
             return true;
         }
-        // NB: a probe runs alone, so this entry may have had nothing aboard of the others.
+        // A probe runs alone, so this entry may have had no requests at the other servers.
         crash.on_probe && self.are_others_unreachable(crash).await
     }
 
-    /// Whether none of a few other servers can be reached.
+    /// Whether none of a sample of other servers can be reached.
     async fn are_others_unreachable(&self, crash: &SeenCrash) -> bool {
         let others = {
             let mut state = self.state.borrow_mut();
--- a/crates/direct/src/quarantine/events.rs
+++ b/crates/direct/src/quarantine/events.rs
@@ -1,25 +1,25 @@
-//! Log lines about contents under which servers end.
+//! Log events of contents under which servers crash.
 
 use serde::Serialize;
 
-/// A change of what is believed of a content.
+/// A change of a content's quarantine.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum QuarantineEvent<'a> {
-    /// Requests of it are not sent for a while: so many servers have ended under it.
+    /// The content is quarantined after this many crashes.
     ContentHeld { content: &'a str, servers_ended: usize, for_ms: u64 },
-    /// A run of it came to a good end, at this entry.
+    /// A run of the content succeeded, at entry `from`.
     ContentCleared { content: &'a str, from: &'a str },
-    /// A version was found bad by a server of it that ended under this request.
+    /// A version was tripped by the crash of one of its servers under this request.
     VersionTripped { request: &'a str, service: &'a str, version: &'a str },
-    /// A request of it runs once more, by leave of an entry.
+    /// A request with the content runs as a probe, granted by entry `by`.
     ProbeGranted { request: &'a str, content: &'a str, servers_ended: usize, by: &'a str },
-    /// The entry that granted a probe could not be told that it was of no use.
+    /// An unused probe could not be released to its granter.
     ProbeNotGivenBack { error: String },
-    /// No entry could be asked for leave.
+    /// No entry replied to the probe query.
     ProbeUnanswered { request: &'a str, content: &'a str, error: String },
-    /// What the store holds of such contents cannot be read, or could not be written.
+    /// The stored quarantine can't be parsed, or could not be written.
     QuarantineNotStored { error: String },
-    /// It was written, for entries that know nothing yet.
+    /// The quarantine was stored, for entries that start without any state.
     QuarantineStored { ends: usize, revision: u64 },
 }
