--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -20,7 +20,7 @@
     time::Duration,
 };
 
-use pondwalk_decide::direct::{Move, RollOut, SessionKey, Stage};
+use pondwalk_decide::direct::{RollOut, RollOutStep, SessionKey, Stage};
 use pondwalk_store::{Change, Expect, Position, StoreError};
 use tokio::{sync::Notify, time::timeout};
 
@@ -128,14 +128,14 @@
     }
 
     /// How long this entry waits before it writes a due step.
-    fn write_delay(&self, service: &ServiceId, step: Move) -> Duration {
+    fn write_delay(&self, service: &ServiceId, step: RollOutStep) -> Duration {
         let membership = &self.core.settings.membership;
         let is_due_everywhere = match step {
             // Kept sessions are published by gossip, which doesn't load the store and is batched on
             // its way.
-            Move::Keep => return Duration::ZERO,
-            Move::Begin | Move::Widen | Move::Complete => true,
-            Move::Revert => !self.has_found_bad_locally(service),
+            RollOutStep::Keep => return Duration::ZERO,
+            RollOutStep::Begin | RollOutStep::Widen | RollOutStep::Complete => true,
+            RollOutStep::Revert => !self.has_found_bad_locally(service),
         };
         if is_due_everywhere && membership.ordered_steps {
             self.rotation_delay()
@@ -162,10 +162,10 @@
 
     fn has_found_bad_locally(&self, service: &ServiceId) -> bool {
         let state = self.core.state.borrow();
-        state.roll_outs.get(service).is_some_and(RollOut::has_found_bad)
+        state.roll_outs.get(service).is_some_and(RollOut::has_tripped_locally)
     }
 
-    fn due_steps(&self) -> Vec<(ServiceId, Move)> {
+    fn due_steps(&self) -> Vec<(ServiceId, RollOutStep)> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         let due = state.roll_outs.iter();
@@ -175,24 +175,29 @@
         .collect()
     }
 
-    fn due_step(&self, service: &ServiceId) -> Option<Move> {
+    fn due_step(&self, service: &ServiceId) -> Option<RollOutStep> {
         let now = self.core.clock.now();
         let state = self.core.state.borrow();
         self.next_step(service, state.roll_outs.get(service)?, now)
     }
 
-    fn next_step(&self, service: &ServiceId, roll_out: &RollOut, now: Duration) -> Option<Move> {
-        self.lost_step(service, roll_out).or_else(|| roll_out.next_move(now))
+    fn next_step(
+        &self,
+        service: &ServiceId,
+        roll_out: &RollOut,
+        now: Duration,
+    ) -> Option<RollOutStep> {
+        self.lost_step(service, roll_out).or_else(|| roll_out.next_step(now))
     }
 
-    async fn write_step(&self, service: &ServiceId, step: Move) {
+    async fn write_step(&self, service: &ServiceId, step: RollOutStep) {
         let Some(target) = self.target_of(service) else { return };
         let stage = match step {
-            Move::Begin => Stage::Trial,
-            Move::Widen => Stage::Widening,
-            Move::Complete => Stage::Completed,
-            Move::Revert => Stage::Reverted,
-            Move::Keep => return self.publish_kept_sessions(service, target),
+            RollOutStep::Begin => Stage::Trial,
+            RollOutStep::Widen => Stage::Widening,
+            RollOutStep::Complete => Stage::Completed,
+            RollOutStep::Revert => Stage::Reverted,
+            RollOutStep::Keep => return self.publish_kept_sessions(service, target),
         };
         let outcome = outcome_at(stage);
         let progress = Progress { service: service.clone(), target: target.clone(), outcome };
@@ -206,7 +211,8 @@
         ];
         let written = self.commit(changes, StoreCause::StepWon).await;
         self.log_step(service, step, &written);
-        if step == Move::Revert && matches!(&written, Err(error) if *error != StoreError::Conflict)
+        if step == RollOutStep::Revert
+            && matches!(&written, Err(error) if *error != StoreError::Conflict)
         {
             self.publish_bad_version(service);
         }
@@ -220,7 +226,7 @@
             // the reply was lost; until then the step stays due.
             tokio::time::sleep(RETRY_DELAY).await;
         } else if let Some(roll_out) = self.core.state.borrow_mut().roll_outs.get_mut(service) {
-            roll_out.learn_stage(stage, self.core.clock.now());
+            roll_out.apply_stage(stage, self.core.clock.now());
             self.lost_steps.borrow_mut().remove(service);
             let (service, stage) = (service.to_string(), stage.into());
             outgoing = Some(Gossip::Stage { service, target: progress.target, stage });
@@ -242,7 +248,7 @@
         let interval = self.report_interval();
         let mut outgoing = Vec::new();
         for (service, roll_out) in &mut self.core.state.borrow_mut().roll_outs {
-            if let Some(seen) = roll_out.take_seen(now, interval) {
+            if let Some(seen) = roll_out.take_due_observations(now, interval) {
                 let (service, target) = (service.to_string(), roll_out.target().clone());
                 outgoing.push(Gossip::Seen { service, target, seen });
             }
@@ -262,7 +268,7 @@
         let mut state = self.core.state.borrow_mut();
         let trials = state.roll_outs.iter_mut();
         let bad: Vec<ServiceId> = trials
-            .filter_map(|(service, roll_out)| roll_out.weigh(now).then(|| service.clone()))
+            .filter_map(|(service, roll_out)| roll_out.evaluate(now).then(|| service.clone()))
             .collect();
         drop(state);
         for service in bad {
@@ -280,17 +286,17 @@
             let (service, sessions) = (service.to_string(), batch.to_vec());
             self.core.publish_gossip(Gossip::Kept { service, target: target.clone(), sessions });
         }
-        self.update_roll_out(service, &target, RollOut::note_kept_told);
+        self.update_roll_out(service, &target, RollOut::record_kept_published);
     }
 
     fn kept_sessions(&self, service: &ServiceId, target: &str) -> Vec<SessionKey> {
         let state = self.core.state.borrow();
         let Some(roll_out) = state.roll_outs.get(service) else { return Vec::new() };
-        let running = state.sessions.running_off(target, self.core.clock.now());
-        running.filter(|session| roll_out.would_try(*session)).collect()
+        let running = state.sessions.running_on_other_versions(target, self.core.clock.now());
+        running.filter(|session| roll_out.is_in_trial_share(*session)).collect()
     }
 
-    fn log_step(&self, service: &str, step: Move, written: &Result<Position, StoreError>) {
+    fn log_step(&self, service: &str, step: RollOutStep, written: &Result<Position, StoreError>) {
         let step = format!("{step:?}").to_lowercase();
         let event = match written {
             Ok(Position { revision, .. }) => {
--- a/crates/direct/src/coordinator/apply.rs
+++ b/crates/direct/src/coordinator/apply.rs
@@ -59,10 +59,10 @@
         let fleet = state.fleet(service);
         // Servers of a reverted version stay for a while; they aren't part of the old version with
         // which the next one is compared.
-        if let Some(previous) = previous.filter(RollOut::is_off) {
-            fleet.leave_out(previous.target());
+        if let Some(previous) = previous.filter(RollOut::is_withdrawn) {
+            fleet.exclude_version(previous.target());
         }
-        fleet.let_in(&order.target);
+        fleet.readmit_version(&order.target);
         drop(state);
         let within_ms = order.within.as_millis() as u64;
         let event = RollOutEvent::Ordered { service, target: &order.target, within_ms };
@@ -143,23 +143,23 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(service) else { return };
-        let previous = roll_out.known_stage();
+        let previous = roll_out.published_stage();
         if let Some(record) = self.stages.borrow().get(service)
             && record.target == *roll_out.target()
         {
-            roll_out.learn_stage(record.stage.into(), now);
+            roll_out.apply_stage(record.stage.into(), now);
         }
         let reported = self.reported_progress.borrow();
         if let Some(progress) =
             reported.get(service).filter(|reported| reported.target == *roll_out.target())
         {
             match progress.outcome {
-                Outcome::InProgress => roll_out.learn_stage(Stage::Trial, now),
-                Outcome::Completed => roll_out.learn_stage(Stage::Completed, now),
-                Outcome::Reverted => roll_out.learn_stage(Stage::Reverted, now),
+                Outcome::InProgress => roll_out.apply_stage(Stage::Trial, now),
+                Outcome::Completed => roll_out.apply_stage(Stage::Completed, now),
+                Outcome::Reverted => roll_out.apply_stage(Stage::Reverted, now),
             }
         }
-        let after = roll_out.known_stage();
+        let after = roll_out.published_stage();
         if after == previous {
             return;
         }
--- a/crates/direct/src/coordinator/lost_steps.rs
+++ b/crates/direct/src/coordinator/lost_steps.rs
@@ -3,7 +3,7 @@
 //! Entries remember the stage of each roll-out. If the restored store holds an earlier one, the
 //! operator's view is behind as well, and the step becomes due again.
 
-use pondwalk_decide::direct::{Move, RollOut, Stage};
+use pondwalk_decide::direct::{RollOut, RollOutStep, Stage};
 
 use super::Coordinator;
 use crate::{catalog::ServiceId, port::Outcome};
@@ -26,10 +26,10 @@
     }
 
     /// The step of a roll-out that the store lost, if it is still missing.
-    pub(super) fn lost_step(&self, service: &ServiceId, roll_out: &RollOut) -> Option<Move> {
+    pub(super) fn lost_step(&self, service: &ServiceId, roll_out: &RollOut) -> Option<RollOutStep> {
         let is_lost = self.lost_steps.borrow().contains(service);
         if is_lost && self.is_step_missing(service, roll_out) {
-            roll_out.known_stage().map(step_for)
+            roll_out.published_stage().map(step_for)
         } else {
             None
         }
@@ -37,7 +37,7 @@
 
     /// Whether the store's stage record or the reported progress is behind the stage known here.
     fn is_step_missing(&self, service: &ServiceId, roll_out: &RollOut) -> bool {
-        let Some(known) = roll_out.known_stage() else { return false };
+        let Some(known) = roll_out.published_stage() else { return false };
         let (stages, reported) = (self.stages.borrow(), self.reported_progress.borrow());
         let stage = stages.get(service).filter(|record| record.target == *roll_out.target());
         let progress =
@@ -48,12 +48,12 @@
 }
 
 /// The step that leads to a stage.
-fn step_for(stage: Stage) -> Move {
+fn step_for(stage: Stage) -> RollOutStep {
     match stage {
-        Stage::Trial => Move::Begin,
-        Stage::Widening => Move::Widen,
-        Stage::Completed => Move::Complete,
-        Stage::Reverted => Move::Revert,
+        Stage::Trial => RollOutStep::Begin,
+        Stage::Widening => RollOutStep::Widen,
+        Stage::Completed => RollOutStep::Complete,
+        Stage::Reverted => RollOutStep::Revert,
     }
 }
 
--- a/crates/direct/src/coordinator/rejecting_versions.rs
+++ b/crates/direct/src/coordinator/rejecting_versions.rs
@@ -48,7 +48,7 @@
     fn find_rejecting_versions(&self, now: Duration) -> RejectingVersions {
         let state = self.core.state.borrow();
         let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-            let versions = fleet.versions_turning_away(MIN_REJECTION_TIME, now).into_iter();
+            let versions = fleet.versions_refusing_all(MIN_REJECTION_TIME, now).into_iter();
             versions.map(|version| (service.clone(), version))
         });
         of_fleets.collect()
@@ -58,7 +58,7 @@
         let mut state = self.core.state.borrow_mut();
         let roll_out =
             state.roll_outs.get_mut(service).filter(|roll_out| roll_out.target() == version);
-        let is_aborted = roll_out.is_some_and(|roll_out| roll_out.turns_away());
+        let is_aborted = roll_out.is_some_and(|roll_out| roll_out.trip_on_refusals());
         drop(state);
         if is_aborted {
             self.publish_bad_version(service);
--- a/crates/direct/src/coordinator/rotation.rs
+++ b/crates/direct/src/coordinator/rotation.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use pondwalk_decide::direct::Move;
+use pondwalk_decide::direct::RollOutStep;
 
 use crate::catalog::ServiceId;
 
@@ -19,7 +19,7 @@
 /// Due steps, and since when each has been due.
 #[derive(Debug, Default)]
 pub struct Rotation {
-    due: HashMap<ServiceId, (Move, Duration)>,
+    due: HashMap<ServiceId, (RollOutStep, Duration)>,
 }
 
 impl Rotation {
@@ -27,9 +27,9 @@
     /// `wait`, and the time until the next one will have been.
     pub fn ready(
         &mut self,
-        due: &[(ServiceId, Move)],
+        due: &[(ServiceId, RollOutStep)],
         now: Duration,
-        wait: impl Fn(&ServiceId, Move) -> Duration,
+        wait: impl Fn(&ServiceId, RollOutStep) -> Duration,
     ) -> (Vec<ServiceId>, Option<Duration>) {
         self.due.retain(|service, (step, _)| due.contains(&(service.clone(), *step)));
         let mut ready = Vec::new();
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -202,7 +202,7 @@
         let state = self.state.borrow();
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
-        let limited = state.fleets.values().map(Fleet::count_limited);
+        let limited = state.fleets.values().map(Fleet::count_rate_limited);
         let (leaving, backing_off) =
             notices.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let mut gauges = vec![
@@ -212,8 +212,8 @@
             ("servers_cold", cold.sum::<usize>() as u64),
             ("data_centres_evacuated", state.evacuated.len() as u64),
             ("contents_remembered", state.quarantine.len() as u64),
-            ("contents_held", state.quarantine.count_held(self.clock.now()) as u64),
-            ("contents_given_way", state.quarantine.given_way()),
+            ("contents_held", state.quarantine.count_quarantined(self.clock.now()) as u64),
+            ("contents_given_way", state.quarantine.evicted()),
             ("entries_listed", self.members.count() as u64),
             ("asks_store", u64::from(queries_store)),
             ("store_era", state.replica.position().era),
@@ -235,7 +235,7 @@
         let state = self.state.borrow();
         let Some(catalog) = &state.catalog else { return false };
         // Without keys an outdated configuration grants nothing that it must not.
-        let serves = !catalog.requires_keys() || state.freshness.honours_keys(self.clock.now());
+        let serves = !catalog.requires_keys() || state.freshness.accepts_keys(self.clock.now());
         self.shutdown.get() == ShutdownPhase::Running && serves
     }
 }
--- a/crates/direct/src/draining_servers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -61,7 +61,7 @@
     let now = core.clock.now();
     let state = core.state.borrow();
     let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-        let leaving = fleet.told_leaving_at(now).into_iter();
+        let leaving = fleet.draining_addresses(now).into_iter();
         leaving.map(|(server, address)| DrainingServer {
             service: service.clone(),
             server,
@@ -83,7 +83,8 @@
     let now = core.clock.now();
     let mut state = core.state.borrow_mut();
     let fleet = state.fleets.get_mut(&server.service);
-    let is_restarted = fleet.is_some_and(|fleet| fleet.listens(&server.server, listens, now));
+    let is_restarted =
+        fleet.is_some_and(|fleet| fleet.record_listen_check(&server.server, listens, now));
     drop(state);
     if is_restarted {
         let event = DrainingServerEvent::LeaverStartedAnew { server: &server.server };
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/follow.rs
@@ -282,9 +282,9 @@
     /// peer.
     fn confirm(&mut self, at: Duration, position: Position, source: StateSource) {
         let mut state = self.core.state.borrow_mut();
-        let before = state.freshness.confirmed();
+        let before = state.freshness.confirmed_at();
         state.freshness.confirm(at);
-        if state.freshness.confirmed() == before {
+        if state.freshness.confirmed_at() == before {
             return;
         }
         state.confirmation_count += 1;
--- a/crates/direct/src/follow/peers.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -125,7 +125,7 @@
         let times = &self.core.settings.membership.times;
         let state = self.core.state.borrow();
         let too_old =
-            state.freshness.confirmed().unwrap_or_default() + times.max_peer_confirmation_age;
+            state.freshness.confirmed_at().unwrap_or_default() + times.max_peer_confirmation_age;
         // If the store replies late, every state is that old, and peers reply at each interval.
         let hold = match state.store_latency > times.exchange {
             true => times.stale_hold_time.max(times.confirm_interval + times.exchange),
--- a/crates/direct/src/follow/watch.rs
+++ b/crates/direct/src/follow/watch.rs
@@ -154,7 +154,7 @@
 
     /// Whether a reply to this call could still have brought something new.
     fn is_still_relevant(&self, params: CallParams) -> bool {
-        self.core.state.borrow().freshness.confirmed().is_none_or(|at| params.sent >= at)
+        self.core.state.borrow().freshness.confirmed_at().is_none_or(|at| params.sent >= at)
     }
 
     fn record_reply(&self, params: CallParams, bytes: usize) {
@@ -176,7 +176,7 @@
         let wait = self.core.settings.store.watch_wait;
         let limit =
             STORE_SILENCE_LIMIT + latency + if self.is_alone() { wait } else { MIN_WATCH_WAIT };
-        let confirmed = self.core.state.borrow().freshness.confirmed().unwrap_or_default();
+        let confirmed = self.core.state.borrow().freshness.confirmed_at().unwrap_or_default();
         let from = oldest.max(confirmed);
         let is_silent = self.core.clock.now().saturating_sub(from) > limit;
         if is_silent && !self.watch_calls.is_receiving() && !self.store_lost {
--- a/crates/direct/src/forecasts.rs
+++ b/crates/direct/src/forecasts.rs
@@ -2,7 +2,9 @@
 
 use std::collections::HashMap;
 
-use pondwalk_decide::direct::{Ask, Engine, ModelNumber, Terms, VersionRule};
+use pondwalk_decide::direct::{
+    EngineEstimates, ModelCost, PlacementRequest, RouteModelIndex, VersionRule,
+};
 use pondwalk_types::ServerId;
 
 use crate::{catalog::ServiceId, core::Core, request::Job, state::State};
@@ -18,7 +20,7 @@
 
 /// Cost terms of each of the route's models for a job that has used the fraction `used` of its
 /// objective, excluding the servers in `avoid`; empty if no server is available.
-pub fn model_terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<Terms> {
+pub fn model_terms(core: &Core, job: &Job, avoid: &[ServerId], used: f64) -> Vec<ModelCost> {
     let prices = job.prices();
     let objective_ms = job.route.objective.as_secs_f64().max(0.001) * 1_000.0;
     let allowed_ms = (job.deadline - job.arrived).as_secs_f64().max(0.001) * 1_000.0;
@@ -28,53 +30,64 @@
     let Some(fleet) = fleets.get(&job.service.name) else { return Vec::new() };
     let mut terms = Vec::with_capacity(prices.len());
     for (position, price) in prices.into_iter().enumerate() {
-        let number = position as ModelNumber;
+        let number = position as RouteModelIndex;
         let request = placement_request(engine, job, number, avoid, VersionRule::Any);
         // If one model has no server, none has.
         let Some(forecast) = fleet.forecast(&request, core.clock.now()) else { return Vec::new() };
-        let begins = used + forecast.begins_ms / objective_ms;
+        let begins = used + forecast.first_byte_ms / objective_ms;
         let generation_ms = f64::from(job.prompt.tokens_out) * engine.token_ms(request.model);
         let ends = (begins * objective_ms + generation_ms) / allowed_ms;
-        let load = relative_load(engine, job, forecast.read_ms, request.read_ms_per_token);
-        terms.push(Terms { model: request.model, price, load, begins, ends });
+        let load = relative_load(engine, job, forecast.prefill_ms, request.prefill_ms_per_token);
+        terms.push(ModelCost {
+            model: request.model,
+            price,
+            server_time: load,
+            first_byte_ratio: begins,
+            end_ratio: ends,
+        });
     }
     terms
 }
 
 /// Server time per size of an answer, relative to a typical answer of the route's largest model.
-fn relative_load(engine: &Engine, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
+fn relative_load(engine: &EngineEstimates, job: &Job, read_ms: f64, read_ms_per_token: f64) -> f64 {
     let (tokens_in, tokens_out) =
         (f64::from(job.prompt.tokens_in), f64::from(job.prompt.tokens_out));
     let size = (tokens_in + OUTPUT_TOKEN_SIZE * tokens_out).max(1.0);
     let output_ms = READ_TOKENS_PER_OUTPUT_TOKEN * tokens_out * read_ms_per_token;
-    let last = job.route.models.len().saturating_sub(1) as ModelNumber;
-    let largest = engine.read_ms_per_token(job.service_model(last));
+    let last = job.route.models.len().saturating_sub(1) as RouteModelIndex;
+    let largest = engine.prefill_ms_per_token(job.service_model(last));
     (read_ms + output_ms) / size / (TYPICAL_READ_FRACTION * largest)
 }
 
 /// Placement request of a job for the model at position `number` of its route.
 pub fn placement_request<'a>(
-    engine: &Engine,
+    engine: &EngineEstimates,
     job: &'a Job,
-    number: ModelNumber,
+    number: RouteModelIndex,
     avoid: &'a [ServerId],
     versions: VersionRule<'a>,
-) -> Ask<'a> {
+) -> PlacementRequest<'a> {
     let model = job.service_model(number);
-    Ask {
+    PlacementRequest {
         parts: &job.prompt.parts,
         model,
-        read_ms_per_token: engine.read_ms_per_token(model),
-        base_ms: engine.begins_ms(),
-        avoid,
+        prefill_ms_per_token: engine.prefill_ms_per_token(model),
+        base_ms: engine.base_ms(),
+        excluded_servers: avoid,
         versions,
-        homes: job.allowed_data_centres(),
+        data_centres: job.allowed_data_centres(),
     }
 }
 
 /// Engine estimates of a job's service, created on first use.
-pub fn engine_for<'a>(engines: &'a mut HashMap<ServiceId, Engine>, job: &Job) -> &'a mut Engine {
+pub fn engine_for<'a>(
+    engines: &'a mut HashMap<ServiceId, EngineEstimates>,
+    job: &Job,
+) -> &'a mut EngineEstimates {
     let models = job.service.engine.as_ref().map_or(0, |engine| engine.models.len());
     let service = job.service.name.clone();
-    engines.entry(service).or_insert_with(|| Engine::new(models.min(usize::from(u8::MAX)) as u8))
+    engines
+        .entry(service)
+        .or_insert_with(|| EngineEstimates::new(models.min(usize::from(u8::MAX)) as u8))
 }
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -197,7 +197,7 @@
     let state = core.state.borrow();
     let max_peer_confirmation_age =
         core.settings.membership.times.max_peer_confirmation_age + state.store_latency;
-    state.freshness.confirmed().map(|at| at + max_peer_confirmation_age)
+    state.freshness.confirmed_at().map(|at| at + max_peer_confirmation_age)
 }
 
 /// Whether the asker gains anything by an answer now.
@@ -248,7 +248,7 @@
         incarnation: core.incarnation,
         now: core.clock.now(),
         // NB: only an entry that was confirmed answers.
-        confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
+        confirmed: state.freshness.confirmed_at().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
         store_takes: state.store_latency,
         turn: state.confirmation_count,
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use pondwalk_decide::direct::{
-    Granter, LifeMark, PermitBuckets, ServerLimit, WantedPermit, server_hash,
+    GranterRole, PermitBuckets, PermitRequest, RateLimit, ServerIncarnation, server_hash,
 };
 use pondwalk_types::ServerId;
 use serde::{Deserialize, Serialize};
@@ -44,9 +44,9 @@
 struct PermitQuery {
     service: String,
     server: ServerId,
-    life: LifeMark,
+    life: ServerIncarnation,
     /// The limit known to the querying entry.
-    limit: ServerLimit,
+    limit: RateLimit,
     /// Age of that limit.
     said_ago: Duration,
     /// Whether the querying entry stands in for the receiver, which must then decide on its own.
@@ -142,19 +142,19 @@
     /// Another entry decided.
     Decided(PermitReply),
     /// This entry decides.
-    Local(Granter),
+    Local(GranterRole),
     /// No entry replied.
     Unanswered(Option<PeerError>),
 }
 
 impl Core {
     /// Requests a permit and records the reply in the fleet.
-    pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
-        let said_ago = self.clock.now().saturating_sub(wanted.said_at);
+    pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: PermitRequest) {
+        let said_ago = self.clock.now().saturating_sub(wanted.reported_at);
         let query = PermitQuery {
             service: service.to_string(),
             server: wanted.server,
-            life: wanted.life,
+            life: wanted.incarnation,
             limit: wanted.limit,
             said_ago,
             is_passed_on: false,
@@ -179,16 +179,16 @@
         match reply {
             PermitReply::Given => {
                 self.metrics.count(Counter::PermitsGiven);
-                fleet.take_permit(&query.server, Ok(()), now);
+                fleet.apply_permit_decision(&query.server, Ok(()), now);
             }
             PermitReply::Refused { opens_in } => {
                 self.metrics.count(Counter::PermitsRefused);
-                fleet.take_permit(&query.server, Err(now + opens_in), now);
+                fleet.apply_permit_decision(&query.server, Err(now + opens_in), now);
             }
             PermitReply::Lifted { ago } => {
                 let at = now.saturating_sub(ago);
-                fleet.is_told_limit(&query.server, &query.life, None, at);
-                fleet.take_permit(&query.server, Err(now), now);
+                fleet.apply_peer_rate_limit(&query.server, &query.life, None, at);
+                fleet.apply_permit_decision(&query.server, Err(now), now);
             }
         }
     }
@@ -265,22 +265,22 @@
     }
 
     /// This entry's role as a granter for a server.
-    fn local_role(&self, server: &str) -> Granter {
+    fn local_role(&self, server: &str) -> GranterRole {
         let order = self.members.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
-        place.map_or(Granter::StandIn, role_at)
+        place.map_or(GranterRole::Backup, role_at)
     }
 
     /// Grants or refuses a permit by the latest known limit of the server.
-    fn grant_permit(&self, query: &PermitQuery, granter: Granter) -> PermitReply {
+    fn grant_permit(&self, query: &PermitQuery, granter: GranterRole) -> PermitReply {
         let now = self.clock.now();
         let said_at = now.saturating_sub(query.said_ago);
         let PermitQuery { server, life, limit, .. } = query;
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(query.service.as_str());
         let known = fleet.and_then(|fleet| {
-            fleet.is_told_limit(server, life, Some(*limit), said_at);
-            fleet.limit_of(server, life)
+            fleet.apply_peer_rate_limit(server, life, Some(*limit), said_at);
+            fleet.rate_limit_of(server, life)
         });
         drop(state);
         let limit = match known {
@@ -301,16 +301,17 @@
         let at = self.clock.now().saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet.as_str());
-        let changes = fleet.is_some_and(|fleet| fleet.is_told_limit(server, life, *limit, at));
+        let changes =
+            fleet.is_some_and(|fleet| fleet.apply_peer_rate_limit(server, life, *limit, at));
         drop(state);
         if changes {
-            let (from, per_s) = (item.origin.as_str(), limit.map(ServerLimit::per_s));
+            let (from, per_s) = (item.origin.as_str(), limit.map(RateLimit::per_s));
             let event = PermitEvent::ServerLimitHeard { server, from, per_s };
             self.event_log.record(LogPriority::State, &event);
         }
     }
 }
 
-fn role_at(place: usize) -> Granter {
-    if place == 0 { Granter::First } else { Granter::StandIn }
+fn role_at(place: usize) -> GranterRole {
+    if place == 0 { GranterRole::Primary } else { GranterRole::Backup }
 }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -7,7 +7,9 @@
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Evidence, LimitWord, ServerLoad, ServiceModel, Ticket, Unreached};
+use pondwalk_decide::direct::{
+    Evidence, ReportedRateLimit, ServerLoad, ServiceModelIndex, Ticket, UnreachableReason,
+};
 use pondwalk_types::{ModelId, ServerId, VersionId};
 use rand::Rng;
 
@@ -30,7 +32,7 @@
     job: Rc<Job>,
     ticket: Ticket,
     /// Index of the model in its service.
-    model_index: ServiceModel,
+    model_index: ServiceModelIndex,
     sent: Duration,
     /// Time to the start of the response in milliseconds, once it has started.
     response_started_ms: f64,
@@ -61,14 +63,14 @@
         let found =
             find_with_rule(&mut state, job, next, Some(session), now, |fleet, request, rng| {
                 let ticket = fleet.place(request, now, rng)?;
-                let server = fleet.facts(&ticket.server)?;
+                let server = fleet.server_info(&ticket.server)?;
                 let (address, version) = (server.address, server.version.clone());
-                let has_alternative = fleet.has_other(request, &ticket.server, now);
+                let has_alternative = fleet.has_alternative(request, &ticket.server, now);
                 Some((ticket, address, version, has_alternative))
             });
         let (ticket, address, version, has_alternative) = found?;
         if let Some(session) = job.session {
-            state.sessions.note(session, &version, now);
+            state.sessions.record(session, &version, now);
         }
         drop(state);
         let model = job.route.models.get(usize::from(next.model)).filter(|_| job.chooses_model);
@@ -130,16 +132,20 @@
         let now = self.core.clock.now();
         let response_started_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
         self.response_started_ms = response_started_ms;
-        let late_ms = (response_started_ms - self.ticket.due_ms()).max(0.0);
+        let late_ms = (response_started_ms - self.ticket.expected_with_queue_ms()).max(0.0);
         self.core.metrics.time(Timer::ServerQueue, Duration::from_secs_f64(late_ms / 1_000.0));
         let mut state = self.core.state.borrow_mut();
         let State { fleets, engines, .. } = &mut *state;
-        if self.core.settings.policy.learned_engines && self.ticket.ahead_ms <= 0.0 {
+        if self.core.settings.policy.learned_engines && self.ticket.queued_ms <= 0.0 {
             let engine = engine_for(engines, &self.job);
-            engine.note_beginning(self.model_index, self.ticket.read_tokens, response_started_ms);
+            engine.record_first_byte(
+                self.model_index,
+                self.ticket.prefill_tokens,
+                response_started_ms,
+            );
         }
         if let Some(fleet) = fleets.get_mut(&self.job.service.name) {
-            fleet.began(&mut self.ticket, response_started_ms, now);
+            fleet.on_answer_started(&mut self.ticket, response_started_ms, now);
         }
     }
 
@@ -148,7 +154,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.tells_load(&self.ticket, load, now);
+            fleet.on_load_reported(&self.ticket, load, now);
         }
     }
 
@@ -162,7 +168,7 @@
         let generation_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.response_started_ms;
         let mut state = self.core.state.borrow_mut();
         let engine = engine_for(&mut state.engines, &self.job);
-        engine.note_token_ms(self.model_index, generation_ms / f64::from(tokens_out));
+        engine.record_token_ms(self.model_index, generation_ms / f64::from(tokens_out));
     }
 
     /// Records a response, `failed` if the server failed; returns whether it trips a roll-out.
@@ -170,7 +176,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.answered(&self.ticket, failed, now);
+            fleet.record_outcome(&self.ticket, failed, now);
         }
         drop(state);
         self.record_evidence(failed)
@@ -201,9 +207,10 @@
         let mut state = self.core.state.borrow_mut();
         let Some(roll_out) = state.roll_outs.get_mut(&self.job.service.name) else { return false };
         let kind = self.kind();
-        let slowness = self.elapsed().as_secs_f64() * 1_000.0 / self.ticket.due_ms();
+        let slowness =
+            self.elapsed().as_secs_f64() * 1_000.0 / self.ticket.expected_with_queue_ms();
         let evidence = Evidence { kind: &kind, server: &self.ticket.server, failed, slowness };
-        roll_out.note(&self.version, &evidence, now)
+        roll_out.record_answer(&self.version, &evidence, now)
     }
 
     /// Records a broken connection or a missing response; evidence about the server only.
@@ -211,7 +218,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.answered(&self.ticket, true, now);
+            fleet.record_outcome(&self.ticket, true, now);
         }
     }
 
@@ -220,17 +227,17 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
-        fleet.is_none_or(|fleet| fleet.may_leave(&self.ticket, now))
+        fleet.is_none_or(|fleet| fleet.may_send(&self.ticket, now))
     }
 
     /// Records that the server was unreachable; published to other entries if it is presumed cold.
-    pub fn on_unreachable(&self, why: Unreached) {
+    pub fn on_unreachable(&self, why: UnreachableReason) {
         self.mark_finished();
         let now = self.core.clock.now();
         let service = &self.job.service.name;
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(service);
-        let is_new = fleet.is_some_and(|fleet| fleet.unreached(&self.ticket, why, now));
+        let is_new = fleet.is_some_and(|fleet| fleet.on_unreachable(&self.ticket, why, now));
         drop(state);
         if is_new {
             self.core.metrics.count(Counter::ServersPresumedCold);
@@ -245,7 +252,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.refused(&self.ticket, now);
+            fleet.on_refused(&self.ticket, now);
         }
     }
 
@@ -254,16 +261,16 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let fleet = state.fleets.get_mut(&self.job.service.name);
-        fleet.is_some_and(|fleet| fleet.told_leaving(&self.ticket, now))
+        fleet.is_some_and(|fleet| fleet.on_draining_reported(&self.ticket, now))
     }
 
     /// Records the rate limit reported with a response; returns whether it changed.
-    pub fn on_limit_reported(&self, reported: LimitWord) -> bool {
+    pub fn on_limit_reported(&self, reported: ReportedRateLimit) -> bool {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(&self.job.service.name) else { return false };
-        let changes = fleet.told_limit(&self.ticket, reported, now);
-        let limit_update = fleet.take_limit_news(&self.ticket, now);
+        let changes = fleet.on_rate_limit_reported(&self.ticket, reported, now);
+        let limit_update = fleet.take_due_rate_limit(&self.ticket, now);
         drop(state);
         if let Some((life, limit)) = limit_update {
             let (fleet, server) = (self.job.service.name.to_string(), self.ticket.server.clone());
@@ -279,7 +286,8 @@
         let mut state = self.core.state.borrow_mut();
         let State { fleets, rng, .. } = &mut *state;
         let fleet = fleets.get_mut(&self.job.service.name)?;
-        let until = fleet.asked_backoff(&self.ticket, asked, rng.random_range(0.0..1.0), now)?;
+        let until =
+            fleet.on_backoff_requested(&self.ticket, asked, rng.random_range(0.0..1.0), now)?;
         Some(until.saturating_sub(now))
     }
 
@@ -288,7 +296,7 @@
         self.mark_finished();
         let mut state = self.core.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.is_replaced(&self.ticket);
+            fleet.mark_replaced(&self.ticket);
         }
     }
 }
@@ -298,10 +306,10 @@
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         if let Some(session) = self.job.session {
-            state.sessions.note(session, &self.version, now);
+            state.sessions.record(session, &self.version, now);
         }
         if let Some(fleet) = state.fleets.get_mut(&self.job.service.name) {
-            fleet.ended(&self.ticket);
+            fleet.on_finished(&self.ticket);
         }
         drop(state);
         if !self.is_finished.get() {
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use pondwalk_decide::direct::{
-    Ask, Certainty, Fleet, ModelNumber, Opening, SessionKey, VersionRule, WantedPermit,
+    Fleet, NextAvailability, PermitRequest, Placeability, PlacementRequest, RouteModelIndex,
+    SessionKey, VersionRule,
 };
 use pondwalk_types::ServerId;
 use rand::{Rng, rngs::SmallRng};
@@ -24,14 +25,14 @@
     /// All eligible servers are draining.
     AllDraining,
     /// All eligible servers are cold, at their rate limit, or in a requested backoff.
-    Unavailable(Opening),
+    Unavailable(NextAvailability),
 }
 
 /// Constraints of a request's next send.
 #[derive(Debug, Clone, Copy)]
 pub struct NextSend<'a> {
     /// Index of the model in the route's list.
-    pub model: ModelNumber,
+    pub model: RouteModelIndex,
     /// Servers to exclude.
     pub avoid: &'a [ServerId],
     /// Version whose server failed the request before.
@@ -46,25 +47,26 @@
         core: &Core,
         job: &Job,
         next: NextSend<'_>,
-    ) -> Result<Certainty, PlacementError> {
+    ) -> Result<Placeability, PlacementError> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let certainty =
-            |fleet: &mut Fleet, request: &Ask<'_>, _: &mut SmallRng| fleet.certainty(request, now);
+        let certainty = |fleet: &mut Fleet, request: &PlacementRequest<'_>, _: &mut SmallRng| {
+            fleet.placeability(request, now)
+        };
         find_with_rule(&mut state, job, next, job.session, now, certainty)
     }
 
     /// The permit needed before the request can be sent, if it would go to a server with a rate
     /// limit.
-    pub fn wanted_permit(core: &Core, job: &Job, next: NextSend<'_>) -> Option<WantedPermit> {
+    pub fn wanted_permit(core: &Core, job: &Job, next: NextSend<'_>) -> Option<PermitRequest> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        if !state.fleets.get(&job.service.name)?.may_limit() {
+        if !state.fleets.get(&job.service.name)?.may_have_rate_limits() {
             return None;
         }
         let session = job.session.unwrap_or_else(|| state.rng.random());
-        let wanted = |fleet: &mut Fleet, request: &Ask<'_>, rng: &mut SmallRng| {
-            fleet.want_permit(request, now, rng)
+        let wanted = |fleet: &mut Fleet, request: &PlacementRequest<'_>, rng: &mut SmallRng| {
+            fleet.request_permit(request, now, rng)
         };
         find_with_rule(&mut state, job, next, Some(session), now, wanted).ok()
     }
@@ -74,7 +76,7 @@
     pub fn permits_before(core: &Core, job: &Job, next: NextSend<'_>, until: Duration) -> usize {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let permits = |fleet: &mut Fleet, request: &Ask<'_>, _: &mut SmallRng| {
+        let permits = |fleet: &mut Fleet, request: &PlacementRequest<'_>, _: &mut SmallRng| {
             Some(fleet.permits_before(request, until, now))
         };
         find_with_rule(&mut state, job, next, job.session, now, permits).unwrap_or_default()
@@ -89,14 +91,14 @@
     next: NextSend<'_>,
     session: Option<SessionKey>,
     now: Duration,
-    mut find: impl FnMut(&mut Fleet, &Ask<'_>, &mut SmallRng) -> Option<T>,
+    mut find: impl FnMut(&mut Fleet, &PlacementRequest<'_>, &mut SmallRng) -> Option<T>,
 ) -> Result<T, PlacementError> {
     let State { fleets, roll_outs, sessions, engines, rng, .. } = state;
     let fleet = fleets.get_mut(&job.service.name).ok_or(PlacementError::NoServer)?;
     let pinned = job.session.and_then(|session| sessions.version(session, now));
     let roll_out = roll_outs.get(&job.service.name);
     let rule = match (roll_out, session) {
-        (Some(roll_out), Some(session)) => roll_out.rule(session, pinned, next.failed, now),
+        (Some(roll_out), Some(session)) => roll_out.version_rule(session, pinned, next.failed, now),
         _ => VersionRule::Any,
     };
     let request = placement_request(engine_for(engines, job), job, next.model, next.avoid, rule);
@@ -111,10 +113,10 @@
 /// briefly would use two versions.
 fn find_with_fallback<T>(
     fleet: &mut Fleet,
-    request: &Ask<'_>,
+    request: &PlacementRequest<'_>,
     target: Option<&str>,
     now: Duration,
-    mut find: impl FnMut(&mut Fleet, &Ask<'_>) -> Option<T>,
+    mut find: impl FnMut(&mut Fleet, &PlacementRequest<'_>) -> Option<T>,
 ) -> Result<T, PlacementError> {
     if let Some(found) = find(fleet, request) {
         return Ok(found);
@@ -126,7 +128,7 @@
     if matches!(reason, PlacementError::Unavailable(_)) {
         return Err(reason);
     }
-    let other = Ask { versions: VersionRule::Except(target), ..*request };
+    let other = PlacementRequest { versions: VersionRule::Except(target), ..*request };
     find(fleet, &other).ok_or_else(|| match unavailability(fleet, &other, now) {
         PlacementError::NoServer => reason,
         other => other,
@@ -134,10 +136,10 @@
 }
 
 /// Why no server is available now.
-fn unavailability(fleet: &Fleet, request: &Ask<'_>, now: Duration) -> PlacementError {
-    match fleet.opens_at(request, now) {
+fn unavailability(fleet: &Fleet, request: &PlacementRequest<'_>, now: Duration) -> PlacementError {
+    match fleet.next_availability(request, now) {
         Some(opening) => PlacementError::Unavailable(opening),
-        None if fleet.has_leaving(request, now) => PlacementError::AllDraining,
+        None if fleet.has_draining(request, now) => PlacementError::AllDraining,
         None => PlacementError::NoServer,
     }
 }
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -13,7 +13,9 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::{Content, Grant, Probe, Quarantine, ServerEnd, Standing};
+use pondwalk_decide::direct::{
+    ContentHash, ProbeDecision, ProbeRequest, Quarantine, QuarantineStatus, ServerCrash,
+};
 
 pub use clearance::{PendingClearances, publish_clearances};
 pub use crashes::SeenCrashes;
@@ -39,22 +41,22 @@
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 /// A crash with the time since it was observed.
-pub type AgedCrash = (ServerEnd, Duration);
+pub type AgedCrash = (ServerCrash, Duration);
 
 impl Core {
     /// Whether a request may run.
-    pub fn quarantine_status(&self, job: &Job) -> Standing {
+    pub fn quarantine_status(&self, job: &Job) -> QuarantineStatus {
         let state = self.state.borrow();
-        if state.quarantine.is_empty() || state.good_contents.holds(job.content()) {
-            return Standing::Free;
+        if state.quarantine.is_empty() || state.good_contents.is_exempt(job.content()) {
+            return QuarantineStatus::Unrestricted;
         }
-        state.quarantine.standing(job.content(), self.clock.now())
+        state.quarantine.status(job.content(), self.clock.now())
     }
 
     /// Number of server crashes that count against a request.
     pub fn crash_count(&self, job: &Job) -> usize {
         let state = self.state.borrow();
-        if state.quarantine.is_empty() { 0 } else { state.quarantine.ends(job.content()) }
+        if state.quarantine.is_empty() { 0 } else { state.quarantine.crash_count(job.content()) }
     }
 
     /// Applies crashes observed by another entry.
@@ -63,9 +65,9 @@
         for (crash, extra_age) in crashes {
             let at = now.saturating_sub(age + *extra_age);
             let mut state = self.state.borrow_mut();
-            let is_new = state.quarantine.note_end(*crash, at, now);
+            let is_new = state.quarantine.record_crash(*crash, at, now);
             if is_new {
-                state.good_contents.note_end(crash.content);
+                state.good_contents.record_crash(crash.content);
             }
             drop(state);
             if is_new {
@@ -76,15 +78,19 @@
     }
 
     /// Applies a successful run at another entry.
-    pub fn receive_clearance(&self, content: Content, from: &str, age: Duration) {
+    pub fn receive_clearance(&self, content: ContentHash, from: &str, age: Duration) {
         let at = self.clock.now().saturating_sub(age);
-        let crashes = self.state.borrow_mut().quarantine.note_whole(content, at);
+        let crashes = self.state.borrow_mut().quarantine.record_success(content, at);
         self.log_cleared(content, crashes, from);
     }
 
     /// The crashes sent to an entry that has received none from this one.
     pub fn crash_summary(&self) -> Option<Gossip> {
-        let ends = self.state.borrow().quarantine.weightiest(MAX_SUMMARY_CRASHES, self.clock.now());
+        let ends = self
+            .state
+            .borrow()
+            .quarantine
+            .most_relevant_crashes(MAX_SUMMARY_CRASHES, self.clock.now());
         (!ends.is_empty()).then_some(Gossip::Ended { ends })
     }
 
@@ -94,38 +100,41 @@
         if state.quarantine.is_empty() {
             Vec::new()
         } else {
-            state.quarantine.held(self.clock.now())
+            state.quarantine.quarantined_crashes(self.clock.now())
         }
     }
 
     /// Decides on a probe requested by this entry or another one.
-    pub fn grant_probe(&self, content: Content, lease: Duration) -> Grant {
+    pub fn grant_probe(&self, content: ContentHash, lease: Duration) -> ProbeDecision {
         let now = self.clock.now();
         let order = self.members.granting_order(content);
         let place = order.iter().position(|(name, _)| *name == self.settings.name);
         let grace_left = STARTUP_GRACE.saturating_sub(self.clock.uptime());
         if order.len() > 1 && !grace_left.is_zero() {
-            return Grant::Refused { until: now + grace_left };
+            return ProbeDecision::Refused { until: now + grace_left };
         }
-        let probe = Probe { content, lease: lease + LEASE_MARGIN, is_first: place == Some(0) };
-        self.state.borrow_mut().quarantine.grant(probe, now)
+        let probe =
+            ProbeRequest { content, lease: lease + LEASE_MARGIN, is_primary: place == Some(0) };
+        self.state.borrow_mut().quarantine.request_probe(probe, now)
     }
 
     /// Forgets contents without recent crashes or runs.
     pub fn forget_old_crashes(&self) {
         let now = self.clock.now();
-        self.state.borrow_mut().quarantine.forget_old(now);
+        self.state.borrow_mut().quarantine.remove_expired(now);
     }
 
     /// Logs that a content has been quarantined.
-    fn log_if_quarantined(&self, content: Content) {
+    fn log_if_quarantined(&self, content: ContentHash) {
         let now = self.clock.now();
         let state = self.state.borrow();
-        if state.good_contents.holds(content) {
+        if state.good_contents.is_exempt(content) {
             return;
         }
-        let Standing::Held { until } = state.quarantine.standing(content, now) else { return };
-        let crashes = state.quarantine.ends(content);
+        let QuarantineStatus::Quarantined { until } = state.quarantine.status(content, now) else {
+            return;
+        };
+        let crashes = state.quarantine.crash_count(content);
         drop(state);
         self.metrics.count(Counter::ContentsQuarantined);
         let event = QuarantineEvent::ContentHeld {
@@ -137,8 +146,8 @@
     }
 
     /// Logs that a content is cleared, if `crashes` had quarantined it.
-    fn log_cleared(&self, content: Content, crashes: usize, from: &str) {
-        if !Quarantine::holds_from(crashes) {
+    fn log_cleared(&self, content: ContentHash, crashes: usize, from: &str) {
+        if !Quarantine::quarantines_after(crashes) {
             return;
         }
         let event = QuarantineEvent::ContentCleared { content: &content_text(content), from };
--- a/crates/direct/src/quarantine/clearance.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Content, Standing};
+use pondwalk_decide::direct::{ContentHash, QuarantineStatus};
 use tokio::{sync::Notify, time::sleep};
 
 use crate::{core::Core, membership::Gossip, request::Job};
@@ -19,7 +19,7 @@
 /// Contents that others quarantine although they succeeded here; clearances to be published.
 #[derive(Debug, Default)]
 pub struct PendingClearances {
-    contents: RefCell<Vec<Content>>,
+    contents: RefCell<Vec<ContentHash>>,
     changed: Notify,
 }
 
@@ -44,27 +44,28 @@
         let now = self.clock.now();
         let content = job.content();
         let mut state = self.state.borrow_mut();
-        state.good_contents.note_whole(content, now);
+        state.good_contents.record_success(content, now);
         drop(state);
         self.clear(content);
     }
 
     /// Queues the clearance of a content that others quarantine although it succeeded here.
-    pub(super) fn queue_clearance(&self, content: Content) {
+    pub(super) fn queue_clearance(&self, content: ContentHash) {
         if self.can_clear(content) {
             self.pending_clearances.contents.borrow_mut().push(content);
             self.pending_clearances.changed.notify_one();
         }
     }
 
-    fn can_clear(&self, content: Content) -> bool {
+    fn can_clear(&self, content: ContentHash) -> bool {
         let state = self.state.borrow();
-        let is_quarantined = state.quarantine.standing(content, self.clock.now()) != Standing::Free;
-        is_quarantined && state.good_contents.holds(content)
+        let is_quarantined =
+            state.quarantine.status(content, self.clock.now()) != QuarantineStatus::Unrestricted;
+        is_quarantined && state.good_contents.is_exempt(content)
     }
 
-    fn clear(&self, content: Content) {
-        let crashes = self.state.borrow_mut().quarantine.note_whole(content, self.clock.now());
+    fn clear(&self, content: ContentHash) {
+        let crashes = self.state.borrow_mut().quarantine.record_success(content, self.clock.now());
         if crashes >= MIN_CRASHES_TO_PUBLISH {
             self.log_cleared(content, crashes, &self.settings.name);
             self.publish_gossip(Gossip::Cleared { content });
--- a/crates/direct/src/quarantine/crashes.rs
+++ b/crates/direct/src/quarantine/crashes.rs
@@ -8,7 +8,9 @@
     time::Duration,
 };
 
-use pondwalk_decide::direct::{Content, EndId, Evidence, Loss, ServerEnd, end_id, server_hash};
+use pondwalk_decide::direct::{
+    ContentHash, CorrelatedCrashes, CrashId, Evidence, ServerCrash, crash_id, server_hash,
+};
 use pondwalk_types::{RequestId, ServerId, VersionId};
 use tokio::{
     task::spawn_local,
@@ -47,8 +49,8 @@
 /// A crash with the data needed to evaluate it.
 #[derive(Debug)]
 struct SeenCrash {
-    content: Content,
-    id: EndId,
+    content: ContentHash,
+    id: CrashId,
     at: Duration,
     service: ServiceId,
     server: ServerId,
@@ -67,7 +69,7 @@
 /// A run that was abandoned before its outcome was known.
 #[derive(Debug)]
 struct AbandonedRun {
-    content: Content,
+    content: ContentHash,
     server: ServerId,
     request: RequestId,
     at: Duration,
@@ -78,7 +80,7 @@
 #[derive(Debug, Default)]
 pub struct SeenCrashes {
     crashes: RefCell<Vec<SeenCrash>>,
-    loss: RefCell<Loss>,
+    loss: RefCell<CorrelatedCrashes>,
     abandoned: RefCell<VecDeque<AbandonedRun>>,
 }
 
@@ -120,7 +122,7 @@
 
     fn record_crash(
         self: &Rc<Self>,
-        content: Content,
+        content: ContentHash,
         request: &RequestId,
         placement: &Placement,
         on_probe: bool,
@@ -128,19 +130,24 @@
         let now = self.clock.now();
         let server = placement.server();
         let numbers = [self.incarnation, now.as_nanos() as u64];
-        let id = end_id(&[&self.settings.name, server, request], &numbers);
-        let crash =
-            ServerEnd { content, id, server: server_hash(server), in_common_loss: false, on_probe };
+        let id = crash_id(&[&self.settings.name, server, request], &numbers);
+        let crash = ServerCrash {
+            content,
+            id,
+            server: server_hash(server),
+            in_common_loss: false,
+            on_probe,
+        };
         let mut state = self.state.borrow_mut();
-        let prior_crashes = state.quarantine.ends(content);
-        if state.quarantine.note_end(crash, now, now) {
-            state.good_contents.note_end(content);
+        let prior_crashes = state.quarantine.crash_count(content);
+        if state.quarantine.record_crash(crash, now, now) {
+            state.good_contents.record_crash(content);
         }
-        let has_succeeded = state.good_contents.holds(content);
+        let has_succeeded = state.good_contents.is_exempt(content);
         drop(state);
         self.log_if_quarantined(content);
         self.queue_clearance(content);
-        self.seen_crashes.loss.borrow_mut().note(content, server);
+        self.seen_crashes.loss.borrow_mut().record(content, server);
         let observed = SeenCrash {
             content,
             id,
@@ -177,9 +184,9 @@
             let now = self.clock.now();
             let SeenCrash { content, id, at, on_probe, ref server, .. } = crash;
             let server = server_hash(server);
-            let crash = ServerEnd { content, id, server, in_common_loss, on_probe };
+            let crash = ServerCrash { content, id, server, in_common_loss, on_probe };
             if in_common_loss {
-                self.state.borrow_mut().quarantine.note_end(crash, at, now);
+                self.state.borrow_mut().quarantine.record_crash(crash, at, now);
             }
             published.push((crash, now.saturating_sub(at)));
         }
@@ -196,7 +203,7 @@
     /// Excluded are servers that ran a request which has crashed others too: that request is the
     /// likely cause and must not make a good version look bad. Common losses are excluded as well,
     /// since they have another cause.
-    fn record_version_evidence(&self, observed: &[SeenCrash], loss: &Loss) {
+    fn record_version_evidence(&self, observed: &[SeenCrash], loss: &CorrelatedCrashes) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let State { roll_outs, fleets, .. } = &mut *state;
@@ -204,7 +211,7 @@
         for crash in observed {
             let known = fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
             let has_cause = !crash.has_succeeded && crash.prior_crashes >= MAX_CRASHES_AS_EVIDENCE
-                || loss.excuses(crash.content, known);
+                || loss.exonerates(crash.content, known);
             let evidence = servers.entry(&crash.server).or_insert(Some(crash));
             if has_cause {
                 *evidence = None;
@@ -215,7 +222,7 @@
             let Some(roll_out) = roll_outs.get_mut(&crash.service) else { continue };
             let (kind, server) = (crash.kind.as_str(), crash.server.as_str());
             let evidence = Evidence { kind, server, failed: true, slowness: 0.0 };
-            if roll_out.note(&crash.version, &evidence, now) {
+            if roll_out.record_answer(&crash.version, &evidence, now) {
                 tripped.push(crash);
             }
         }
@@ -228,10 +235,10 @@
 
     /// Whether other servers were lost at the same moment, so that the request need not be the
     /// cause.
-    async fn is_common_loss(&self, loss: &Loss, crash: &SeenCrash) -> bool {
+    async fn is_common_loss(&self, loss: &CorrelatedCrashes, crash: &SeenCrash) -> bool {
         let servers =
             self.state.borrow().fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
-        if loss.excuses(crash.content, servers) {
+        if loss.exonerates(crash.content, servers) {
             return true;
         }
         // A probe runs alone, so this entry may have had no requests at the other servers.
@@ -245,7 +252,7 @@
             let State { fleets, rng, .. } = &mut *state;
             let fleet = fleets.get(&crash.service);
             fleet.map_or(Vec::new(), |fleet| {
-                fleet.some_others(&crash.server, REACHABILITY_SAMPLE, rng)
+                fleet.sample_other_addresses(&crash.server, REACHABILITY_SAMPLE, rng)
             })
         };
         for address in &others {
--- a/crates/direct/src/quarantine/probe.rs
+++ b/crates/direct/src/quarantine/probe.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use bytes::Bytes;
-use pondwalk_decide::direct::{Content, Grant};
+use pondwalk_decide::direct::{ContentHash, ProbeDecision};
 use serde::{Deserialize, Serialize};
 
 use super::{AgedCrash, ProbeLease, QuarantineEvent};
@@ -28,14 +28,14 @@
     /// Requests permission to run a content once.
     Ask {
         /// The content.
-        content: Content,
+        content: ContentHash,
         /// Maximum duration of the run.
         lease: Duration,
         /// Crashes known to the querying entry, which the granter may not have received yet.
         ends: Vec<AgedCrash>,
     },
     /// Releases a probe that was not used.
-    GiveBack(Content),
+    GiveBack(ContentHash),
 }
 
 /// Reply to a probe query.
@@ -57,7 +57,7 @@
 impl Core {
     /// Requests permission to run a request once; the granter blocks all others meanwhile. A
     /// granted probe is returned as a lease.
-    pub async fn request_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, Grant> {
+    pub async fn request_probe(self: &Rc<Self>, job: &Job) -> Result<ProbeLease, ProbeDecision> {
         let lease = job.deadline.saturating_sub(self.clock.now());
         let content = job.content();
         let mut error = None;
@@ -70,11 +70,11 @@
             };
             match self.request_probe_at(address, content, lease).await {
                 Ok(ProbeReply::Given) => {
-                    return self.accept_grant(job, Grant::Given, Some(address), &name);
+                    return self.accept_grant(job, ProbeDecision::Granted, Some(address), &name);
                 }
-                Ok(ProbeReply::Probed) => return Err(Grant::Probed),
+                Ok(ProbeReply::Probed) => return Err(ProbeDecision::InProgress),
                 Ok(ProbeReply::Refused { opens_in }) => {
-                    return Err(Grant::Refused { until: self.clock.now() + opens_in });
+                    return Err(ProbeDecision::Refused { until: self.clock.now() + opens_in });
                 }
                 Ok(ProbeReply::TakenBack) => error = Some(MessageError::Contradictory.into()),
                 Err(failed) => error = Some(failed),
@@ -88,16 +88,16 @@
             error,
         };
         self.event_log.record(LogPriority::Failure, &event);
-        Err(Grant::Refused { until: self.clock.now() + UNANSWERED_BACKOFF })
+        Err(ProbeDecision::Refused { until: self.clock.now() + UNANSWERED_BACKOFF })
     }
 
     async fn request_probe_at(
         &self,
         address: SocketAddr,
-        content: Content,
+        content: ContentHash,
         lease: Duration,
     ) -> Result<ProbeReply, PeerError> {
-        let ends = self.state.borrow().quarantine.ends_of(content, self.clock.now());
+        let ends = self.state.borrow().quarantine.crashes_of(content, self.clock.now());
         self.exchange(address, &ProbeQuery::Ask { content, lease, ends }).await
     }
 
@@ -126,14 +126,14 @@
                 (content, lease)
             }
             ProbeQuery::GiveBack(content) => {
-                self.state.borrow_mut().quarantine.give_back(content);
+                self.state.borrow_mut().quarantine.release_probe(content);
                 return to_message(store, &ProbeReply::TakenBack);
             }
         };
         let reply = match self.grant_probe(content, lease) {
-            Grant::Given => ProbeReply::Given,
-            Grant::Probed => ProbeReply::Probed,
-            Grant::Refused { until } => {
+            ProbeDecision::Granted => ProbeReply::Given,
+            ProbeDecision::InProgress => ProbeReply::Probed,
+            ProbeDecision::Refused { until } => {
                 ProbeReply::Refused { opens_in: until.saturating_sub(self.clock.now()) }
             }
         };
@@ -143,11 +143,11 @@
     fn accept_grant(
         self: &Rc<Self>,
         job: &Job,
-        grant: Grant,
+        grant: ProbeDecision,
         granted_by: Option<SocketAddr>,
         by: &str,
-    ) -> Result<ProbeLease, Grant> {
-        if grant != Grant::Given {
+    ) -> Result<ProbeLease, ProbeDecision> {
+        if grant != ProbeDecision::Granted {
             return Err(grant);
         }
         self.metrics.count(Counter::Probes);
--- a/crates/direct/src/quarantine/probe_lease.rs
+++ b/crates/direct/src/quarantine/probe_lease.rs
@@ -6,7 +6,7 @@
     rc::Rc,
 };
 
-use pondwalk_decide::direct::Content;
+use pondwalk_decide::direct::ContentHash;
 use tokio::sync::Notify;
 
 use super::probe::ProbeQuery;
@@ -15,7 +15,7 @@
 /// Probes that are to be released to their granters.
 #[derive(Debug, Default)]
 pub struct ReleasedProbes {
-    probes: RefCell<Vec<(Content, Option<SocketAddr>)>>,
+    probes: RefCell<Vec<(ContentHash, Option<SocketAddr>)>>,
     changed: Notify,
 }
 
@@ -25,7 +25,7 @@
 /// probes.
 pub struct ProbeLease {
     core: Rc<Core>,
-    content: Content,
+    content: ContentHash,
     /// Entry that granted the probe; `None` if this one did.
     granted_by: Option<SocketAddr>,
     has_reached: Cell<bool>,
@@ -33,7 +33,7 @@
 
 impl ProbeLease {
     /// A lease granted by the entry at `granted_by`, or by this entry.
-    pub fn new(core: &Rc<Core>, content: Content, granted_by: Option<SocketAddr>) -> Self {
+    pub fn new(core: &Rc<Core>, content: ContentHash, granted_by: Option<SocketAddr>) -> Self {
         ProbeLease { core: Rc::clone(core), content, granted_by, has_reached: Cell::new(false) }
     }
 
@@ -59,7 +59,7 @@
         core.released_probes.changed.notified().await;
         for (content, granted_by) in core.released_probes.probes.take() {
             match granted_by {
-                None => core.state.borrow_mut().quarantine.give_back(content),
+                None => core.state.borrow_mut().quarantine.release_probe(content),
                 // A granter that can't be reached counts the probe as used.
                 Some(address) => {
                     core.send_probe_release(address, ProbeQuery::GiveBack(content)).await
--- a/crates/direct/src/quarantine/stored.rs
+++ b/crates/direct/src/quarantine/stored.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use pondwalk_decide::direct::ServerEnd;
+use pondwalk_decide::direct::ServerCrash;
 use serde::{Deserialize, Serialize};
 
 use super::AgedCrash;
@@ -33,7 +33,7 @@
     }
 
     /// Whether the record contains a crash.
-    pub fn contains(&self, crash: &ServerEnd) -> bool {
+    pub fn contains(&self, crash: &ServerCrash) -> bool {
         self.ends.iter().any(|(stored, _)| stored.id == crash.id)
     }
 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -7,7 +7,9 @@
     HeaderMap, Method, StatusCode,
     header::{self, HeaderName},
 };
-use pondwalk_decide::direct::{Content, Homes, ModelNumber, PromptPart, ServiceModel, SessionKey};
+use pondwalk_decide::direct::{
+    ContentHash, DataCentreRule, PromptPart, RouteModelIndex, ServiceModelIndex, SessionKey,
+};
 use pondwalk_types::{DataCentreId, RegionId};
 use thiserror::Error;
 
@@ -271,17 +273,17 @@
     /// Version of the configuration the request was validated against.
     pub catalog_version: u64,
     /// Content of the request, computed on first use.
-    pub content_cell: OnceCell<Content>,
+    pub content_cell: OnceCell<ContentHash>,
 }
 
 impl Job {
     /// The data centres whose servers may run the request.
-    pub fn allowed_data_centres(&self) -> Homes<'_> {
-        self.allowed_data_centres.as_deref().map_or(Homes::Anywhere, Homes::Only)
+    pub fn allowed_data_centres(&self) -> DataCentreRule<'_> {
+        self.allowed_data_centres.as_deref().map_or(DataCentreRule::Any, DataCentreRule::Only)
     }
 
     /// Content that identifies the request across its caller's retries.
-    pub fn content(&self) -> Content {
+    pub fn content(&self) -> ContentHash {
         *self.content_cell.get_or_init(|| {
             let caller = self.workspace.as_ref().map_or("", |workspace| &workspace.name);
             let (host, target) = (self.route.host.as_str(), self.target.as_str());
@@ -293,7 +295,7 @@
     ///
     /// Routes may list different models of one service, but estimates and reservations belong to
     /// the service. A model that the service doesn't list keeps its position in the route.
-    pub fn service_model(&self, number: ModelNumber) -> ServiceModel {
+    pub fn service_model(&self, number: RouteModelIndex) -> ServiceModelIndex {
         let model = self.route.models.get(usize::from(number));
         let listed = self.service.engine.as_ref().map_or(&[][..], |engine| &engine.models);
         let place = model.and_then(|model| listed.iter().position(|one| one.model == *model));
--- a/crates/direct/src/server_signals.rs
+++ b/crates/direct/src/server_signals.rs
@@ -6,7 +6,7 @@
     HeaderMap, StatusCode,
     header::{HeaderName, RETRY_AFTER},
 };
-use pondwalk_decide::direct::{LimitWord, ServerLimit};
+use pondwalk_decide::direct::{RateLimit, ReportedRateLimit};
 use pondwalk_types::parse_retry_after;
 
 use crate::dialect::Dialect;
@@ -19,7 +19,7 @@
     /// The server requests no traffic for this long.
     pub backoff: Option<Duration>,
     /// What the headers say about the server's rate limit.
-    pub limit: LimitWord,
+    pub limit: ReportedRateLimit,
 }
 
 impl ServerSignals {
@@ -52,12 +52,20 @@
 
 /// The rate limit reported by the headers; `is_authoritative` is whether a missing header lifts the
 /// limit.
-fn reported_limit(dialect: &Dialect, headers: &HeaderMap, is_authoritative: bool) -> LimitWord {
+fn reported_limit(
+    dialect: &Dialect,
+    headers: &HeaderMap,
+    is_authoritative: bool,
+) -> ReportedRateLimit {
     if !headers.contains_key(&dialect.limit) {
-        return if is_authoritative { LimitWord::Unnamed } else { LimitWord::Unsaid };
+        return if is_authoritative {
+            ReportedRateLimit::NoLimit
+        } else {
+            ReportedRateLimit::NotReported
+        };
     }
-    let limit = header_text(headers, &dialect.limit).map(ServerLimit::try_from);
-    limit.and_then(Result::ok).map_or(LimitWord::Unsaid, LimitWord::Named)
+    let limit = header_text(headers, &dialect.limit).map(RateLimit::try_from);
+    limit.and_then(Result::ok).map_or(ReportedRateLimit::NotReported, ReportedRateLimit::Limit)
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -8,8 +8,9 @@
 
 use pondwalk_config::DirectSettings;
 use pondwalk_decide::direct::{
-    Cascade, ColdBound, Engine, Fleet, Freshness, GoodContents, Pacing, Quarantine, RollOut,
-    ServerFacts, Sessions, Sharers, Weighed, WindowBudget, WindowLimits,
+    BoundSharing, Cascade, ColdServerBound, ColdServerPacing, EngineEstimates, Fleet, Freshness,
+    Quarantine, RollOut, ScoringTerms, ServerInfo, Sessions, SuccessfulContents, WindowBudget,
+    WindowLimits,
 };
 use pondwalk_types::{DataCentreId, ServerId};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -58,21 +59,21 @@
     /// Retry budgets, by service.
     pub budgets: HashMap<ServiceId, WindowBudget>,
     /// Engine estimates, by service.
-    pub engines: HashMap<ServiceId, Engine>,
+    pub engines: HashMap<ServiceId, EngineEstimates>,
     /// Model cascades, by service.
     pub cascades: HashMap<ServiceId, Cascade>,
     /// Contents under which servers have crashed.
     pub quarantine: Quarantine,
     /// Contents that have succeeded at this entry.
-    pub good_contents: GoodContents,
+    pub good_contents: SuccessfulContents,
     /// Random number generator.
     pub rng: SmallRng,
     /// Limits of the retry budgets; `extra` is shared by all entries.
     limits: WindowLimits,
     local_data_centre: String,
-    scoring_terms: Weighed,
-    cold_bound: Option<ColdBound>,
-    bound_sharing: Sharers,
+    scoring_terms: ScoringTerms,
+    cold_bound: Option<ColdServerBound>,
+    bound_sharing: BoundSharing,
 }
 
 impl State {
@@ -97,7 +98,7 @@
             engines: HashMap::new(),
             cascades: HashMap::new(),
             quarantine: Quarantine::default(),
-            good_contents: GoodContents::default(),
+            good_contents: SuccessfulContents::default(),
             rng: SmallRng::seed_from_u64(seed),
             limits: WindowLimits {
                 ratio: retries.ratio,
@@ -106,19 +107,19 @@
                 rounding: 0.0,
             },
             local_data_centre: settings.data_centre.clone(),
-            scoring_terms: Weighed {
+            scoring_terms: ScoringTerms {
                 named_servers: settings.policy.named_servers,
                 delays: settings.policy.delays,
                 told_loads: settings.policy.told_loads,
             },
-            cold_bound: settings.warm_up.map(|warm_up| ColdBound {
+            cold_bound: settings.warm_up.map(|warm_up| ColdServerBound {
                 overshoot: warm_up.overshoot,
                 tolerance: warm_up.tolerance,
-                told_after: warm_up.heartbeat * HEARTBEATS_TO_REPORT,
+                report_delay: warm_up.heartbeat * HEARTBEATS_TO_REPORT,
             }),
             bound_sharing: match settings.peers {
-                Some(_) => Sharers::new(&settings.name),
-                None => Sharers::alone(&settings.name),
+                Some(_) => BoundSharing::new(&settings.name),
+                None => BoundSharing::sole(&settings.name),
             },
         }
     }
@@ -128,24 +129,24 @@
         let pacing = self.pacing(service);
         let State { fleets, local_data_centre, scoring_terms, bound_sharing, evacuated, .. } = self;
         fleets.entry(service.clone()).or_insert_with(|| {
-            let mut fleet = Fleet::weighing(local_data_centre, *scoring_terms);
+            let mut fleet = Fleet::with_scoring(local_data_centre, *scoring_terms);
             fleet.set_pacing(pacing);
-            fleet.set_sharers(bound_sharing);
+            fleet.set_bound_sharing(bound_sharing);
             evacuated.iter().for_each(|data_centre| fleet.evacuate(data_centre));
             fleet
         })
     }
 
     /// Limits on requests to cold servers of a service.
-    fn pacing(&self, service: &ServiceId) -> Option<Pacing> {
+    fn pacing(&self, service: &ServiceId) -> Option<ColdServerPacing> {
         let service = self.catalog.as_ref()?.service(service)?;
-        Pacing::of(service.warm_up, self.cold_bound)
+        ColdServerPacing::of(service.warm_up, self.cold_bound)
     }
 
     /// Puts a configuration in force.
     pub fn install(&mut self, catalog: Catalog) {
         self.catalog = Some(Rc::new(catalog));
-        let pacings: Vec<(ServiceId, Option<Pacing>)> =
+        let pacings: Vec<(ServiceId, Option<ColdServerPacing>)> =
             self.fleets.keys().map(|service| (service.clone(), self.pacing(service))).collect();
         for (service, pacing) in pacings {
             self.fleet(&service).set_pacing(pacing);
@@ -154,11 +155,11 @@
 
     /// Sets the names of the entries that share the global bounds.
     pub fn set_bound_sharing<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
-        self.bound_sharing.are(names);
+        self.bound_sharing.set_entries(names);
         let limits = self.own_limits();
         self.budgets.values_mut().for_each(|budget| budget.set_limits(limits));
         for fleet in self.fleets.values_mut() {
-            fleet.set_sharers(&self.bound_sharing);
+            fleet.set_bound_sharing(&self.bound_sharing);
         }
     }
 
@@ -173,7 +174,7 @@
     pub fn reinstate(&mut self, data_centre: &str, now: Duration) -> bool {
         let was_evacuated = self.evacuated.remove(data_centre);
         if was_evacuated {
-            self.fleets.values_mut().for_each(|fleet| fleet.take_back(data_centre, now));
+            self.fleets.values_mut().for_each(|fleet| fleet.reinstate(data_centre, now));
         }
         was_evacuated
     }
@@ -181,7 +182,7 @@
     /// This entry's share of the retry limits.
     fn own_limits(&self) -> WindowLimits {
         WindowLimits {
-            extra: self.limits.extra * self.bound_sharing.part(),
+            extra: self.limits.extra * self.bound_sharing.fraction(),
             rounding: self.bound_sharing.rounding(),
             ..self.limits
         }
@@ -203,7 +204,7 @@
         {
             self.fleet(&previous_service).remove(&server.id);
         }
-        let info = ServerFacts {
+        let info = ServerInfo {
             id: server.id.clone(),
             born_ms: server.born_ms,
             address: server.address,
@@ -217,8 +218,8 @@
             },
         };
         let fleet = self.fleet(&server.service);
-        let is_restarted = fleet.is_born_anew(&info);
-        fleet.put(info);
+        let is_restarted = fleet.is_restarted(&info);
+        fleet.apply_server(info);
         if is_restarted && let Some(roll_out) = self.roll_outs.get_mut(&server.service) {
             roll_out.forget_server(&server.id);
         }
@@ -227,7 +228,8 @@
 
     /// Whether a backend server's record is already known.
     pub fn is_server_known(&self, server: &BackendServer) -> bool {
-        let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
+        let known =
+            self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
         known.is_some_and(|info| {
             info.born_ms == server.born_ms
                 && info.address == server.address
@@ -239,7 +241,8 @@
 
     /// Whether a backend server is known to be draining in the same incarnation.
     pub fn is_draining(&self, server: &BackendServer) -> bool {
-        let known = self.fleets.get(&server.service).and_then(|fleet| fleet.facts(&server.id));
+        let known =
+            self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
         known.is_some_and(|info| !info.ready && info.born_ms == server.born_ms)
     }
 
@@ -252,7 +255,7 @@
 
     /// Removes the backend servers that lapsed and didn't return in time; returns their ids.
     pub fn remove_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
-        let lapsed = self.fleets.values_mut().flat_map(|fleet| fleet.take_lapsed(now));
+        let lapsed = self.fleets.values_mut().flat_map(|fleet| fleet.remove_lapsed(now));
         let lapsed: Vec<ServerId> = lapsed.collect();
         for id in &lapsed {
             self.service_of.remove(id);
--- a/crates/direct/src/upstream.rs
+++ b/crates/direct/src/upstream.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use pondwalk_decide::direct::Unreached;
+use pondwalk_decide::direct::UnreachableReason;
 use socket2::{SockRef, TcpKeepalive};
 use thiserror::Error;
 use tokio::{
@@ -62,7 +62,7 @@
     #[error("cannot reach the backend server: {detail}")]
     NotSent {
         /// How the connection attempt failed.
-        why: Unreached,
+        why: UnreachableReason,
         /// Underlying error.
         detail: String,
     },
@@ -140,12 +140,12 @@
 fn connect_error(error: io::Error) -> SendError {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => {
-            SendError::NotSent { why: Unreached::Refused, detail: error.to_string() }
+            SendError::NotSent { why: UnreachableReason::Refused, detail: error.to_string() }
         }
         _ => not_reached(error),
     }
 }
 
 fn not_reached(error: impl ToString) -> SendError {
-    SendError::NotSent { why: Unreached::Silent, detail: error.to_string() }
+    SendError::NotSent { why: UnreachableReason::TimedOut, detail: error.to_string() }
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -14,8 +14,8 @@
 
 use pondwalk_config::UsageSettings;
 use pondwalk_decide::direct::{
-    CallEnd, DueWindows, Reporter, ReporterOrder, ReporterRecord, ReporterStep, TrueTime,
-    UsageCounts, UsageMeter, UsageTotals, WindowId, WriteEnd,
+    CallOutcome, ClockEstimate, DueWindows, Reporter, ReporterDelays, ReporterRecord, ReporterStep,
+    UsageCounts, UsageMeter, UsageTotals, WindowId, WriteOutcome,
 };
 use pondwalk_store::{Change, Era, Expect, StoreEntry, StoreError};
 use serde::Serialize;
@@ -86,7 +86,7 @@
     settings: UsageSettings,
     meter: RefCell<UsageMeter>,
     totals: RefCell<UsageTotals>,
-    time: RefCell<TrueTime>,
+    time: RefCell<ClockEstimate>,
     reporter: RefCell<Reporter>,
     /// Since when all counts have reached this entry.
     complete_since: Cell<Option<Duration>>,
@@ -127,7 +127,7 @@
         let waited_for = unix_ms.saturating_sub(whole_ms(gathering));
         let latest = self.window_of(unix_ms).saturating_sub(1);
         let (from_ms, to_ms) = (latest * self.interval_ms(), (latest + 1) * self.interval_ms());
-        let is_whole = self.totals.borrow().have_all_told(from_ms, to_ms)
+        let is_whole = self.totals.borrow().have_all_published(from_ms, to_ms)
             && self.has_complete_counts(latest, now, unix_ms);
         let newest_complete =
             if is_whole { latest } else { self.window_of(waited_for).saturating_sub(1) };
@@ -180,8 +180,8 @@
     pub fn count_usage(&self, workspace: &str) {
         let Some(usage) = &self.usage else { return };
         // Uses the clock that also dates the published counts.
-        if let Some(unix_ms) = usage.time.borrow().own_unix_ms(self.clock.now()) {
-            usage.meter.borrow_mut().note(usage.window_of(unix_ms), workspace);
+        if let Some(unix_ms) = usage.time.borrow().local_unix_ms(self.clock.now()) {
+            usage.meter.borrow_mut().record_request(usage.window_of(unix_ms), workspace);
         }
     }
 
@@ -196,7 +196,7 @@
         let Some(usage) = &self.usage else { return };
         let now = self.clock.now();
         let mut time = usage.time.borrow_mut();
-        time.hear(&item.origin, published_ms, now.saturating_sub(item.age));
+        time.apply_peer(&item.origin, published_ms, now.saturating_sub(item.age));
         let Some(unix_ms) = time.unix_ms(now) else { return };
         drop(time);
         if !usage.is_open(window, unix_ms) {
@@ -206,8 +206,8 @@
         }
         let publisher = (item.origin.clone(), item.incarnation);
         let mut totals = usage.totals.borrow_mut();
-        totals.hear_until(&item.origin, published_ms);
-        totals.hear(publisher, item.number, window, counts.clone());
+        totals.record_published_until(&item.origin, published_ms);
+        totals.apply_counts(publisher, item.number, window, counts.clone());
     }
 
     /// Applies the era of the store, before its content.
@@ -222,9 +222,9 @@
         let now = self.clock.now();
         let mut reporter = usage.reporter.borrow_mut();
         usage.is_unreadable.set(false);
-        let Some(entry) = entry else { return reporter.learn(None, now) };
+        let Some(entry) = entry else { return reporter.apply_record(None, now) };
         match serde_json::from_slice::<ReporterRecord>(&entry.value) {
-            Ok(record) => reporter.learn(Some((record, entry.revision)), now),
+            Ok(record) => reporter.apply_record(Some((record, entry.revision)), now),
             Err(error) => {
                 usage.is_unreadable.set(true);
                 let error = error.to_string();
@@ -240,11 +240,11 @@
 
     /// Publishes the counts that have changed.
     fn publish_counts(&self, usage: &Usage) {
-        let Some(unix_ms) = usage.time.borrow().own_unix_ms(self.clock.now()) else { return };
+        let Some(unix_ms) = usage.time.borrow().local_unix_ms(self.clock.now()) else { return };
         let mut meter = usage.meter.borrow_mut();
-        meter.forget_before(usage.first_open_window(unix_ms));
-        meter.open(usage.window_of(unix_ms));
-        let unpublished = meter.take_untold();
+        meter.remove_before(usage.first_open_window(unix_ms));
+        meter.open_window(usage.window_of(unix_ms));
+        let unpublished = meter.drain_unpublished();
         drop(meter);
         for (window, counts) in unpublished {
             self.publish_gossip(Gossip::Used { window, counts, unix_ms });
@@ -262,13 +262,13 @@
         let now = core.clock.now();
         if now >= read_at {
             read_at = now + CLOCK_READ_INTERVAL;
-            usage.time.borrow_mut().note_reading(core.clock.unix_ms(), now);
+            usage.time.borrow_mut().record_reading(core.clock.unix_ms(), now);
         }
         // The previous parents may have failed with counts that they had not forwarded.
         let parents = core.parents();
         if source.as_ref() != Some(&parents) {
             source = Some(parents);
-            usage.meter.borrow_mut().tell_again();
+            usage.meter.borrow_mut().mark_all_unpublished();
         }
         if now >= publish_at {
             publish_at = now + core.usage_publish_interval();
@@ -319,17 +319,17 @@
     let unix_ms = usage.time.borrow().unix_ms(now)?;
     let gathering = usage.fraction_of_delay(GATHER_FRACTION) + core.usage_publish_interval();
     let windows = usage.due_windows(unix_ms, gathering, now);
-    let mut order = ReporterOrder {
-        by_place: coordinator.rotation_delay(),
-        to_holder: usage.fraction_of_delay(HOLDER_FIRST_FRACTION),
+    let mut order = ReporterDelays {
+        by_order: coordinator.rotation_delay(),
+        holder_grace: usage.fraction_of_delay(HOLDER_FIRST_FRACTION),
     };
     let next = usage.first_open_window(unix_ms);
-    usage.totals.borrow_mut().forget_before(next);
+    usage.totals.borrow_mut().remove_before(next);
     if !usage.has_complete_counts(next, now, unix_ms) {
-        order.by_place += usage.fraction_of_delay(PARTIAL_COUNTS_FRACTION);
+        order.by_order += usage.fraction_of_delay(PARTIAL_COUNTS_FRACTION);
     }
     let mut reporter = usage.reporter.borrow_mut();
-    reporter.next(windows, order, now, |window| usage.totals.borrow().total(window))
+    reporter.next_step(windows, order, now, |window| usage.totals.borrow().total(window))
 }
 
 /// Writes a record; returns whether this made progress.
@@ -354,19 +354,19 @@
     let is_done = written.is_ok();
     let end = match written {
         // Nothing reads the record of a previous era.
-        Ok(position) if position.era != era => WriteEnd::Unknown,
-        Ok(position) => WriteEnd::Done(position.revision),
+        Ok(position) if position.era != era => WriteOutcome::Unknown,
+        Ok(position) => WriteOutcome::Written(position.revision),
         Err(StoreError::ResponseLost | StoreError::ResponseStalled(_) | StoreError::Malformed) => {
-            WriteEnd::Unknown
+            WriteOutcome::Unknown
         }
         Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseLapsed) => {
-            WriteEnd::NotDone
+            WriteOutcome::NotWritten
         }
     };
     let fencing_token = record.fencing_token;
     let mut reporter = usage.reporter.borrow_mut();
     let before = reporter.record().map(|record| record.fencing_token);
-    reporter.written(record, sent, end, core.clock.now());
+    reporter.on_write_outcome(record, sent, end, core.clock.now());
     if is_done && before != Some(fencing_token) {
         core.event_log.record(LogPriority::State, &UsageEvent::Taken { fencing_token });
     }
@@ -391,11 +391,11 @@
 ) -> bool {
     let (window, fencing_token) = (record.window, record.fencing_token);
     let end = match &called {
-        Ok(()) => CallEnd::Taken,
-        Err(ReportError::StaleFencingToken) => CallEnd::Refused,
-        Err(_) => CallEnd::Failed,
+        Ok(()) => CallOutcome::Accepted,
+        Err(ReportError::StaleFencingToken) => CallOutcome::Fenced,
+        Err(_) => CallOutcome::Failed,
     };
-    usage.reporter.borrow_mut().called(record, end, core.clock.now());
+    usage.reporter.borrow_mut().on_call_outcome(record, end, core.clock.now());
     match called {
         Ok(()) => {
             core.metrics.count(Counter::UsageReports);
@@ -411,7 +411,7 @@
             core.event_log.record(LogPriority::State, &event);
         }
     }
-    end == CallEnd::Taken
+    end == CallOutcome::Accepted
 }
 
 fn whole_ms(time: Duration) -> u64 {
