--- a/crates/direct/src/membership.rs
+++ b/crates/direct/src/membership.rs
@@ -1,14 +1,14 @@
-//! What entries tell one another, so that few of them need the store.
+//! Exchange of state between entries, so that few of them call the store.
 //!
-//! Each entry is listed in the store. In an order that all work out alike, the first few ask the
-//! store for changes; the next ones ask one of those, and all others ask one of the next ones. An
-//! answer tells when the store last confirmed what it rests on, so that however late it is read,
-//! it never makes the asker's state look fresher than it is. Whoever gets no answer, or an old
-//! one, goes on to the next entry in order, and at last to the store itself.
+//! Every entry is listed in the store. All entries derive the same order from that list: the first
+//! few are roots and watch the store, the next ones poll a root, and all others poll one of those.
+//! Each response carries the time at which the store last confirmed the state, so a response that
+//! is read late never makes the requester's state look fresher than it is. A requester that gets no
+//! response, or a stale one, turns to the next entry in order and finally to the store itself.
 //!
-//! An entry that starts hears the whole state in the same way, and reads the store only if nobody
-//! can tell it. What an entry finds and all must weigh goes up and down the same tree, without the
-//! store.
+//! An entry that starts fetches the full state in the same way, and reads the store only if no peer
+//! can send it. Observations that all entries need (gossip) travel along the same tree in both
+//! directions, without the store.
 
 mod client;
 mod clock_offset;
@@ -34,18 +34,18 @@
 pub use server::serve;
 pub use tree::{FAN_OUT, TreeRole, root_count, tree_role};
 
-/// Where entries are listed, by name.
+/// Prefix of the store keys under which entries are listed, by name.
 pub const ENTRY_PREFIX: &str = "pondwalk/entries/";
 
-/// Entries that hear all news that goes up, at least. One in eight times all of them are gone with half of the
-/// entries.
+/// Minimum number of entries that receive gossip sent towards the roots. If half of all entries
+/// fail at once, the chance that all three are among them is one in eight.
 pub const MIN_GOSSIP_TARGETS: usize = 3;
 
-/// Where an entry is asked for its state.
+/// Path of the request for an entry's state.
 const STATE_PATH: &str = "/state";
-/// Where an entry is asked for leave to run a request under which servers have ended.
+/// Path of the request for a probe: permission to send a request whose content has crashed servers.
 pub const PROBE_PATH: &str = "/probe";
-/// Where an entry is asked for a permit to send to a backend server that names a rate limit.
+/// Path of the request for a permit to send to a rate-limited backend server.
 pub const PERMIT_PATH: &str = "/permit";
-/// Where an entry is told news.
+/// Path on which an entry accepts gossip.
 const NEWS_PATH: &str = "/news";
--- a/crates/direct/src/membership/client.rs
+++ b/crates/direct/src/membership/client.rs
@@ -1,4 +1,4 @@
-//! Asks another entry for its state.
+//! Client for requests to other entries.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,104 +31,107 @@
 };
 use crate::{clock::Clock, core::Core, metrics::Counter, upstream::Connect};
 
-/// Longest time for a connection to open. One opens in a millisecond; a machine without power says
-/// nothing, and one that is just coming up would be found a second later.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
-/// Longest pause in an answer that is being read. A lost packet is sent again after some 0.2 s.
-const BODY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest time for another entry to take news. One takes a few milliseconds; an
-/// entry that is busy or paused for longer than this is of no use.
-const TELL_LIMIT: Duration = Duration::from_millis(250);
-/// Time for each byte of news beside it: a link of 10 Mbit/s that does little else carries five times as
-/// much.
-const TELL_LIMIT_OF_BYTE: Duration = Duration::from_micros(4);
+/// Timeout for opening a connection, which normally takes a millisecond. A machine without power
+/// sends no reply, and a peer that is just starting is retried a second later.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum pause between two frames of a response body. A lost packet is retransmitted after some
+/// 0.2 s.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Base timeout for posting a message to a peer, which normally takes a few milliseconds. A peer
+/// that is busy or paused for longer cannot help in time.
+const POST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time added to [`POST_TIMEOUT`] for each byte of the message. A mostly idle link of 10 Mbit/s
+/// carries five times as much.
+const POST_TIMEOUT_PER_BYTE: Duration = Duration::from_micros(4);
 
-/// Why another entry told nothing of use.
+/// Why a request to another entry failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PeerError {
-    /// It did not answer in time.
-    #[error("no answer in time")]
+    /// No response within the timeout.
+    #[error("no response in time")]
     Timeout,
-    /// The connection failed.
-    #[error("the connection failed: {0}")]
+    /// The connection failed, or the peer returned an unexpected status.
+    #[error("connection failed: {0}")]
     Failed(String),
-    /// It has lost the store itself, or was last confirmed too long ago.
-    #[error("its confirmation is old")]
+    /// The peer has lost the store itself, or its state was last confirmed too long ago.
+    #[error("state of the peer is stale")]
     Stale,
-    /// Its answer is refused.
-    #[error("its answer is refused: {0}")]
+    /// The response was rejected.
+    #[error("response refused: {0}")]
     Refused(#[from] MessageError),
 }
 
-/// What an asker needs.
+/// Which state is requested, and whether the peer may delay its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateRequestKind {
-    /// What has changed, once the state is confirmed anew or there is news.
+    /// Changes, as soon as the state is confirmed again or there is new gossip.
     Changes,
-    /// What has changed, if the state is young enough to be of use.
+    /// Changes, without waiting; an error if the peer's state is stale.
     ChangesNow,
-    /// A state of any age, as soon as there is one.
+    /// The full state of any age, waiting until the peer has one.
     FirstState,
-    /// A state of any age, if there is one.
+    /// The full state of any age, without waiting.
     FirstStateNow,
 }
 
-/// What is asked.
+/// A request for another entry's state.
 #[derive(Debug, Clone, Copy)]
 pub struct StateRequest {
-    /// Store that both are to speak of.
+    /// Address of the store that both entries must use.
     pub store: SocketAddr,
-    /// Place in the store's history up to which the asker knows all.
+    /// Position in the store's history up to which the requester has all changes.
     pub after: Position,
-    /// What the asker needs.
+    /// Which state is requested.
     pub kind: StateRequestKind,
-    /// When the answer is given up.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
-/// What another entry told.
+/// A state received from another entry, with times converted to the local clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateUpdate {
-    /// Own time at which its state was confirmed, or before; `None` if before the start of the own
-    /// clock.
+    /// Lower bound, on the local clock, of the time at which the state was confirmed; `None` if it
+    /// lies before the start of that clock.
     pub confirmed: Option<Duration>,
-    /// Own time at which the store came back, or before, if it has been lost.
+    /// Lower bound, on the local clock, of the time at which the store became reachable again after
+    /// an outage.
     pub store_returned: Option<Duration>,
-    /// How long the store's last answer took where the state comes from.
+    /// Latency of the last call to the store, measured by the root from which the state comes.
     pub store_takes: Duration,
-    /// Place in the store's history that the state leads to.
+    /// Position in the store's history that the state leads to.
     pub position: Position,
-    /// Whether it is the whole state, and not only what changed.
+    /// Whether `changes` is the full state rather than a difference.
     pub whole: bool,
-    /// Bytes of the answer.
+    /// Size of the response, in bytes.
     pub bytes: usize,
-    /// Keys as they were last changed, in order.
+    /// The last change of each key, ordered by revision.
     pub changes: Vec<KeyChange>,
-    /// News not heard from it before.
+    /// Gossip not received from this peer before.
     pub gossip: Vec<GossipItem>,
 }
 
 impl StateUpdate {
-    /// The changes as the store would have told them.
+    /// Converts the changes to the events that the store would have sent.
     pub fn into_events(self) -> Vec<StoreEvent> {
         self.changes.into_iter().map(KeyChange::into_event).collect()
     }
 }
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
-/// A kept connection to the entry asked last, with what is known of that process.
+/// Client that keeps one idle connection, to the peer it last used, and the metadata of that peer's
+/// last response.
 #[derive(Debug, Default)]
 pub struct PeerClient {
-    kept: RefCell<Option<(SocketAddr, Sender)>>,
-    heard: RefCell<Heard>,
-    /// Answers that are being read, by all clients that share it.
-    hearing: Rc<Cell<usize>>,
+    idle: RefCell<Option<(SocketAddr, RequestSender)>>,
+    last: RefCell<ResponseMark>,
+    /// Number of responses being read by all clients that share this counter.
+    receiving: Rc<Cell<usize>>,
 }
 
-/// What the last answer of the entry asked last told.
+/// Metadata of the last response.
 #[derive(Debug, Clone, Copy, Default)]
-struct Heard {
+struct ResponseMark {
     from: Option<SocketAddr>,
     incarnation: u64,
     turn: u64,
@@ -137,76 +140,77 @@
 }
 
 impl PeerClient {
-    /// A client beside others, which sees by `hearing` whether one of them is being told something.
-    pub fn with_receiving(hearing: &Rc<Cell<usize>>) -> Self {
-        PeerClient { hearing: Rc::clone(hearing), ..PeerClient::default() }
+    /// Creates a client that shares `receiving`, the number of responses being read, with other
+    /// clients.
+    pub fn with_receiving(receiving: &Rc<Cell<usize>>) -> Self {
+        PeerClient { receiving: Rc::clone(receiving), ..PeerClient::default() }
     }
 
-    /// Asks the entry at `address`.
+    /// Requests the state of the entry at `address`.
     ///
-    /// A kept connection may have gone silent without a word while new ones work, so silence on one
-    /// is followed by a second question on a new one.
+    /// An idle connection may have died unnoticed while new ones work, so a timeout on a reused
+    /// connection is followed by one retry on a new one.
     pub async fn request_state(
         &self,
         connect: &Connect,
         clock: &Clock,
         address: SocketAddr,
-        question: StateRequest,
+        query: StateRequest,
     ) -> Result<StateUpdate, PeerError> {
-        let was_kept = self.take_kept(address).map(|sender| (address, sender));
-        let is_kept = was_kept.is_some();
-        *self.kept.borrow_mut() = was_kept;
-        let told = self.ask_once(connect, clock, address, question).await;
-        if !is_kept || !matches!(told, Err(PeerError::Timeout | PeerError::Failed(_))) {
-            return told;
+        let reused = self.take_idle(address).map(|sender| (address, sender));
+        let is_reused = reused.is_some();
+        *self.idle.borrow_mut() = reused;
+        let update = self.request_once(connect, clock, address, query).await;
+        if !is_reused || !matches!(update, Err(PeerError::Timeout | PeerError::Failed(_))) {
+            return update;
         }
-        let deadline = question.deadline.max(Instant::now() + TELL_LIMIT);
-        self.ask_once(connect, clock, address, StateRequest { deadline, ..question }).await
+        let deadline = query.deadline.max(Instant::now() + POST_TIMEOUT);
+        self.request_once(connect, clock, address, StateRequest { deadline, ..query }).await
     }
 
-    async fn ask_once(
+    async fn request_once(
         &self,
         connect: &Connect,
         clock: &Clock,
         address: SocketAddr,
-        question: StateRequest,
+        query: StateRequest,
     ) -> Result<StateUpdate, PeerError> {
-        let sent = clock.now();
-        let bytes = self.exchange(connect, address, question).await?;
-        let state = StateMessage::from_bytes(&bytes, question.store)?;
-        // NB: what changed after an earlier revision does no harm; a whole state would take the place
-        // of a newer one.
-        if state.head.whole && state.head.position < question.after {
+        let sent_at = clock.now();
+        let bytes = self.fetch_state(connect, address, query).await?;
+        let state = StateMessage::from_bytes(&bytes, query.store)?;
+        // A difference from an earlier revision is harmless, but a full state would replace a newer
+        // one.
+        if state.head.whole && state.head.position < query.after {
             return Err(MessageError::Older(state.head.position).into());
         }
-        // NB: changes within a later era lead there from its own beginning only.
-        if !state.head.whole && state.head.position.era > question.after.era {
+        // A difference within a later era applies only to the beginning of that era.
+        if !state.head.whole && state.head.position.era > query.after.era {
             return Err(MessageError::Contradictory.into());
         }
-        self.hear(address, sent, state, bytes.len())
+        self.convert_state(address, sent_at, state, bytes.len())
     }
 
-    /// Dates a state by the own clock.
-    fn hear(
+    /// Converts the times of a state to the local clock.
+    fn convert_state(
         &self,
         address: SocketAddr,
-        sent: Duration,
+        sent_at: Duration,
         state: StateMessage,
         bytes: usize,
     ) -> Result<StateUpdate, PeerError> {
         let head = state.head;
         let changes = state.changes()?;
-        let mut heard = self.heard.borrow_mut();
-        if heard.from != Some(address) {
-            *heard = Heard { from: Some(address), ..Heard::default() };
+        let mut last = self.last.borrow_mut();
+        if last.from != Some(address) {
+            *last = ResponseMark { from: Some(address), ..ResponseMark::default() };
         }
-        heard.clock.record(head.incarnation, sent, head.now);
-        heard.incarnation = head.incarnation;
-        heard.turn = head.turn;
-        heard.news_end = head.news_end;
+        last.clock.record(head.incarnation, sent_at, head.now);
+        last.incarnation = head.incarnation;
+        last.turn = head.turn;
+        last.news_end = head.news_end;
         Ok(StateUpdate {
-            confirmed: heard.clock.local_time(head.confirmed),
-            store_returned: head.store_returned.and_then(|at| heard.clock.local_time(at)),
+            confirmed: last.clock.local_time(head.confirmed),
+            store_returned: head.store_returned.and_then(|at| last.clock.local_time(at)),
             store_takes: head.store_takes,
             position: head.position,
             whole: head.whole,
@@ -216,94 +220,96 @@
         })
     }
 
-    /// Tells the entry at `address` news, as packed for the way.
+    /// Sends an encoded gossip message to the entry at `address`.
     pub async fn send_gossip(
         connect: &Connect,
         address: SocketAddr,
         body: Bytes,
     ) -> Result<(), PeerError> {
-        Self::exchange_once(connect, address, NEWS_PATH, body).await.map(|_| ())
+        Self::post(connect, address, NEWS_PATH, body).await.map(|_| ())
     }
 
-    /// Sends a message to the entry at `address`, on a connection of its own, and reads its answer.
-    pub async fn exchange_once(
+    /// Posts a message to the entry at `address` on a new connection, and returns the response
+    /// body.
+    pub async fn post(
         connect: &Connect,
         address: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Result<Bytes, PeerError> {
-        let limit = TELL_LIMIT + TELL_LIMIT_OF_BYTE * u32::try_from(body.len()).unwrap_or(u32::MAX);
+        let time_limit =
+            POST_TIMEOUT + POST_TIMEOUT_PER_BYTE * u32::try_from(body.len()).unwrap_or(u32::MAX);
         let request = Request::post(path).header(HOST, address.to_string());
         let request = request.body(Full::from(body)).map_err(failed)?;
-        let telling = async {
-            let answer = open(connect, address).await?.send_request(request).await;
-            let answer = answer.map_err(failed)?;
-            match answer.status() {
-                StatusCode::OK => read_while_moving(answer.into_body()).await,
+        let sending = async {
+            let response = open(connect, address).await?.send_request(request).await;
+            let response = response.map_err(failed)?;
+            match response.status() {
+                StatusCode::OK => read_body(response.into_body()).await,
                 status => Err(PeerError::Failed(status.to_string())),
             }
         };
-        let until = Instant::now() + limit;
-        timeout_at(until, telling).await.map_err(|_| PeerError::Timeout)?
+        let deadline = Instant::now() + time_limit;
+        timeout_at(deadline, sending).await.map_err(|_| PeerError::Timeout)?
     }
 
-    /// The kept connection, if it leads to `address` and is still open.
-    fn take_kept(&self, address: SocketAddr) -> Option<Sender> {
-        let kept = self.kept.borrow_mut().take();
-        let kept = kept.filter(|(to, sender)| *to == address && sender.is_ready());
-        kept.map(|(_, sender)| sender)
+    /// Takes the idle connection if it leads to `address` and is still open.
+    fn take_idle(&self, address: SocketAddr) -> Option<RequestSender> {
+        let idle = self.idle.borrow_mut().take();
+        let idle = idle.filter(|(to, sender)| *to == address && sender.is_ready());
+        idle.map(|(_, sender)| sender)
     }
 
-    fn path(&self, address: SocketAddr, question: StateRequest) -> String {
-        let Position { era, revision } = question.after;
-        match question.kind {
+    fn path(&self, address: SocketAddr, query: StateRequest) -> String {
+        let Position { era, revision } = query.after;
+        match query.kind {
             StateRequestKind::Changes | StateRequestKind::ChangesNow => {}
             StateRequestKind::FirstState => return format!("{STATE_PATH}?first=wait"),
             StateRequestKind::FirstStateNow => return format!("{STATE_PATH}?first=now"),
         }
-        let heard = self.heard.borrow();
-        let now = if question.kind == StateRequestKind::ChangesNow { "&now=1" } else { "" };
-        match heard.from == Some(address) {
+        let last = self.last.borrow();
+        let now = if query.kind == StateRequestKind::ChangesNow { "&now=1" } else { "" };
+        match last.from == Some(address) {
             true => format!(
                 "{STATE_PATH}?after={era}.{revision}&heard={:x}.{}.{}{now}",
-                heard.incarnation, heard.turn, heard.news_end
+                last.incarnation, last.turn, last.news_end
             ),
             false => format!("{STATE_PATH}?after={era}.{revision}{now}"),
         }
     }
 
-    async fn ask_for_head(
+    async fn send_state_request(
         &self,
         connect: &Connect,
         address: SocketAddr,
-        question: StateRequest,
-    ) -> Result<(Sender, Response<Incoming>), PeerError> {
-        let mut sender = match self.take_kept(address) {
+        query: StateRequest,
+    ) -> Result<(RequestSender, Response<Incoming>), PeerError> {
+        let mut sender = match self.take_idle(address) {
             Some(sender) => sender,
             None => open(connect, address).await?,
         };
-        let request = Request::get(self.path(address, question)).header(HOST, address.to_string());
+        let request = Request::get(self.path(address, query)).header(HOST, address.to_string());
         let request = request.body(Full::default()).map_err(failed)?;
-        let answer = sender.send_request(request).await.map_err(failed)?;
-        Ok((sender, answer))
+        let response = sender.send_request(request).await.map_err(failed)?;
+        Ok((sender, response))
     }
 
-    async fn exchange(
+    async fn fetch_state(
         &self,
         connect: &Connect,
         address: SocketAddr,
-        question: StateRequest,
+        query: StateRequest,
     ) -> Result<Bytes, PeerError> {
-        let asking = self.ask_for_head(connect, address, question);
-        let answering = timeout_at(question.deadline, asking).await;
-        let (sender, answer) = answering.map_err(|_| PeerError::Timeout)??;
-        let status = answer.status();
-        let is_told = usize::from(status == StatusCode::OK);
-        self.hearing.set(self.hearing.get() + is_told);
-        let body = read_while_moving(answer.into_body()).await;
-        self.hearing.set(self.hearing.get() - is_told);
+        let pending = self.send_state_request(connect, address, query);
+        let response = timeout_at(query.deadline, pending).await;
+        let (sender, response) = response.map_err(|_| PeerError::Timeout)??;
+        let status = response.status();
+        let is_success = usize::from(status == StatusCode::OK);
+        self.receiving.set(self.receiving.get() + is_success);
+        let body = read_body(response.into_body()).await;
+        self.receiving.set(self.receiving.get() - is_success);
         let body = body?;
-        *self.kept.borrow_mut() = Some((address, sender));
+        *self.idle.borrow_mut() = Some((address, sender));
         match status {
             StatusCode::OK => Ok(body),
             StatusCode::SERVICE_UNAVAILABLE => Err(PeerError::Stale),
@@ -312,27 +318,28 @@
     }
 }
 
-/// Sends another entry a question, on a connection of its own, and reads its answer.
+/// Posts a query to another entry on a new connection, and decodes the response.
 pub async fn query_peer<Q: Serialize, A: DeserializeOwned>(
     core: &Core,
     address: SocketAddr,
     path: &str,
-    question: &Q,
+    query: &Q,
 ) -> Result<A, PeerError> {
     let store = core.settings.store.address;
-    let question = to_message(store, question)?;
-    core.metrics.count_many(Counter::PeerBytesTold, question.len());
-    let answer = PeerClient::exchange_once(&core.connect, address, path, question).await?;
-    Ok(from_message(&answer, store)?)
+    let query = to_message(store, query)?;
+    core.metrics.count_many(Counter::PeerBytesTold, query.len());
+    let response = PeerClient::post(&core.connect, address, path, query).await?;
+    Ok(from_message(&response, store)?)
 }
 
-/// Reads an answer for as long as it comes. A large state over a narrow link takes longer than any
-/// time in which another entry should begin to answer.
-async fn read_while_moving(body: Incoming) -> Result<Bytes, PeerError> {
+/// Reads a body for as long as frames arrive. A large state on a narrow link takes longer than any
+/// sensible timeout for the start of a response.
+async fn read_body(body: Incoming) -> Result<Bytes, PeerError> {
     let mut body = pin!(Limited::new(body, MAX_MESSAGE_BYTES));
     let mut read = BytesMut::new();
     loop {
-        let frame = timeout(BODY_PAUSE, body.frame()).await.map_err(|_| PeerError::Timeout)?;
+        let frame =
+            timeout(BODY_IDLE_TIMEOUT, body.frame()).await.map_err(|_| PeerError::Timeout)?;
         let Some(frame) = frame else { return Ok(read.freeze()) };
         let frame = frame.map_err(|_| MessageError::Unreadable)?;
         if let Ok(data) = frame.into_data() {
@@ -341,11 +348,11 @@
     }
 }
 
-async fn open(connect: &Connect, address: SocketAddr) -> Result<Sender, PeerError> {
-    let opening = timeout(CONNECT_LIMIT, connect(address)).await;
-    let stream = opening.map_err(|_| PeerError::Timeout)?.map_err(failed)?;
+async fn open(connect: &Connect, address: SocketAddr) -> Result<RequestSender, PeerError> {
+    let connecting = timeout(CONNECT_TIMEOUT, connect(address)).await;
+    let stream = connecting.map_err(|_| PeerError::Timeout)?.map_err(failed)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(failed)?;
-    // NB: a failure of the connection reaches the exchange that waits on it.
+    // A failure of the connection also fails the request that is pending on it.
     spawn_local(async move { connection.await.unwrap_or_default() });
     Ok(sender)
 }
--- a/crates/direct/src/membership/forward.rs
+++ b/crates/direct/src/membership/forward.rs
@@ -1,4 +1,4 @@
-//! Passes news on: up the tree at once, and among the roots.
+//! Forwards gossip: towards the roots at once, and among the roots.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -8,16 +8,16 @@
 use super::{Gossip, GossipItem, PeerClient, message};
 use crate::{core::Core, journal::Rank, metrics::Counter};
 
-/// Time for which news is gathered before it is passed on, so that what a hundred entries find at
-/// the same moment goes in a few messages.
-const GATHER_TIME: Duration = Duration::from_millis(25);
-/// Tries to pass a piece of news on. With the pauses between them they take three seconds, in which
-/// an entry that has lost its way finds another.
-const TRIES: u32 = 6;
-/// First pause between two tries; doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Time for which gossip is gathered into one batch, so that simultaneous observations of a hundred
+/// entries travel in a few messages.
+const BATCH_INTERVAL: Duration = Duration::from_millis(25);
+/// Attempts to forward a batch. With the pauses between them they span three seconds, in which an
+/// entry that has lost its parent finds another.
+const MAX_ATTEMPTS: u32 = 6;
+/// Pause after the first failed attempt; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// News that is to be passed on.
+/// Gossip that waits to be forwarded.
 #[derive(Debug, Default)]
 pub struct Outbox {
     items: RefCell<Vec<GossipItem>>,
@@ -25,37 +25,37 @@
 }
 
 impl Outbox {
-    fn put(&self, items: Vec<GossipItem>) {
+    fn push(&self, items: Vec<GossipItem>) {
         if !items.is_empty() {
             self.items.borrow_mut().extend(items);
             self.filled.notify_one();
         }
     }
 
-    async fn take(&self) -> Vec<GossipItem> {
+    async fn next_batch(&self) -> Vec<GossipItem> {
         self.filled.notified().await;
-        sleep(GATHER_TIME).await;
+        sleep(BATCH_INTERVAL).await;
         self.items.take()
     }
 }
 
-/// What became of news.
+/// Log events of gossip.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum SpreadEvent<'a> {
+enum GossipEvent<'a> {
     NewsHeard { from: &'a str, service: Option<&'a str>, target: Option<&'a str>, what: String },
     ServerDoubted { server: &'a str, from: &'a str },
     NewsNotPassedOn { to: String, items: usize, error: String },
 }
 
 impl Core {
-    /// Tells what this entry has found, to be heard by all.
+    /// Publishes an observation of this entry to all entries.
     pub fn publish_gossip(&self, news: Gossip) {
         let item = self.new_gossip_item(news);
         self.receive_from_child(vec![item]);
     }
 
-    /// A piece of news as this entry tells it now.
+    /// Wraps an observation of this entry in a new, numbered item.
     pub fn new_gossip_item(&self, news: Gossip) -> GossipItem {
         let number = self.news_told.get();
         self.news_told.set(number + 1);
@@ -68,18 +68,19 @@
         }
     }
 
-    /// Hears news that comes up the tree, which is passed on upwards too.
+    /// Applies gossip received from a child or another root, and forwards what is new towards the
+    /// roots.
     pub fn receive_from_child(&self, items: Vec<GossipItem>) {
-        self.outbox.put(self.hear(items));
+        self.outbox.push(self.apply_new(items));
     }
 
-    /// Hears news that comes down the tree, which those that ask this entry hear too.
+    /// Applies gossip received from the parent; the children get it with their next response.
     pub fn receive_from_parent(&self, items: Vec<GossipItem>) {
-        self.hear(items);
+        self.apply_new(items);
     }
 
-    /// Takes news in and returns what was not known yet.
-    fn hear(&self, items: Vec<GossipItem>) -> Vec<GossipItem> {
+    /// Applies the items that are new to this entry, and returns them.
+    fn apply_new(&self, items: Vec<GossipItem>) -> Vec<GossipItem> {
         let now = self.clock.now();
         let is_new = |item: &GossipItem| {
             let log = if item.is_for_roots_only() { &self.news_for_above } else { &self.news };
@@ -87,7 +88,7 @@
         };
         let new: Vec<GossipItem> = items.into_iter().filter(is_new).collect();
         for item in &new {
-            self.note_heard(item);
+            self.log_received(item);
             self.apply(item);
         }
         if new.iter().any(|item| !item.is_for_roots_only()) {
@@ -96,15 +97,15 @@
         new
     }
 
-    /// Weighs all news about a service again, since a roll-out of it was learned of only now.
+    /// Applies all logged gossip about a service again, after a roll-out of it has been received.
     pub fn reapply_gossip_of(&self, service: &str) {
         let news = self.news.borrow();
         let items = news.all(self.clock.now()).map(|(_, item)| item);
         items.filter(|item| item.service() == Some(service)).for_each(|item| self.apply(item));
     }
 
-    /// Logs what changes where requests go.
-    fn note_heard(&self, item: &GossipItem) {
+    /// Logs gossip that changes the routing of requests.
+    fn log_received(&self, item: &GossipItem) {
         let what = match &item.news {
             Gossip::Stage { stage, .. } => format!("stage, {stage:?}"),
             Gossip::Bad { .. } => "bad".to_owned(),
@@ -118,7 +119,7 @@
             | Gossip::Joined { .. } => return,
         };
         let (service, target) = (item.service(), item.target());
-        let event = SpreadEvent::NewsHeard { from: &item.origin, service, target, what };
+        let event = GossipEvent::NewsHeard { from: &item.origin, service, target, what };
         self.journal.note(Rank::State, &event);
     }
 
@@ -127,7 +128,9 @@
             Gossip::Used { window, counts, unix_ms } => {
                 return self.hear_used(item, *window, counts, *unix_ms);
             }
-            Gossip::Unreached { fleet, server } => return self.hear_unreached(fleet, server, item),
+            Gossip::Unreached { fleet, server } => {
+                return self.apply_unreached(fleet, server, item);
+            }
             Gossip::Limited { .. } => return self.hear_limit(item),
             Gossip::Ended { ends } => return self.hear_ends(ends, item.age),
             Gossip::Cleared { content } => {
@@ -142,7 +145,7 @@
         let is_own = item.origin == self.settings.name && item.incarnation == self.incarnation;
         match &item.news {
             Gossip::Kept { sessions, .. } => roll_out.learn_kept(sessions.iter().copied()),
-            // NB: what this entry has seen itself it weighs already.
+            // The entry's own observations are counted already.
             Gossip::Seen { .. } if is_own => {}
             Gossip::Seen { seen, .. } => {
                 roll_out.learn_seen(seen.clone(), item.age, self.clock.now());
@@ -158,8 +161,8 @@
         }
     }
 
-    /// Another entry could not reach a server.
-    fn hear_unreached(&self, fleet: &str, server: &str, item: &GossipItem) {
+    /// Presumes a server cold that another entry could not reach.
+    fn apply_unreached(&self, fleet: &str, server: &str, item: &GossipItem) {
         let now = self.clock.now();
         let at = now.saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
@@ -167,14 +170,14 @@
         let is_new = fleet.is_some_and(|fleet| fleet.is_told_unreached(server, at, now));
         drop(state);
         if is_new {
-            let event = SpreadEvent::ServerDoubted { server, from: &item.origin };
+            let event = GossipEvent::ServerDoubted { server, from: &item.origin };
             self.journal.note(Rank::State, &event);
         }
     }
 }
 
 impl GossipItem {
-    /// Service whose roll-out it concerns, if any.
+    /// Service whose roll-out the item concerns, if any.
     fn service(&self) -> Option<&str> {
         match &self.news {
             Gossip::Kept { service, .. }
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Version on trial that it concerns, if any.
+    /// Version on trial that the item concerns, if any.
     fn target(&self) -> Option<&str> {
         match &self.news {
             Gossip::Kept { target, .. }
@@ -207,51 +210,51 @@
     }
 }
 
-/// Passes news on for as long as the process runs.
+/// Forwards gossip until the process ends.
 pub async fn forward_gossip(core: Rc<Core>) {
     loop {
-        let items = core.outbox.take().await;
+        let items = core.outbox.next_batch().await;
         if items.is_empty() {
             continue;
         }
-        // NB: one that is slow or gone must not keep the news from the others.
-        spawn_local(pass_on_items(Rc::clone(&core), items));
+        // In a task of its own, so that a slow or failed peer does not delay later batches.
+        spawn_local(forward_batch(Rc::clone(&core), items));
     }
 }
 
-async fn pass_on_items(core: Rc<Core>, items: Vec<GossipItem>) {
-    let mut told: Vec<SocketAddr> = Vec::new();
-    let mut pause = FIRST_PAUSE;
+async fn forward_batch(core: Rc<Core>, items: Vec<GossipItem>) {
+    let mut sent: Vec<SocketAddr> = Vec::new();
+    let mut backoff = INITIAL_BACKOFF;
     let mut failed = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         failed = None;
-        // NB: where it goes is asked anew each time; whoever was to take it may be gone.
+        // The targets are evaluated at each attempt, since a peer may have gone meanwhile.
         for address in core.above() {
-            if told.contains(&address) {
+            if sent.contains(&address) {
                 continue;
             }
-            match pass_on_to(&core, address, &items).await {
-                Ok(()) => told.push(address),
+            match send_to(&core, address, &items).await {
+                Ok(()) => sent.push(address),
                 Err(error) => failed = Some((address, error)),
             }
         }
         if failed.is_none() {
             return;
         }
-        sleep(pause).await;
-        pause *= 2;
+        sleep(backoff).await;
+        backoff *= 2;
     }
     if let Some((to, error)) = failed {
         let to = to.to_string();
-        let event = SpreadEvent::NewsNotPassedOn { to, items: items.len(), error };
+        let event = GossipEvent::NewsNotPassedOn { to, items: items.len(), error };
         core.journal.note(Rank::State, &event);
     }
 }
 
-async fn pass_on_to(core: &Core, address: SocketAddr, items: &[GossipItem]) -> Result<(), String> {
+async fn send_to(core: &Core, address: SocketAddr, items: &[GossipItem]) -> Result<(), String> {
     let store = core.settings.store.address;
     let bytes = message::to_message(store, &items).map_err(|error| error.to_string())?;
     core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
-    let told = PeerClient::send_gossip(&core.connect, address, bytes).await;
-    told.map_err(|error| error.to_string())
+    let sent = PeerClient::send_gossip(&core.connect, address, bytes).await;
+    sent.map_err(|error| error.to_string())
 }
--- a/crates/direct/src/membership/gossip.rs
+++ b/crates/direct/src/membership/gossip.rs
@@ -1,8 +1,8 @@
-//! News that entries pass on among themselves, without the store.
+//! Gossip that entries pass on among themselves, without the store.
 //!
-//! What one entry has found, and all are to weigh within a fraction of a second, goes up the tree
-//! by messages of its own, and down with the answers to questions. Nothing of it must last: an entry
-//! that starts anew hears what is still remembered.
+//! An observation that all entries need within a fraction of a second is sent towards the roots in
+//! messages of its own, and comes back down with responses to state requests. Gossip is not
+//! persistent: an entry that restarts receives what its peers still retain.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -17,109 +17,112 @@
 
 use super::Listing;
 
-/// Time for which news that only goes up is remembered, so that none counts twice. It takes a
-/// fraction of a second to reach all roots, or is lost.
-const LIFE_OF_SEEN: Duration = Duration::from_secs(10);
-/// Time for which other news is remembered. A roll-out takes up to some minutes, but what it needs to hear
-/// belongs to its first seconds, or is written to the store once it counts.
-const LIFE: Duration = Duration::from_secs(60);
-/// Items remembered. Each entry tells a few in a roll-out.
-const MOST_ITEMS: usize = 4_096;
-/// Sessions in one item; an entry with more tells several.
+/// Retention of gossip that goes only to the roots; duplicates within it are dropped. Such an item
+/// reaches all roots within a fraction of a second or is lost.
+const ROOT_GOSSIP_RETENTION: Duration = Duration::from_secs(10);
+/// Retention of all other gossip. A roll-out takes minutes, but the gossip that it needs belongs to
+/// its first seconds, or is written to the store once it matters.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of retained items. Each entry publishes a few during a roll-out.
+const MAX_ITEMS: usize = 4_096;
+/// Maximum number of sessions in one item; an entry with more sessions publishes several items.
 pub const MAX_SESSIONS_PER_ITEM: usize = 1_024;
 
-/// What an entry has found.
+/// An observation of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Gossip {
-    /// Sessions run through it that stay on the old version while `target` is on trial.
+    /// Sessions of this entry that stay on the old version while `target` is on trial.
     Kept {
-        /// Service that moves.
+        /// Service that is rolled out.
         service: String,
         /// Version on trial.
         target: String,
         /// The sessions.
         sessions: Vec<SessionKey>,
     },
-    /// What it has seen of both versions since it last told. This only goes up: the roots weigh it.
+    /// Responses of both versions since the previous report. Goes only to the roots, which evaluate
+    /// it.
     Seen {
-        /// Service that moves.
+        /// Service that is rolled out.
         service: String,
         /// Version on trial.
         target: String,
-        /// The answers.
+        /// The responses.
         seen: Vec<Seen>,
     },
-    /// It has written to the store that a roll-out has come so far.
+    /// The entry has written to the store that a roll-out has reached this stage.
     Stage {
-        /// Service that moves.
+        /// Service that is rolled out.
         service: String,
         /// Version on trial.
         target: String,
-        /// How far it has come.
+        /// Stage that was reached.
         stage: WireStage,
     },
     /// A version on trial is bad.
     Bad {
-        /// Service that moves.
+        /// Service that is rolled out.
         service: String,
         /// Version on trial.
         target: String,
     },
-    /// A backend server could not be reached, and may be cold when it is reached again.
+    /// A backend server could not be reached, and may be cold when it is reachable again.
     Unreached {
         /// Service of the server.
         fleet: String,
         /// The server.
         server: ServerId,
     },
-    /// A backend server names a rate limit, or none any more.
+    /// A backend server reports a rate limit, or has lifted it.
     Limited {
         /// Service of the server.
         fleet: String,
         /// The server.
         server: ServerId,
-        /// The life in which it said so.
+        /// Incarnation of the server that reported the limit.
         life: LifeMark,
-        /// The limit.
+        /// The limit; `None` if it was lifted.
         limit: Option<ServerLimit>,
     },
-    /// Servers ended under requests of these contents; each with the time since, when this was told.
+    /// Servers crashed while running requests of these contents. Each crash carries its age at the
+    /// time of publication.
     Ended {
-        /// The ends.
+        /// The crashes with their ages.
         ends: Vec<(ServerEnd, Duration)>,
     },
-    /// A request of this content came to a good end.
+    /// A request of this content succeeded.
     Cleared {
         /// The content.
         content: Content,
     },
-    /// Requests that it has seen begin to run in a window, all of them so far. This only goes up.
+    /// Total number of requests that this entry has seen begin to run in a window. Goes only to the
+    /// roots.
     Used {
         /// The window.
         window: WindowId,
-        /// The requests, by workspace.
+        /// Requests by workspace.
         counts: UsageCounts,
-        /// Milliseconds since 1970 when it told this, by its own clocks.
+        /// Time of publication by the entry's own clocks, in milliseconds since 1970.
         unix_ms: u64,
     },
-    /// It has started and is to be listed.
+    /// The entry has started and should be listed in the store.
     Joined {
-        /// Where other entries may ask it, and over which link.
+        /// Peer address of the entry and width of its link.
         listing: Listing,
     },
 }
 
-/// Word for a stage.
+/// Stage of a roll-out, as it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WireStage {
     /// On trial.
     Trial,
-    /// The share widens.
+    /// The share is being widened.
     Widening,
-    /// Complete.
+    /// Completed.
     Completed,
-    /// Taken back.
+    /// Reverted.
     Reverted,
 }
 
@@ -135,8 +138,8 @@
 }
 
 impl From<WireStage> for Stage {
-    fn from(word: WireStage) -> Self {
-        match word {
+    fn from(stage: WireStage) -> Self {
+        match stage {
             WireStage::Trial => Stage::Trial,
             WireStage::Widening => Stage::Widening,
             WireStage::Completed => Stage::Completed,
@@ -145,26 +148,26 @@
     }
 }
 
-/// What tells one item from all others: the entry that told it, its life, and a number.
+/// Identifies an item: its origin, the origin's incarnation, and its number.
 type ItemId = (String, u64, u64);
 
-/// One piece of news.
+/// One item of gossip.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipItem {
-    /// Name of the entry that found it.
+    /// Name of the entry that published it.
     pub origin: String,
-    /// Random number of that life of the entry.
+    /// Random number of that entry's incarnation.
     pub incarnation: u64,
-    /// Its number among those of that life.
+    /// Sequence number within the incarnation.
     pub number: u64,
-    /// Time since it was found.
+    /// Time since publication.
     pub age: Duration,
-    /// What was found.
+    /// The observation.
     pub news: Gossip,
 }
 
 impl GossipItem {
-    /// Whether it only goes up the tree.
+    /// Whether it is sent only towards the roots.
     pub fn is_for_roots_only(&self) -> bool {
         matches!(self.news, Gossip::Seen { .. } | Gossip::Used { .. })
     }
@@ -174,72 +177,72 @@
     }
 }
 
-/// The news that this entry remembers, in the order in which it heard them.
+/// Gossip retained by this entry, in the order of arrival.
 #[derive(Debug)]
 pub struct GossipLog {
-    life: Duration,
-    /// Place of the first item that is still remembered.
+    retention: Duration,
+    /// Index of the first retained item.
     start: u64,
-    /// When each was found, by the own clock.
+    /// Items with their time of publication by the local clock.
     items: VecDeque<(Duration, GossipItem)>,
-    known: HashSet<ItemId>,
+    known_ids: HashSet<ItemId>,
 }
 
 impl GossipLog {
-    /// Remembers news that all are to hear.
+    /// Creates a log of gossip for all entries.
     pub fn for_all() -> Self {
-        Self::lasting(LIFE)
+        Self::with_retention(RETENTION)
     }
 
-    /// Remembers news that only goes up.
+    /// Creates a log of gossip that goes only to the roots.
     pub fn for_roots() -> Self {
-        Self::lasting(LIFE_OF_SEEN)
+        Self::with_retention(ROOT_GOSSIP_RETENTION)
     }
 
-    fn lasting(life: Duration) -> Self {
-        GossipLog { life, start: 0, items: VecDeque::new(), known: HashSet::new() }
+    fn with_retention(retention: Duration) -> Self {
+        GossipLog { retention, start: 0, items: VecDeque::new(), known_ids: HashSet::new() }
     }
 
-    /// Takes an item in; `false` if it is known already, or too old.
+    /// Adds an item; `false` if it is known already or too old.
     pub fn add(&mut self, item: GossipItem, now: Duration) -> bool {
-        self.forget_old(now);
-        if item.age >= self.life || !self.known.insert(item.id()) {
+        self.drop_expired(now);
+        if item.age >= self.retention || !self.known_ids.insert(item.id()) {
             return false;
         }
         self.items.push_back((now.saturating_sub(item.age), item));
         true
     }
 
-    /// Place behind the latest item.
+    /// Index after the last item.
     pub fn end(&self) -> u64 {
         self.start + self.items.len() as u64
     }
 
-    /// The items from a place on.
-    pub fn since(&self, place: u64, now: Duration) -> Vec<GossipItem> {
-        let skipped = place.saturating_sub(self.start) as usize;
+    /// Items from index `index` on, with their current ages.
+    pub fn items_from(&self, index: u64, now: Duration) -> Vec<GossipItem> {
+        let skipped = index.saturating_sub(self.start) as usize;
         let items = self.items.iter().skip(skipped);
-        let aged = |(found, item): &(Duration, GossipItem)| GossipItem {
-            age: now.saturating_sub(*found),
+        let aged = |(published_at, item): &(Duration, GossipItem)| GossipItem {
+            age: now.saturating_sub(*published_at),
             ..item.clone()
         };
         items.map(aged).collect()
     }
 
-    /// All items that are remembered, with the time since they were found.
+    /// All retained items with their ages.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (Duration, &GossipItem)> {
-        self.items.iter().map(move |(found, item)| (now.saturating_sub(*found), item))
+        self.items.iter().map(move |(published_at, item)| (now.saturating_sub(*published_at), item))
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        // NB: items that were long on their way lie behind younger ones; they go with those.
-        while let Some((found, _)) = self.items.front() {
-            let is_old = now.saturating_sub(*found) >= self.life;
-            if !is_old && self.items.len() < MOST_ITEMS {
+    fn drop_expired(&mut self, now: Duration) {
+        // Items that arrived late lie behind younger ones, and are dropped together with those.
+        while let Some((published_at, _)) = self.items.front() {
+            let is_expired = now.saturating_sub(*published_at) >= self.retention;
+            if !is_expired && self.items.len() < MAX_ITEMS {
                 return;
             }
             if let Some((_, item)) = self.items.pop_front() {
-                self.known.remove(&item.id());
+                self.known_ids.remove(&item.id());
                 self.start += 1;
             }
         }
--- a/crates/direct/src/membership/listing.rs
+++ b/crates/direct/src/membership/listing.rs
@@ -1,27 +1,27 @@
-//! How an entry is listed in the store.
+//! Listing of an entry in the store.
 
 use std::{fmt, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A listing that cannot be read.
+/// A value in the store that is not a valid listing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{0}` is no address with the width of a link behind it")]
+#[error("`{0}` is not of the form `ADDRESS MBPS`")]
 pub struct InvalidListing(String);
 
-/// Where an entry is asked, and over which link: written as `ADDRESS MBPS`.
+/// Peer address of an entry and width of its link, written as `ADDRESS MBPS`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Where it is asked.
+    /// Address at which the entry answers its peers.
     pub address: SocketAddr,
-    /// Megabits a second that its machine's link carries; 0 if that is not known.
+    /// Bandwidth of the machine's link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
 impl Listing {
-    /// Rank of the link, the widest first. Links within a factor of two count as equal, so that the
-    /// order among like machines is by name alone.
+    /// Sort key of the link, widest first. Links within a factor of two rank equal, so that
+    /// machines of the same kind are ordered by name alone.
     pub fn link_rank(&self) -> u32 {
         u32::MAX - self.link_mbps.checked_ilog2().map_or(0, |power| power + 1)
     }
--- a/crates/direct/src/membership/members.rs
+++ b/crates/direct/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! The entries that are listed, in their order, and which of them to ask.
+//! The listed entries in their order, and the choice of the peers to poll.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,106 +17,108 @@
     tree::{self, TreeRole},
 };
 
-/// First time for which an entry that did not answer is passed over; doubles with each in a row.
-const FIRST_PASS_OVER: Duration = Duration::from_secs(4);
-/// Longest such time.
-const LONGEST_PASS_OVER: Duration = Duration::from_secs(60);
-/// Time for which an entry that is behind the store itself is passed over. It may catch up with
-/// the store's return at any moment.
-const PASS_OVER_WHILE_BEHIND: Duration = Duration::from_secs(1);
+/// Time for which an entry is skipped after a failed request; doubles with each consecutive
+/// failure.
+const INITIAL_SKIP_TIME: Duration = Duration::from_secs(4);
+/// Maximum of that time.
+const MAX_SKIP_TIME: Duration = Duration::from_secs(60);
+/// Time for which an entry with a stale state is skipped. It may catch up as soon as the store
+/// returns.
+const STALE_SKIP_TIME: Duration = Duration::from_secs(1);
 
-/// Place of an entry in the order that all work out alike: the rank of its link, a hash of its name,
-/// and the name.
+/// Sort key that all entries compute alike: the rank of the link, a hash of the name, and the name.
 ///
-/// NB: the first ones take large changes from the store and tell them to all others. Of 32 entries, six
-/// with wide links, the wide ones come first and the narrow ones keep theirs for callers.
+/// The first entries fetch large changes from the store and distribute them. If six of 32 entries
+/// have wide links, those come first, and the others keep their narrow links for callers.
 type OrderKey = (u32, u64, String);
 
 fn order_key(name: &str, listing: &Listing) -> OrderKey {
     (listing.link_rank(), session_key(name), name.to_owned())
 }
 
-/// Where to learn of changes.
+/// Where an entry gets changes from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// From the store; others rest on this entry.
+    /// The store; other entries depend on this one.
     Store,
-    /// From the store; nobody rests on this entry.
+    /// The store; no other entry depends on this one.
     StoreStandalone,
-    /// From another entry.
+    /// Another entry.
     Entry {
-        /// Its name.
+        /// Name of that entry.
         name: String,
-        /// Where it is asked.
+        /// Peer address of that entry.
         address: SocketAddr,
     },
 }
 
 #[derive(Debug)]
-struct Listed {
+struct Member {
     listing: Listing,
-    /// Whether the store holds it; a restored one may have lost it.
+    /// Whether the store holds the listing; a store restored from a backup may have lost it.
     is_stored: bool,
-    passed_over_until: Duration,
+    skipped_until: Duration,
     failures: u32,
 }
 
-/// The entries that are listed.
+/// The listed entries.
 #[derive(Debug)]
 pub struct Members {
     own: OrderKey,
-    place_among_seeds: Option<usize>,
+    seed_index: Option<usize>,
     in_tree: bool,
-    listed: RefCell<BTreeMap<OrderKey, Listed>>,
-    /// Place of each entry that is listed, by name.
-    places: RefCell<HashMap<String, OrderKey>>,
+    members: RefCell<BTreeMap<OrderKey, Member>>,
+    /// Sort key of each listed entry, by name.
+    keys: RefCell<HashMap<String, OrderKey>>,
     own_listing: Cell<Option<Listing>>,
 }
 
 impl Members {
-    /// Knows of no entry yet.
+    /// Creates an empty list.
     pub fn new(settings: &DirectSettings) -> Self {
         let seeds = &settings.membership.seeds;
         let address = settings.peers.unwrap_or(settings.callers);
         let own = Listing { address, link_mbps: settings.link_mbps };
         Members {
             own: order_key(&settings.name, &own),
-            place_among_seeds: seeds.iter().position(|seed| Some(*seed) == settings.peers),
+            seed_index: seeds.iter().position(|seed| Some(*seed) == settings.peers),
             in_tree: settings.membership.tree,
-            listed: RefCell::default(),
-            places: RefCell::default(),
+            members: RefCell::default(),
+            keys: RefCell::default(),
             own_listing: Cell::new(None),
         }
     }
 
-    /// Learns of an entry, or that it is no longer listed. Returns whether that changes who is listed.
+    /// Adds, changes or removes the listing of an entry. Returns whether the set of names has
+    /// changed.
     pub fn update(&self, name: &str, listing: Option<Listing>) -> bool {
         if name == self.own.2 {
             self.own_listing.set(listing);
         }
-        let mut listed = self.listed.borrow_mut();
-        let mut places = self.places.borrow_mut();
-        let before = places.remove(name);
+        let mut members = self.members.borrow_mut();
+        let mut keys = self.keys.borrow_mut();
+        let before = keys.remove(name);
         let changes = before.is_some() != listing.is_some();
-        if let Some(place) = before {
-            listed.remove(&place);
+        if let Some(key) = before {
+            members.remove(&key);
         }
         if let Some(listing) = listing {
-            let place = order_key(name, &listing);
-            places.insert(name.to_owned(), place.clone());
-            let fresh =
-                Listed { listing, is_stored: true, passed_over_until: Duration::ZERO, failures: 0 };
-            listed.insert(place, fresh);
+            let key = order_key(name, &listing);
+            keys.insert(name.to_owned(), key.clone());
+            let new_member =
+                Member { listing, is_stored: true, skipped_until: Duration::ZERO, failures: 0 };
+            members.insert(key, new_member);
         }
         changes
     }
 
-    /// The store holds the listings of these entries alone.
+    /// Sets which entries the store lists, after it was restored.
     ///
-    /// NB: the others keep their places until they are listed again, since those below ask them.
+    /// Other entries keep their listings until they are listed again, since their children still
+    /// poll them.
     pub fn set_stored(&self, names: &HashSet<&str>) {
-        for (key, one) in self.listed.borrow_mut().iter_mut() {
-            one.is_stored = names.contains(key.2.as_str());
+        for (key, member) in self.members.borrow_mut().iter_mut() {
+            member.is_stored = names.contains(key.2.as_str());
         }
         if !names.contains(self.own.2.as_str()) {
             self.own_listing.set(None);
@@ -125,88 +127,88 @@
 
     /// Whether the store holds this listing of an entry.
     pub fn is_stored(&self, name: &str, listing: Listing) -> bool {
-        let places = self.places.borrow();
-        let listed = self.listed.borrow();
-        let one = places.get(name).and_then(|place| listed.get(place));
-        one.is_some_and(|one| one.is_stored && one.listing == listing)
+        let keys = self.keys.borrow();
+        let members = self.members.borrow();
+        let member = keys.get(name).and_then(|key| members.get(key));
+        member.is_some_and(|member| member.is_stored && member.listing == listing)
     }
 
-    /// How this entry is listed.
+    /// Listing of this entry, if the store holds one.
     pub fn own_listing(&self) -> Option<Listing> {
         self.own_listing.get()
     }
 
-    /// Where this entry learns of changes.
+    /// The source of changes of this entry.
     ///
-    /// An entry that is not listed yet asks as if it came last, since nobody asks it.
+    /// An unlisted entry behaves as the last in order, since no other entry polls it.
     pub fn source(&self, now: Duration) -> ChangeSource {
-        let listed = self.listed.borrow();
-        let able: Vec<_> = listed
+        let members = self.members.borrow();
+        let candidates: Vec<_> = members
             .iter()
-            .filter(|(key, one)| **key == self.own || one.passed_over_until <= now)
+            .filter(|(key, member)| **key == self.own || member.skipped_until <= now)
             .collect();
-        let position = able.iter().position(|(key, _)| **key == self.own);
-        let entries = able.len() + usize::from(position.is_none());
-        let position = position.unwrap_or(able.len());
+        let position = candidates.iter().position(|(key, _)| **key == self.own);
+        let entries = candidates.len() + usize::from(position.is_none());
+        let position = position.unwrap_or(candidates.len());
         match tree::tree_role(position, entries, self.in_tree) {
             TreeRole::Root if entries > 1 => ChangeSource::Store,
             TreeRole::Root => ChangeSource::StoreStandalone,
-            TreeRole::ChildOf(above) => {
-                let (key, one) = able[above];
-                ChangeSource::Entry { name: key.2.clone(), address: one.listing.address }
+            TreeRole::ChildOf(parent) => {
+                let (key, member) = candidates[parent];
+                ChangeSource::Entry { name: key.2.clone(), address: member.listing.address }
             }
         }
     }
 
-    /// Names of the entries that are listed.
+    /// Names of the listed entries.
     pub fn names(&self) -> Vec<String> {
-        self.places.borrow().keys().cloned().collect()
+        self.keys.borrow().keys().cloned().collect()
     }
 
-    /// Entries that are listed.
+    /// Number of listed entries.
     pub fn count(&self) -> usize {
-        self.listed.borrow().len()
+        self.members.borrow().len()
     }
 
-    /// This entry's place in the order of all that are listed, from 0; while none is, its place among
-    /// the seeds, which are the first to know of the others.
+    /// Index of this entry in the order of all listed entries, from 0; while none is listed, its
+    /// index among the seeds, which find the others first.
     pub fn rank(&self) -> usize {
-        let listed = self.listed.borrow();
-        match self.place_among_seeds {
-            Some(place) if listed.is_empty() => place,
-            _ => listed.keys().take_while(|key| **key < self.own).count(),
+        let members = self.members.borrow();
+        match self.seed_index {
+            Some(index) if members.is_empty() => index,
+            _ => members.keys().take_while(|key| **key < self.own).count(),
         }
     }
 
-    /// A number below `among` that differs from entry to entry.
-    pub fn hash_slot(&self, among: usize) -> usize {
-        (self.own.1 % among.max(1) as u64) as usize
+    /// A number below `count` that is derived from the entry's name.
+    pub fn hash_slot(&self, count: usize) -> usize {
+        (self.own.1 % count.max(1) as u64) as usize
     }
 
-    /// Entries in order other than this one that answered when last asked.
+    /// Name and address of each other entry that is not skipped, in order.
     pub fn reachable_peers(&self, now: Duration) -> Vec<(String, SocketAddr)> {
-        let listed = self.listed.borrow();
-        let able =
-            listed.iter().filter(|(key, one)| **key != self.own && one.passed_over_until <= now);
-        able.map(|(key, one)| (key.2.clone(), one.listing.address)).collect()
+        let members = self.members.borrow();
+        let candidates =
+            members.iter().filter(|(key, member)| **key != self.own && member.skipped_until <= now);
+        candidates.map(|(key, member)| (key.2.clone(), member.listing.address)).collect()
     }
 
-    /// The other entries that ask the store, as far as this one can tell, and those next in order, so that
-    /// what this one finds is not lost with it.
+    /// Addresses of the other roots as this entry sees them, and of the next entries in order up to
+    /// [`MIN_GOSSIP_TARGETS`], so that gossip survives the loss of this entry.
     pub fn other_roots(&self, now: Duration) -> Vec<SocketAddr> {
-        let listed = self.listed.borrow();
-        let able =
-            listed.iter().filter(|(key, one)| **key == self.own || one.passed_over_until <= now);
-        let roots = tree::root_count(able.clone().count()).max(MIN_GOSSIP_TARGETS);
-        let others = able.take(roots).filter(|(key, _)| **key != self.own);
-        others.map(|(_, one)| one.listing.address).collect()
+        let members = self.members.borrow();
+        let candidates =
+            members.iter().filter(|(key, member)| **key == self.own || member.skipped_until <= now);
+        let roots = tree::root_count(candidates.clone().count()).max(MIN_GOSSIP_TARGETS);
+        let others = candidates.take(roots).filter(|(key, _)| **key != self.own);
+        others.map(|(_, member)| member.listing.address).collect()
     }
 
-    /// Entries in the order in which they may grant what is asked for by a key, each with where it is asked;
-    /// this entry, which is not asked, has none.
+    /// The entries in the order in which they may grant permits and probes for `key`, each with its
+    /// address; the address of this entry is `None`.
     ///
-    /// NB: those that are passed over keep their places, so that an entry knows whether it is first
-    /// whoever can be reached.
+    /// Skipped entries are included, so that whether an entry is first does not depend on
+    /// reachability.
     pub fn granting_order(&self, key: u128) -> Vec<(String, Option<SocketAddr>)> {
         let mut names = self.names();
         if names.is_empty() {
@@ -214,38 +216,38 @@
         }
         granting_order(key, &mut names);
         let address = |name: &String| self.listing_of(name).map(|listing| listing.address);
-        let asked = |name: String| match name == self.own.2 {
+        let with_address = |name: String| match name == self.own.2 {
             true => Some((name, None)),
             false => Some((address(&name)?, name)).map(|(address, name)| (name, Some(address))),
         };
-        names.into_iter().filter_map(asked).collect()
+        names.into_iter().filter_map(with_address).collect()
     }
 
-    /// How an entry is listed.
+    /// Listing of an entry, if it has one.
     pub fn listing_of(&self, name: &str) -> Option<Listing> {
-        let places = self.places.borrow();
-        self.listed.borrow().get(places.get(name)?).map(|one| one.listing)
+        let keys = self.keys.borrow();
+        self.members.borrow().get(keys.get(name)?).map(|member| member.listing)
     }
 
-    /// Position of the name that comes first in the order of entries on like links.
+    /// Index of the name that comes first in the order of entries with equal links.
     pub fn first_in_order(names: &[&str]) -> usize {
         let order = |(_, name): &(usize, &&str)| (session_key(name), name.to_string());
         names.iter().enumerate().min_by_key(order).map_or(0, |(position, _)| position)
     }
 
-    /// An entry answered, or failed to; one that failed is passed over for a while.
+    /// Records the result of a request; an entry that failed is skipped for a while.
     pub fn record_result(&self, name: &str, error: Option<&PeerError>, now: Duration) {
-        let mut listed = self.listed.borrow_mut();
-        let places = self.places.borrow();
-        let place = places.get(name);
-        let Some(one) = place.and_then(|place| listed.get_mut(place)) else { return };
+        let mut members = self.members.borrow_mut();
+        let keys = self.keys.borrow();
+        let key = keys.get(name);
+        let Some(member) = key.and_then(|key| members.get_mut(key)) else { return };
         match error {
-            None => one.failures = 0,
-            Some(PeerError::Stale) => one.passed_over_until = now + PASS_OVER_WHILE_BEHIND,
+            None => member.failures = 0,
+            Some(PeerError::Stale) => member.skipped_until = now + STALE_SKIP_TIME,
             Some(_) => {
-                let time = FIRST_PASS_OVER * 2u32.pow(one.failures.min(6));
-                one.passed_over_until = now + time.min(LONGEST_PASS_OVER);
-                one.failures += 1;
+                let skip_time = INITIAL_SKIP_TIME * 2u32.pow(member.failures.min(6));
+                member.skipped_until = now + skip_time.min(MAX_SKIP_TIME);
+                member.failures += 1;
             }
         }
     }
--- a/crates/direct/src/membership/message.rs
+++ b/crates/direct/src/membership/message.rs
@@ -1,7 +1,7 @@
-//! Messages between entries, and what makes one be refused.
+//! Messages between entries, and their validation.
 //!
-//! A state is a short head, a body and news. The head is read first: a body of another format, of
-//! another store or larger than is borne is not looked at.
+//! A state message consists of a short head, a body and gossip. The head is read first, so a body
+//! of another format, of another store, or above the size limit is never decoded.
 
 use std::{
     io::{Read, Write},
@@ -17,35 +17,35 @@
 
 use super::GossipItem;
 
-/// Number of this form of the messages; an entry of another one is not listened to.
+/// Version of the message format; messages of other versions are rejected.
 pub const FORMAT: u16 = 7;
-/// Bytes of a message that are read at most. The store holds some hundred keys and one large
-/// configuration, which pack to a tenth of this.
+/// Maximum size of a message. The store holds some hundred keys and one large configuration, which
+/// compress to a tenth of this.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes that a message may unpack to.
+/// Maximum size of a decompressed body.
 const MAX_UNPACKED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why a message is refused.
+/// Why a message was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// It was made by another version of the program.
-    #[error("it has format {0}")]
+    /// Sent by a version of the program with another message format.
+    #[error("unsupported message format {0}")]
     OtherFormat(u16),
-    /// It speaks of another store.
-    #[error("it speaks of the store at {0}")]
+    /// Sent by an entry that uses another store.
+    #[error("sender uses the store at {0}")]
     OtherStore(SocketAddr),
-    /// It is a whole state of an earlier place in the store's history than the one held.
-    #[error("it is of revision {} of era {}, which is earlier than what is held", .0.revision, .0.era)]
+    /// A full state at an earlier position in the store's history than the local one.
+    #[error("revision {} of era {} is earlier than the local state", .0.revision, .0.era)]
     Older(Position),
-    /// It is cut, too long or made up.
-    #[error("it cannot be read")]
+    /// Truncated, too long, or not decodable.
+    #[error("malformed message")]
     Unreadable,
-    /// It contradicts itself: its state was confirmed after it was told.
-    #[error("it contradicts itself")]
+    /// Inconsistent: for example, the state was confirmed after the message was sent.
+    #[error("inconsistent message")]
     Contradictory,
 }
 
-/// One change of a key.
+/// The last change of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
     /// The key.
@@ -57,7 +57,7 @@
 }
 
 impl KeyChange {
-    /// The change as the store would have told it.
+    /// Converts the change to the event that the store would have sent.
     pub fn into_event(self) -> StoreEvent {
         match self.value {
             Some(value) => {
@@ -68,49 +68,49 @@
     }
 }
 
-/// The head of a state.
+/// Head of a state message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateHead {
-    /// Form of the message.
+    /// Version of the message format.
     pub format: u16,
-    /// Store that it speaks of.
+    /// Address of the store that the sender uses.
     pub store: SocketAddr,
-    /// Random number of this life of the process that tells.
+    /// Random number of the sender's incarnation.
     pub incarnation: u64,
-    /// Its clock when it told.
+    /// The sender's clock when the message was sent.
     pub now: Duration,
-    /// Its clock when the call that last confirmed the state was sent.
+    /// The sender's clock at the start of the store call that last confirmed the state.
     pub confirmed: Duration,
-    /// Its clock when the store last came back, if it has been lost.
+    /// The sender's clock when the store last became reachable again after an outage.
     pub store_returned: Option<Duration>,
-    /// How long the store's last answer took at the entry where the state comes from.
+    /// Latency of the last call to the store, measured by the root from which the state comes.
     pub store_takes: Duration,
-    /// Confirmations that it had counted; the next question names it, and is answered at once only
-    /// if there are more.
+    /// Number of confirmations counted by the sender. The next request repeats it, and is answered
+    /// at once if the number has grown.
     pub turn: u64,
-    /// Place in the store's history that the state leads to.
+    /// Position in the store's history that the state leads to.
     pub position: Position,
-    /// Whether the body is the whole state, and not only what changed.
+    /// Whether the body is the full state rather than a difference.
     pub whole: bool,
-    /// Bytes of the body; what follows is news.
+    /// Size of the body; the rest of the message is gossip.
     pub body_bytes: u32,
-    /// Place behind the latest of the news.
+    /// Index after the last gossip item.
     pub news_end: u64,
 }
 
-/// A state as it is sent.
+/// A state message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateMessage {
-    /// Its head.
+    /// The head.
     pub head: StateHead,
-    /// Its packed body.
+    /// The compressed changes.
     pub body: Bytes,
-    /// News that the asker has not heard.
+    /// Gossip that the requester has not received.
     pub gossip: Vec<GossipItem>,
 }
 
 impl StateMessage {
-    /// The bytes to send: the length of the head, the head, the body, the news.
+    /// Encodes the message: the length of the head, the head, the body, the gossip.
     pub fn to_bytes(&self) -> Result<Bytes, MessageError> {
         let body_bytes = u32::try_from(self.body.len()).map_err(|_| MessageError::Unreadable)?;
         let head = StateHead { body_bytes, ..self.head };
@@ -125,7 +125,7 @@
         Ok(bytes.into())
     }
 
-    /// Reads what was sent, if it is of this format and of the store at `store`.
+    /// Decodes a message of this format and of the store at `store`.
     pub fn from_bytes(bytes: &Bytes, store: SocketAddr) -> Result<Self, MessageError> {
         let (length, rest) = bytes.split_first_chunk::<2>().ok_or(MessageError::Unreadable)?;
         let length = usize::from(u16::from_be_bytes(*length));
@@ -145,13 +145,13 @@
         Ok(StateMessage { head, body: after_head.slice(..body_bytes), gossip })
     }
 
-    /// The changes in its body.
+    /// Decodes the changes in the body.
     pub fn changes(&self) -> Result<Vec<KeyChange>, MessageError> {
         if self.body.is_empty() { Ok(Vec::new()) } else { unpack(&self.body) }
     }
 }
 
-/// Packs changes: serialized, then deflated with a checksum.
+/// Serializes and compresses changes, with a checksum.
 pub fn pack(changes: &[KeyChange]) -> Result<Bytes, MessageError> {
     if changes.is_empty() {
         return Ok(Bytes::new());
@@ -163,7 +163,7 @@
     Ok(packed.into())
 }
 
-/// Unpacks changes; what does not end where it should is refused.
+/// Decompresses changes, and rejects trailing bytes.
 fn unpack(packed: &[u8]) -> Result<Vec<KeyChange>, MessageError> {
     let mut plain = Vec::new();
     let mut decoder = ZlibDecoder::new(packed).take(MAX_UNPACKED_BYTES);
@@ -171,7 +171,7 @@
     read_all(&plain)
 }
 
-/// A message of its own: the format and the store first, then what it is about.
+/// Envelope of all other messages: the format and the store, then the content.
 #[derive(Debug, Serialize, Deserialize)]
 struct Message<T> {
     format: u16,
@@ -179,14 +179,14 @@
     about: T,
 }
 
-/// The bytes of a message to an entry of the deployment with the store at `store`.
+/// Encodes a message to an entry that uses the store at `store`.
 pub fn to_message<T: Serialize>(store: SocketAddr, about: &T) -> Result<Bytes, MessageError> {
     let message = Message { format: FORMAT, store, about };
     let bytes = postcard::to_stdvec(&message).map_err(|_| MessageError::Unreadable)?;
     Ok(bytes.into())
 }
 
-/// Reads a message, if it is of this format and of the store at `store`.
+/// Decodes a message of this format and of the store at `store`.
 pub fn from_message<T: DeserializeOwned>(
     bytes: &[u8],
     store: SocketAddr,
@@ -199,7 +199,8 @@
     Ok(message.about)
 }
 
-/// Checks the format, which comes first and is read alone: the rest may have another form.
+/// Checks the format, which is the first field; the rest of a message of another format may have
+/// another layout.
 fn check_format(bytes: &[u8]) -> Result<(), MessageError> {
     match postcard::take_from_bytes::<u16>(bytes) {
         Ok((FORMAT, _)) => Ok(()),
@@ -208,7 +209,7 @@
     }
 }
 
-/// Reads a value that ends where the bytes do.
+/// Decodes a value that takes up all of `bytes`.
 fn read_all<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
--- a/crates/direct/src/membership/replica.rs
+++ b/crates/direct/src/membership/replica.rs
@@ -1,4 +1,4 @@
-//! The store's keys as this entry last learned them, to be told to others.
+//! Local copy of the store's keys, from which other entries are served.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,45 +7,46 @@
 
 use super::{KeyChange, MessageError, message};
 
-/// Removals remembered. An entry that asks for more is told the whole state.
+/// Maximum number of remembered removals. A requester that needs an older one gets the full state.
 const MAX_REMOVALS: usize = 1_024;
 
 /// A key's value with the revision of its last change.
 #[derive(Debug)]
-struct Held {
+struct Versioned {
     value: Bytes,
     revision: u64,
 }
 
-/// All keys, and which were removed lately.
+/// All keys, and recent removals.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// All removals after this revision are here.
+    /// Removals after this revision are complete.
     start: u64,
     position: Position,
-    held: BTreeMap<String, Held>,
+    keys: BTreeMap<String, Versioned>,
     removed: VecDeque<(u64, String)>,
-    /// The whole state as it is sent, with its revision.
-    whole: Option<(Position, Bytes)>,
-    /// The last changes as they were sent, with the places between which they lie.
-    sent: Option<(Position, Position, Bytes)>,
+    /// The last encoded full state, with its position.
+    full_cache: Option<(Position, Bytes)>,
+    /// The last encoded difference, with its start and end positions.
+    difference_cache: Option<(Position, Position, Bytes)>,
 }
 
 impl Replica {
-    /// Starts anew with everything that was read at `position`.
+    /// Replaces the contents with all keys as read at `position`.
     pub fn reset(&mut self, entries: &[Fetched], position: Position) {
         *self = Replica { start: position.revision, position, ..Replica::default() };
-        entries.iter().for_each(|entry| self.hold(entry));
+        entries.iter().for_each(|entry| self.insert(entry));
     }
 
-    /// Takes changes in that lead to `position`, of the same era.
+    /// Applies changes that lead to `position`, within the same era.
     pub fn apply_changes(&mut self, events: &[StoreEvent], position: Position) {
         for event in events {
             match event {
-                StoreEvent::Written(entry) => self.hold(entry),
+                StoreEvent::Written(entry) => self.insert(entry),
                 StoreEvent::Removed { key, .. } => {
-                    self.held.remove(key);
-                    // NB: a removal counts as if it came last, so that no asker misses it.
+                    self.keys.remove(key);
+                    // A removal is dated as the last change of the batch, so that no requester
+                    // misses it.
                     self.removed.push_back((position.revision, key.clone()));
                 }
             }
@@ -57,21 +58,21 @@
         }
     }
 
-    fn hold(&mut self, entry: &Fetched) {
+    fn insert(&mut self, entry: &Fetched) {
         let value = Bytes::copy_from_slice(&entry.value);
-        self.held.insert(entry.key.clone(), Held { value, revision: entry.revision });
+        self.keys.insert(entry.key.clone(), Versioned { value, revision: entry.revision });
     }
 
-    /// Place up to which changes are known.
+    /// Position up to which all changes are applied.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The last change of each key after `position`, in order; `None` if some removals are no longer
-    /// remembered or the place is of an earlier era, so that only the whole state tells.
+    /// The last change of each key after `position`, in order; `None` if some removals are no
+    /// longer remembered or `position` is of an earlier era, so that the full state is needed.
     ///
-    /// Earlier changes of a key are left out: an asker that is behind by ten large configurations
-    /// needs only the newest, and a slow link could not carry them all in time.
+    /// Earlier changes of a key are left out: a requester that is ten large configurations behind
+    /// needs only the newest, and a slow link could not carry all of them in time.
     pub fn changes_after(&self, position: Position) -> Option<Vec<KeyChange>> {
         if position >= self.position {
             return Some(Vec::new());
@@ -80,12 +81,12 @@
         if era != self.position.era || revision < self.start {
             return None;
         }
-        let written = self.held.iter().filter(|(_, held)| held.revision > revision);
+        let written = self.keys.iter().filter(|(_, entry)| entry.revision > revision);
         let mut changes: Vec<KeyChange> =
-            written.map(|(key, held)| written_change(key, held)).collect();
-        let gone =
-            self.removed.iter().filter(|(at, key)| *at > revision && !self.held.contains_key(key));
-        changes.extend(gone.map(|(at, key)| KeyChange {
+            written.map(|(key, entry)| to_change(key, entry)).collect();
+        let removals =
+            self.removed.iter().filter(|(at, key)| *at > revision && !self.keys.contains_key(key));
+        changes.extend(removals.map(|(at, key)| KeyChange {
             key: key.clone(),
             value: None,
             revision: *at,
@@ -94,39 +95,39 @@
         Some(changes)
     }
 
-    /// The changes after `revision` as they are sent; `None` if only the whole state tells. They are
-    /// packed once for all that ask for the same: a large configuration takes some 10 ms.
+    /// The encoded changes after `position`; `None` if the full state is needed. They are cached
+    /// for requesters at the same position: compressing a large configuration takes some 10 ms.
     pub fn packed_changes_after(
         &mut self,
         position: Position,
     ) -> Option<Result<Bytes, MessageError>> {
-        if let Some((from, to, bytes)) = &self.sent
+        if let Some((from, to, bytes)) = &self.difference_cache
             && (*from, *to) == (position, self.position)
         {
             return Some(Ok(bytes.clone()));
         }
         let packed = message::pack(&self.changes_after(position)?);
         if let Ok(bytes) = &packed {
-            self.sent = Some((position, self.position, bytes.clone()));
+            self.difference_cache = Some((position, self.position, bytes.clone()));
         }
         Some(packed)
     }
 
-    /// The whole state as it is sent. It is built once for each revision, since after a restart of
-    /// all entries many ask for the same.
+    /// The encoded full state. It is cached per position, since many entries request the same state
+    /// after a restart of all.
     pub fn packed_state(&mut self) -> Result<Bytes, MessageError> {
-        if let Some((position, bytes)) = &self.whole
+        if let Some((position, bytes)) = &self.full_cache
             && *position == self.position
         {
             return Ok(bytes.clone());
         }
-        let all = self.held.iter().map(|(key, held)| written_change(key, held));
+        let all = self.keys.iter().map(|(key, entry)| to_change(key, entry));
         let bytes = message::pack(&all.collect::<Vec<_>>())?;
-        self.whole = Some((self.position, bytes.clone()));
+        self.full_cache = Some((self.position, bytes.clone()));
         Ok(bytes)
     }
 }
 
-fn written_change(key: &str, held: &Held) -> KeyChange {
-    KeyChange { key: key.to_owned(), value: Some(held.value.to_vec()), revision: held.revision }
+fn to_change(key: &str, entry: &Versioned) -> KeyChange {
+    KeyChange { key: key.to_owned(), value: Some(entry.value.to_vec()), revision: entry.revision }
 }
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -1,4 +1,4 @@
-//! Answers other entries.
+//! Server for requests from other entries.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -21,70 +21,72 @@
 };
 use crate::{core::Core, journal::Rank, metrics::Counter};
 
-/// Bytes of news that an entry reads from another at once: the sessions that a hundred entries keep
-/// are a third of this.
-const MAX_NEWS_BYTES: usize = 1024 * 1024;
+/// Maximum size of a posted message: three times the sessions that a hundred entries keep.
+const MAX_POST_BYTES: usize = 1024 * 1024;
 
-/// A message that was refused.
+/// Log event of a rejected message.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum ServeEvent {
     NewsRefused { error: String },
 }
 
-/// A question as it was read.
+/// A parsed state request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Asked {
+struct ParsedRequest {
     after: Position,
-    /// What the answer that the asker heard last said of itself.
-    heard: Option<Heard>,
-    need: StateRequestKind,
+    /// Metadata of the last response that the requester received.
+    last: Option<ResponseMark>,
+    kind: StateRequestKind,
 }
 
-/// The life of the process that told it, its turn, and the end of its news.
+/// Incarnation, confirmation count and gossip index of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Heard {
+struct ResponseMark {
     incarnation: u64,
     turn: u64,
     news_end: u64,
 }
 
-impl Heard {
+impl ResponseMark {
     fn parse(text: &str) -> Option<Self> {
         let mut numbers = text.split('.');
         let incarnation = u64::from_str_radix(numbers.next()?, 16).ok()?;
         let turn = numbers.next()?.parse().ok()?;
         let news_end = numbers.next()?.parse().ok()?;
-        Some(Heard { incarnation, turn, news_end })
+        Some(ResponseMark { incarnation, turn, news_end })
     }
 }
 
-impl Asked {
-    /// Reads the query of a question.
+impl ParsedRequest {
+    /// Parses the query string of a state request.
     fn parse(query: &str) -> Option<Self> {
-        let mut asked =
-            Asked { after: Position::default(), heard: None, need: StateRequestKind::Changes };
+        let mut parsed = ParsedRequest {
+            after: Position::default(),
+            last: None,
+            kind: StateRequestKind::Changes,
+        };
         for pair in query.split('&') {
             match pair.split_once('=')? {
-                ("after", text) => asked.after = parse_position(text)?,
-                ("now", "1") => asked.need = StateRequestKind::ChangesNow,
-                ("first", "wait") => asked.need = StateRequestKind::FirstState,
-                ("first", "now") => asked.need = StateRequestKind::FirstStateNow,
-                ("heard", text) => asked.heard = Some(Heard::parse(text)?),
+                ("after", text) => parsed.after = parse_position(text)?,
+                ("now", "1") => parsed.kind = StateRequestKind::ChangesNow,
+                ("first", "wait") => parsed.kind = StateRequestKind::FirstState,
+                ("first", "now") => parsed.kind = StateRequestKind::FirstStateNow,
+                ("heard", text) => parsed.last = Some(ResponseMark::parse(text)?),
                 _ => return None,
             }
         }
-        Some(asked)
+        Some(parsed)
     }
 }
 
-/// Reads a place as a question names it: `ERA.REVISION`.
+/// Parses a position of the form `ERA.REVISION`.
 fn parse_position(text: &str) -> Option<Position> {
     let (era, revision) = text.split_once('.')?;
     Some(Position { era: era.parse().ok()?, revision: revision.parse().ok()? })
 }
 
-/// Answers on one connection from another entry.
+/// Serves one connection from another entry.
 pub async fn serve<I>(core: Rc<Core>, io: I)
 where
     I: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -93,25 +95,24 @@
         let core = Rc::clone(&core);
         async move {
             let response = match request.uri().path() {
-                STATE_PATH => tell_state(&core, &request).await,
-                NEWS_PATH => hear_news(&core, request).await,
+                STATE_PATH => send_state(&core, &request).await,
+                NEWS_PATH => receive_gossip(&core, request).await,
                 PROBE_PATH => {
-                    answer_question(&core, request, async |core, body| core.answer_probe(body))
-                        .await
+                    answer_query(&core, request, async |core, body| core.answer_probe(body)).await
                 }
-                PERMIT_PATH => answer_question(&core, request, Core::answer_permit).await,
+                PERMIT_PATH => answer_query(&core, request, Core::answer_permit).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
         }
     });
-    // NB: a connection that breaks is opened again by whoever asks.
+    // The peer reopens a connection that breaks.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(io), service).await;
 }
 
-/// Takes news from an entry below, or from another root.
-async fn hear_news(core: &Core, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let body = Limited::new(request.into_body(), MAX_NEWS_BYTES).collect().await;
+/// Receives gossip from a child, or from another root.
+async fn receive_gossip(core: &Core, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let body = Limited::new(request.into_body(), MAX_POST_BYTES).collect().await;
     let items = match body {
         Ok(body) => from_message::<Vec<GossipItem>>(&body.to_bytes(), core.settings.store.address),
         Err(_) => Err(MessageError::Unreadable),
@@ -128,13 +129,13 @@
     }
 }
 
-/// Answers a question that comes as a message, as `answer` does.
-async fn answer_question(
+/// Answers a posted query with the result of `answer`.
+async fn answer_query(
     core: &Core,
     request: Request<Incoming>,
     answer: impl AsyncFnOnce(&Core, &[u8]) -> Result<Bytes, MessageError>,
 ) -> Response<Full<Bytes>> {
-    let body = Limited::new(request.into_body(), MAX_NEWS_BYTES).collect().await;
+    let body = Limited::new(request.into_body(), MAX_POST_BYTES).collect().await;
     let answer = match body {
         Ok(body) => answer(core, &body.to_bytes()).await,
         Err(_) => Err(MessageError::Unreadable),
@@ -148,11 +149,11 @@
     }
 }
 
-async fn tell_state(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let Some(asked) = request.uri().query().and_then(Asked::parse) else {
+async fn send_state(core: &Core, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let Some(parsed) = request.uri().query().and_then(ParsedRequest::parse) else {
         return with_status(StatusCode::BAD_REQUEST, Bytes::new());
     };
-    match wait_for_state(core, asked).await {
+    match wait_for_state(core, parsed).await {
         Some(Ok(bytes)) => {
             core.metrics.count(Counter::QuestionsAnswered);
             core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
@@ -163,64 +164,64 @@
     }
 }
 
-/// Holds a question until there is something to tell; `None` once the own confirmation has grown
-/// too old to be of use.
-async fn wait_for_state(core: &Core, asked: Asked) -> Option<Result<Bytes, MessageError>> {
+/// Holds a state request until there is something new to send; `None` once the local confirmation
+/// is too old to be useful.
+async fn wait_for_state(core: &Core, parsed: ParsedRequest) -> Option<Result<Bytes, MessageError>> {
     let times = &core.settings.membership.times;
-    let held_from = core.clock.now();
+    let received_at = core.clock.now();
     loop {
-        let something_new = core.something_new.notified();
-        if has_news(core, asked) {
-            return Some(state_after(core, asked));
+        let state_changed = core.something_new.notified();
+        if has_update(core, parsed) {
+            return Some(encode_state(core, parsed));
         }
-        if matches!(asked.need, StateRequestKind::ChangesNow | StateRequestKind::FirstStateNow) {
+        if matches!(parsed.kind, StateRequestKind::ChangesNow | StateRequestKind::FirstStateNow) {
             return None;
         }
-        let too_old_at = too_old_at(core);
-        // NB: an entry that has lost its way may be about to find another.
-        let give_up = too_old_at.unwrap_or_default().max(held_from + times.hold_while_old);
-        if timeout_at(core.clock.instant(give_up), something_new).await.is_err() {
+        let stale_at = stale_at(core);
+        // An entry that has lost its parent may be about to find another.
+        let give_up = stale_at.unwrap_or_default().max(received_at + times.hold_while_old);
+        if timeout_at(core.clock.instant(give_up), state_changed).await.is_err() {
             return None;
         }
     }
 }
 
-/// When the own confirmation will be too old to be of use, if there is one.
+/// When the local confirmation becomes too old to be useful; `None` without a confirmation.
 ///
-/// NB: where answers of the store take long, every state is as old; refused for that, the changes
-/// that it holds would reach nobody.
-fn too_old_at(core: &Core) -> Option<Duration> {
+/// If the store is slow, every state is older by that latency. The limit includes it, since
+/// otherwise no request would be answered and changes would reach no entry.
+fn stale_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let oldest_told = core.settings.membership.times.oldest_told + state.store_takes;
-    state.freshness.confirmed().map(|at| at + oldest_told)
+    let max_age = core.settings.membership.times.oldest_told + state.store_takes;
+    state.freshness.confirmed().map(|at| at + max_age)
 }
 
-/// Whether the asker gains anything by an answer now.
-fn has_news(core: &Core, asked: Asked) -> bool {
-    let Some(too_old_at) = too_old_at(core) else { return false };
-    let is_young = core.clock.now() < too_old_at;
+/// Whether a response now would give the requester anything new.
+fn has_update(core: &Core, parsed: ParsedRequest) -> bool {
+    let Some(stale_at) = stale_at(core) else { return false };
+    let is_fresh = core.clock.now() < stale_at;
     let state = core.state.borrow();
-    let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
-    let has_changes = state.replica.position() > asked.after;
-    let (is_confirmed_anew, has_news) = match heard {
-        Some(heard) => (state.turn != heard.turn, core.news.borrow().end() > heard.news_end),
+    let last = parsed.last.filter(|last| last.incarnation == core.incarnation);
+    let has_changes = state.replica.position() > parsed.after;
+    let (is_reconfirmed, has_gossip) = match last {
+        Some(last) => (state.turn != last.turn, core.news.borrow().end() > last.news_end),
         None => (true, false),
     };
-    match asked.need {
+    match parsed.kind {
         StateRequestKind::FirstState | StateRequestKind::FirstStateNow => true,
-        // NB: changes and news count whatever the age of the state, which is told with them.
+        // Changes and gossip are sent whatever the age of the state, which the response carries.
         StateRequestKind::Changes | StateRequestKind::ChangesNow => {
-            has_news || has_changes || is_confirmed_anew && is_young
+            has_gossip || has_changes || is_reconfirmed && is_fresh
         }
     }
 }
 
-fn state_after(core: &Core, asked: Asked) -> Result<Bytes, MessageError> {
+fn encode_state(core: &Core, parsed: ParsedRequest) -> Result<Bytes, MessageError> {
     let summary = core.summary_of_ends();
     let mut state = core.state.borrow_mut();
-    let changes = match asked.need {
+    let changes = match parsed.kind {
         StateRequestKind::Changes | StateRequestKind::ChangesNow => {
-            state.replica.packed_changes_after(asked.after)
+            state.replica.packed_changes_after(parsed.after)
         }
         StateRequestKind::FirstState | StateRequestKind::FirstStateNow => None,
     };
@@ -229,29 +230,29 @@
         Some(changes) => changes?,
         None => state.replica.packed_state()?,
     };
-    let heard = asked.heard.filter(|heard| heard.incarnation == core.incarnation);
+    let last = parsed.last.filter(|last| last.incarnation == core.incarnation);
     let summary =
-        if heard.is_none() { summary.map(|news| core.new_gossip_item(news)) } else { None };
-    let news = core.news.borrow();
-    let mut unheard = news.since(heard.map_or(0, |heard| heard.news_end), core.clock.now());
-    unheard.extend(summary);
+        if last.is_none() { summary.map(|gossip| core.new_gossip_item(gossip)) } else { None };
+    let gossip = core.news.borrow();
+    let mut unsent = gossip.items_from(last.map_or(0, |last| last.news_end), core.clock.now());
+    unsent.extend(summary);
     let head = StateHead {
         format: FORMAT,
         store: core.settings.store.address,
         incarnation: core.incarnation,
         now: core.clock.now(),
-        // NB: only an entry that was confirmed answers.
+        // A state without a confirmation is not sent.
         confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
         store_takes: state.store_takes,
         turn: state.turn,
         position: state.replica.position(),
         whole,
-        // NB: filled in when the bytes are made.
+        // Set when the message is encoded.
         body_bytes: 0,
-        news_end: news.end(),
+        news_end: gossip.end(),
     };
-    StateMessage { head, body, gossip: unheard }.to_bytes()
+    StateMessage { head, body, gossip: unsent }.to_bytes()
 }
 
 fn with_status(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
--- a/crates/direct/src/membership/tree.rs
+++ b/crates/direct/src/membership/tree.rs
@@ -1,43 +1,43 @@
-//! Who asks whom, by place in the order of the entries.
+//! Distribution tree, derived from the order of the entries.
 //!
-//! The first entries are roots and ask the store. If the others are too many to ask the roots
-//! themselves, the next ones are branches, which ask a root, and the rest are leaves, which ask a
-//! branch. The number of roots does not grow with the entries, and nobody is asked by many.
+//! The first entries are roots and watch the store. If the others are too many to poll the roots
+//! themselves, the next ones are branches, which poll a root, and the rest are leaves, which poll a
+//! branch. The number of roots is bounded, and so is the number of children of each entry.
 
-/// Most roots. With three, a third of the entries may be cut off from the store and 27 in 28 times
-/// a root is left; more would only cost calls.
-const MOST_ROOTS: usize = 3;
-/// Entries for each root beyond the first, up to the most.
+/// Maximum number of roots. With three, if a third of the entries lose the store, at least one root
+/// keeps it in 27 of 28 cases; more roots would only cost calls.
+const MAX_ROOTS: usize = 3;
+/// Entries for each root beyond the first, up to [`MAX_ROOTS`].
 const ENTRIES_PER_ROOT: usize = 16;
-/// Entries that may ask one other. An answer costs some 0.1 ms of a processor, and twice a second
-/// for each asker that is a third of a hundredth of one core.
+/// Maximum number of children of an entry. A response takes some 0.1 ms of processor time, and two
+/// a second for each child add up to a third of a percent of one core.
 pub const FAN_OUT: usize = 16;
 
-/// Where an entry stands in the tree.
+/// Role of an entry in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TreeRole {
-    /// It asks the store.
+    /// Watches the store.
     Root,
-    /// It asks the entry at this place of the order.
+    /// Polls the entry at this index of the order.
     ChildOf(usize),
 }
 
-/// Roots among so many entries.
+/// Number of roots among `entries` entries.
 pub fn root_count(entries: usize) -> usize {
-    (1 + entries / ENTRIES_PER_ROOT).min(MOST_ROOTS)
+    (1 + entries / ENTRIES_PER_ROOT).min(MAX_ROOTS)
 }
 
-/// Branches among so many entries; none while the roots can be asked by all.
-fn branches(entries: usize, roots: usize) -> usize {
+/// Number of branches; 0 while all other entries can poll the roots directly.
+fn branch_count(entries: usize, roots: usize) -> usize {
     let others = entries.saturating_sub(roots);
     if others <= roots * FAN_OUT { 0 } else { others.div_ceil(FAN_OUT + 1) }
 }
 
-/// The place of an entry that is `position`th of `entries`, in a tree, or without one below as
-/// many roots as there are sixteenths of the entries.
+/// Role of the entry at index `position` of `entries`. Without a tree there is one root per 16
+/// entries, and all others poll a root.
 pub fn tree_role(position: usize, entries: usize, in_tree: bool) -> TreeRole {
     let roots = if in_tree { root_count(entries) } else { 1 + entries / ENTRIES_PER_ROOT };
-    let branches = if in_tree { branches(entries, roots) } else { 0 };
+    let branches = if in_tree { branch_count(entries, roots) } else { 0 };
     if position < roots {
         TreeRole::Root
     } else if branches == 0 || position < roots + branches {
