--- a/crates/direct/tests/cold_servers_and_evacuations.rs
+++ b/crates/direct/tests/cold_servers_and_evacuations.rs
@@ -1,10 +1,10 @@
-//! Evacuated data centres, cold servers, servers born anew, and entries that cannot be read.
+//! Evacuated data centres, cold servers, restarted servers, and unreadable store entries.
 
 mod common;
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use common::{Answer, World, address, catalog, play_with, request, with};
+use common::{Answer, World, address, catalog, request, run_test_with, with};
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::catalog::Catalog;
 use pondwalk_standin::{backends::Act, memory_store::Weather};
@@ -13,37 +13,37 @@
     time::{Instant, sleep},
 };
 
-/// Settings of an entry that is listed, where servers bear 14 requests a second while cold.
+/// Settings of a listed entry whose servers take 14 requests a second while cold.
 const COLD: &str = "peers=127.0.0.1:4\n[warm_up]\novershoot=1.5\ntolerance=5\nheartbeat_ms=1200\n";
 /// Requests that a cold server may get in a second: 14 x 1.5 + 5.
-const MOST: usize = 26;
+const MAX_PER_SECOND: usize = 26;
 
-fn made() -> Act {
+fn ok_response() -> Act {
     Act::Answer(200, "made".into())
 }
 
-/// The usual configuration, whose services warm up.
+/// The usual configuration, with services that warm up.
 fn warming(version: u64) -> Catalog {
     let warm_up = WarmUp { time: Duration::from_secs(3), requests_per_s: 14.0 };
     common::catalog_warming(version, Some(warm_up))
 }
 
-/// Lists a server in a data centre, cold for some time, of one start.
+/// Lists a server in a data centre, with its remaining warm-up time and start time.
 fn list(world: &World, n: u16, data_centre: &str, cold_ms: u64, born_ms: u64) {
     let value = format!("s {} {data_centre} v1 ready {cold_ms} {born_ms}", address(n));
     world.store.put(&format!("server/s{n}"), &value);
 }
 
 fn start(world: &World, n: u16, data_centre: &str) {
-    world.backends.start(address(n), &format!("s{n}"), made());
+    world.backends.start(address(n), &format!("s{n}"), ok_response());
     list(world, n, data_centre, 0, 1);
 }
 
-async fn ask(world: &World, id: &str) -> Answer {
-    world.ask(request("/again/x", id)).await
+async fn call(world: &World, id: &str) -> Answer {
+    world.call(request("/again/x", id)).await
 }
 
-/// Requests that servers have read, by server.
+/// Requests that were read by these servers.
 fn seen(world: &World, servers: std::ops::RangeInclusive<u16>) -> Vec<usize> {
     servers.map(|n| world.backends.seen(address(n)).len()).collect()
 }
@@ -55,35 +55,35 @@
 }
 
 #[test]
-fn nothing_reaches_an_evacuated_data_centre_until_it_is_taken_back() {
-    play_with(COLD, |world| async move {
+fn evacuated_data_centre_gets_no_requests_until_revoked() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
-        assert_eq!(ask(&world, "r0").await.status.as_u16(), 200);
-        assert_eq!(seen(&world, 1..=2), [1, 0], "the near one is asked");
+        assert_eq!(call(&world, "r0").await.status.as_u16(), 200);
+        assert_eq!(seen(&world, 1..=2), [1, 0], "the local server is used");
         world.store.put("evacuate/dc1", "{}");
         sleep(Duration::from_millis(900)).await;
         for n in 0..20 {
-            assert_eq!(ask(&world, &format!("r{n}")).await.status.as_u16(), 200);
+            assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
         assert_eq!(seen(&world, 1..=2), [1, 20]);
         world.store.remove("evacuate/dc1");
         sleep(Duration::from_millis(5_000)).await;
-        ask(&world, "back").await;
+        call(&world, "back").await;
         assert_eq!(seen(&world, 1..=2), [2, 20]);
     });
 }
 
 #[test]
-fn with_all_data_centres_evacuated_callers_are_refused_at_once() {
-    play_with(COLD, |world| async move {
+fn callers_are_refused_at_once_if_all_data_centres_are_evacuated() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
         world.store.put("evacuate/dc1", "{}");
         world.store.put("evacuate/dc2", "{}");
         sleep(Duration::from_millis(900)).await;
         let before = Instant::now();
-        let answer = ask(&world, "r").await;
+        let answer = call(&world, "r").await;
         assert_eq!(answer.status.as_u16(), 503);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(before.elapsed() < Duration::from_millis(50));
@@ -92,96 +92,96 @@
 }
 
 #[test]
-fn an_entry_that_starts_knows_of_evacuations_before_it_serves() {
-    play_with(COLD, |world| async move {
+fn starting_entry_applies_evacuations_before_serving() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.store.put("evacuate/dc1", "{}");
         world.start().await;
         for n in 0..5 {
-            assert_eq!(ask(&world, &format!("r{n}")).await.status.as_u16(), 200);
+            assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
         assert_eq!(seen(&world, 1..=2), [0, 5]);
     });
 }
 
 #[test]
-fn an_evacuation_outlasts_the_loss_of_the_store_and_of_its_history() {
-    play_with(COLD, |world| async move {
+fn evacuation_survives_store_outage_and_lost_history() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
         world.store.put("evacuate/dc1", "{}");
         sleep(Duration::from_millis(900)).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(3)).await;
-        ask(&world, "away").await;
+        call(&world, "away").await;
         world.store.forget_history();
         world.store.set_weather(Weather::Fair);
         sleep(Duration::from_secs(2)).await;
-        ask(&world, "back").await;
+        call(&world, "back").await;
         assert_eq!(seen(&world, 1..=2), [0, 2]);
-        // NB: taken back while nobody could tell; the next whole reading shows it.
+        // Revoked while the store is unreachable; the next full read shows it.
         world.store.set_weather(Weather::Refused);
         world.store.remove("evacuate/dc1");
         sleep(Duration::from_secs(1)).await;
         world.store.forget_history();
         world.store.set_weather(Weather::Fair);
         sleep(Duration::from_secs(6)).await;
-        ask(&world, "near").await;
+        call(&world, "near").await;
         assert_eq!(seen(&world, 1..=2), [1, 2]);
     });
 }
 
 #[test]
-fn an_unknown_data_centre_evacuated_changes_nothing_and_is_logged() {
-    play_with(COLD, |world| async move {
+fn evacuation_of_unknown_data_centre_is_logged_without_effect() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
         world.store.put("evacuate/nowhere", "???");
         sleep(Duration::from_millis(900)).await;
-        assert_eq!(ask(&world, "r").await.status.as_u16(), 200);
+        assert_eq!(call(&world, "r").await.status.as_u16(), 200);
         assert!(world.entry.metrics_text().contains("pondwalk_data_centres_evacuated 1"));
     });
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_server_and_the_others_hold() {
-    play_with(COLD, |world| async move {
+fn unreadable_server_record_is_ignored() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
         world.store.put("server/s1", "gibberish");
         sleep(Duration::from_millis(900)).await;
         for n in 0..5 {
-            assert_eq!(ask(&world, &format!("r{n}")).await.status.as_u16(), 200);
+            assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
         assert_eq!(seen(&world, 1..=2), [0, 5]);
         list(&world, 1, "dc1", 0, 1);
         sleep(Duration::from_millis(900)).await;
-        ask(&world, "again").await;
+        call(&world, "again").await;
         assert_eq!(seen(&world, 1..=2), [1, 5]);
     });
 }
 
 #[test]
-fn a_server_that_left_takes_work_again_once_it_is_born_anew() {
-    play_with(COLD, |world| async move {
+fn drained_server_is_used_again_after_restart() {
+    run_test_with(COLD, |world| async move {
         fixture(&world);
         world.start().await;
-        // NB: beyond a share of its requests, an entry sends again only once it is listed among the others.
+        // Beyond a share of its requests, an entry retries only once it is listed.
         sleep(Duration::from_secs(2)).await;
-        // NB: another one has its address for a moment.
-        world.backends.start(address(1), "other", made());
-        assert_eq!(ask(&world, "r0").await.status.as_u16(), 200);
-        world.backends.start(address(1), "s1", made());
-        ask(&world, "r1").await;
-        assert_eq!(seen(&world, 1..=2), [0, 2], "it has left");
+        // Another server has its address for a while.
+        world.backends.start(address(1), "other", ok_response());
+        assert_eq!(call(&world, "r0").await.status.as_u16(), 200);
+        world.backends.start(address(1), "s1", ok_response());
+        call(&world, "r1").await;
+        assert_eq!(seen(&world, 1..=2), [0, 2], "it is draining");
         list(&world, 1, "dc1", 0, 2);
         sleep(Duration::from_millis(900)).await;
-        ask(&world, "r2").await;
+        call(&world, "r2").await;
         assert_eq!(seen(&world, 1..=2), [1, 2]);
     });
 }
 
-/// Sends requests at an even pace, and notes what became of each, and after which time.
+/// Sends requests at a constant rate, and records the status and the duration of each.
 async fn load(
     world: &Rc<World>,
     per_s: u32,
@@ -192,12 +192,12 @@
     for n in 0..count {
         let (world, outcomes) = (Rc::clone(world), Rc::clone(&outcomes));
         spawn_local(async move {
-            let asked = Instant::now();
+            let start = Instant::now();
             let sent = with(request("/again/x", &format!("r{n}")), "pondwalk-deadline-ms", "8000");
-            let answer = world.ask(sent).await;
+            let answer = world.call(sent).await;
             let retry_after = answer.headers.get("retry-after");
             let retry_after = retry_after.and_then(|text| text.to_str().ok()?.parse().ok());
-            outcomes.borrow_mut().push((answer.status.as_u16(), asked.elapsed(), retry_after));
+            outcomes.borrow_mut().push((answer.status.as_u16(), start.elapsed(), retry_after));
         });
         sleep(Duration::from_secs(1) / per_s).await;
     }
@@ -205,8 +205,8 @@
     outcomes
 }
 
-/// Most requests that a server read within any second.
-fn most_in_a_second(arrivals: &[Duration]) -> usize {
+/// Maximum number of requests within any second.
+fn max_per_second(arrivals: &[Duration]) -> usize {
     let within = |from: Duration| {
         let is_within = |at: &&Duration| **at >= from && **at < from + Duration::from_secs(1);
         arrivals.iter().filter(is_within).count()
@@ -215,10 +215,10 @@
 }
 
 #[test]
-fn a_data_centre_that_comes_back_cold_under_a_rush_gets_what_it_bears_and_callers_are_served() {
-    // Three servers of each of two data centres, 1.6 times the traffic of a calm day for each of them
-    // (12 requests a second): what the cold ones cannot take, the warm ones do.
-    play_with(COLD, |world| async move {
+fn cold_data_centre_under_load_gets_its_limit_and_callers_are_served() {
+    // Three servers in each of two data centres, at 1.6 times the usual load of 12 requests a
+    // second for each data centre. The warm servers take what the cold ones cannot.
+    run_test_with(COLD, |world| async move {
         let world = Rc::new(world);
         world.configure(warming(1));
         (1..=3).for_each(|n| start(&world, n, "dc1"));
@@ -244,8 +244,8 @@
             }
         }
         for arrivals in &arrivals {
-            let most = most_in_a_second(arrivals);
-            assert!(most <= MOST, "{most} requests in a second at a cold server");
+            let most = max_per_second(arrivals);
+            assert!(most <= MAX_PER_SECOND, "{most} requests in a second at a cold server");
             assert!(arrivals.len() > 15, "it is used while cold: {}", arrivals.len());
         }
         let outcomes = loading.await.expect("no panic");
@@ -253,15 +253,15 @@
         let served = outcomes.iter().filter(|(status, ..)| *status == 200).count();
         assert_eq!(served, outcomes.len(), "all are served");
         assert!(outcomes.iter().all(|(_, took, _)| *took < Duration::from_millis(500)));
-        // NB: full members again a second after they are warm.
+        // A second after they are warm, they have their full share again.
         let share = |n: u16| world.backends.seen(address(n)).len();
         assert!((1..=3).all(|n| share(n) > 40), "{:?}", seen(&world, 1..=6));
     });
 }
 
 #[test]
-fn where_all_are_cold_callers_wait_for_room_and_the_rest_is_refused_early_with_when_to_come_back() {
-    play_with(COLD, |world| async move {
+fn callers_wait_or_are_refused_with_retry_after_if_all_servers_are_cold() {
+    run_test_with(COLD, |world| async move {
         let world = Rc::new(world);
         world.configure(warming(1));
         (1..=2).for_each(|n| start(&world, n, "dc1"));
@@ -272,8 +272,8 @@
         let outcomes = load(&world, 60, Duration::from_secs(5)).await;
         let outcomes = outcomes.borrow();
         let served = outcomes.iter().filter(|(status, ..)| *status == 200).count();
-        // Two servers take half of the bound each, 13 in a second, and six seconds begin while callers
-        // ask or wait.
+        // Each of the two servers takes 13 requests a second, and requests arrive or wait for six
+        // seconds.
         assert!((110..=156).contains(&served), "{served} served of {}", outcomes.len());
         for (status, took, retry_after) in outcomes.iter() {
             // A quarter of the objective of two seconds.
@@ -287,8 +287,8 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_spared_when_it_is_back() {
-    play_with(COLD, |world| async move {
+fn unreachable_server_is_limited_on_return() {
+    run_test_with(COLD, |world| async move {
         let world = Rc::new(world);
         world.configure(catalog(1));
         world.configure(warming(2));
@@ -297,41 +297,41 @@
         sleep(Duration::from_secs(2)).await;
         world.backends.stop(address(1));
         for n in 0..4 {
-            assert_eq!(ask(&world, &format!("r{n}")).await.status.as_u16(), 200);
+            assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
-        // It is back, cold, and has not yet told so.
-        world.backends.start(address(1), "s1", made());
+        // It is back, cold, and has not reported it yet.
+        world.backends.start(address(1), "s1", ok_response());
         let outcomes = load(&world, 100, Duration::from_secs(2)).await;
         assert!(outcomes.borrow().iter().all(|(status, ..)| *status == 200));
         let got = seen(&world, 1..=1)[0];
-        assert!(got <= MOST * 2, "{got} requests in two seconds");
+        assert!(got <= MAX_PER_SECOND * 2, "{got} requests in two seconds");
         assert!(world.entry.metrics_text().contains("pondwalk_servers_cold 1"));
     });
 }
 
 #[test]
-fn an_answer_that_was_made_is_passed_on_where_a_larger_model_would_have_to_wait() {
-    // A cold server may get one request a second of this entry.
+fn response_is_passed_on_if_the_larger_model_is_cold() {
+    // A cold server may get one request a second from this entry.
     let bounds = "peers=127.0.0.1:4\n[warm_up]\novershoot=0.15\ntolerance=0\nheartbeat_ms=1200\n";
-    play_with(bounds, |world| async move {
+    run_test_with(bounds, |world| async move {
         world.configure(warming(1));
         world.start_server(1, "m", "v1", common::stream(3, Some(10)));
         world.start().await;
         sleep(Duration::from_secs(5)).await;
-        let ask = |id: &str| {
+        let call = |id: &str| {
             let sent = with(request("/models/x", id), "pondwalk-session", "a");
             let sent = with(sent, "pondwalk-token-usage", "1000,10");
-            world.ask(with(sent, "pondwalk-model", "auto"))
+            world.call(with(sent, "pondwalk-model", "auto"))
         };
-        let first = ask("first").await;
+        let first = call("first").await;
         assert_eq!(first.status.as_u16(), 200);
         world.start_server(2, "m", "v2", common::stream(3, Some(90)));
         world.store.put("order/m", "v2 20");
         world.store.put("server/s1", &format!("m {} dc1 v1 ready 9000 1", address(1)));
         sleep(Duration::from_millis(1_200)).await;
-        // NB: its session is on the old version, whose only server is cold; the other one is warm.
+        // The session is on the old version, whose only server is cold; the other server is warm.
         let before = world.backends.seen(address(1)).len();
-        let answer = ask("second").await;
+        let answer = call("second").await;
         assert_eq!((answer.status.as_u16(), answer.whole), (200, true));
         assert_eq!(seen(&world, 1..=2), [before + 1, 0]);
     });
--- a/crates/direct/tests/common/crashing.rs
+++ b/crates/direct/tests/common/crashing.rs
@@ -1,4 +1,4 @@
-//! Callers that bring a request again which ends every server that runs it.
+//! Requests whose content crashes every server that runs it, and callers that repeat them.
 
 #![allow(dead_code)]
 
@@ -15,24 +15,24 @@
     time::{Instant, sleep},
 };
 
-use super::{LETHAL_BODY, World, catalog, net::Net, play, request, stream, with, with_body};
+use super::{CRASHING_BODY, World, catalog, net::Net, request, run_test, stream, with, with_body};
 
-/// Servers of a service.
+/// Number of servers of the service.
 pub const SERVERS: u16 = 30;
-/// Servers that a request may end before it is known for that.
-pub const ENDS: usize = 3;
-/// Further runs that are allowed from `KNOWN_AFTER` the third of those ends on.
-pub const FURTHER_RUNS: usize = 3;
-/// Time in which all entries that are in touch with one another must know.
-pub const KNOWN_AFTER: Duration = Duration::from_millis(2_500);
-/// Time from the beginning of a run until its server ends.
-pub const ENDS_AFTER: Duration = Duration::from_millis(60);
-
-pub fn made() -> Act {
+/// Crashes that a content may cause before it is quarantined.
+pub const MAX_CRASHES: usize = 3;
+/// Further runs allowed later than [`DETECTION_TIME`] after the third of those crashes.
+pub const MAX_FURTHER_RUNS: usize = 3;
+/// Time within which all connected entries must have detected the content.
+pub const DETECTION_TIME: Duration = Duration::from_millis(2_500);
+/// Time from the beginning of a run to the server's crash.
+pub const CRASH_AFTER: Duration = Duration::from_millis(60);
+
+pub fn ok_response() -> Act {
     Act::Answer(200, "made".into())
 }
 
-/// What a kind of request is sent to, and what its servers usually do.
+/// A kind of request: its path, service, and the servers' usual behaviour.
 #[derive(Debug, Clone)]
 pub struct Kind {
     pub path: &'static str,
@@ -40,42 +40,42 @@
     pub usual: Act,
 }
 
-pub fn again() -> Kind {
-    Kind { path: "/again/x", service: "s", usual: made() }
+pub fn repeatable() -> Kind {
+    Kind { path: "/again/x", service: "s", usual: ok_response() }
 }
 
 /// All kinds of requests.
 pub fn kinds() -> Vec<Kind> {
     let streams = stream(100, Some(90));
     vec![
-        again(),
-        Kind { path: "/once/x", ..again() },
-        Kind { path: "/open/x", ..again() },
-        Kind { path: "/stream/x", usual: streams.clone(), ..again() },
-        Kind { path: "/fixed/x", usual: streams.clone(), ..again() },
+        repeatable(),
+        Kind { path: "/once/x", ..repeatable() },
+        Kind { path: "/open/x", ..repeatable() },
+        Kind { path: "/stream/x", usual: streams.clone(), ..repeatable() },
+        Kind { path: "/fixed/x", usual: streams.clone(), ..repeatable() },
         Kind { path: "/models/x", service: "m", usual: streams },
     ]
 }
 
-/// So many entries that know one another, and servers that a request of this kind ends.
+/// Starts `entries` connected entries, and servers that crash when they run [`CRASHING_BODY`].
 pub async fn start(world: &World, net: &Net, kind: &Kind, entries: u16) -> Vec<Entry> {
     world.configure(catalog(1));
     for n in 1..=SERVERS {
         world.start_server(n, kind.service, "v1", kind.usual.clone());
     }
-    world.make_lethal(kind.service, LETHAL_BODY, ENDS_AFTER);
+    world.make_crashing(kind.service, CRASHING_BODY, CRASH_AFTER);
     let entries = net.start_many(world, entries, "");
     sleep(Duration::from_secs(5)).await;
     entries
 }
 
-pub fn lethal(kind: &Kind, number: u32) -> Request<Full<Bytes>> {
+pub fn crashing(kind: &Kind, number: u32) -> Request<Full<Bytes>> {
     let sent = with(request(kind.path, &format!("lethal-{number}")), "pondwalk-model", "auto");
-    with_body(sent, LETHAL_BODY)
+    with_body(sent, CRASHING_BODY)
 }
 
-/// Lets the caller come again at any of the entries, so long after each try, for some time.
-pub async fn come_again(
+/// Repeats the request for `time` at random entries, `pause` after each response.
+pub async fn repeat_request(
     world: &World,
     entries: &[Entry],
     kind: &Kind,
@@ -87,39 +87,39 @@
     let mut number = 0;
     while Instant::now() < end {
         let entry = &entries[rng.random_range(0..entries.len())];
-        world.ask_at(entry, lethal(kind, number)).await;
+        world.call_at(entry, crashing(kind, number)).await;
         number += 1;
         sleep(pause).await;
     }
 }
 
-/// Runs that began when all entries had to know that the request ends servers.
+/// Runs that began after all entries must have detected the content.
 pub fn further_runs(world: &World) -> usize {
     let runs = world.backends.lethal_runs();
     let mut ends: Vec<Instant> = runs.iter().filter_map(|run| run.ended).collect();
     ends.sort();
-    let Some(third) = ends.get(ENDS - 1) else { return 0 };
-    runs.iter().filter(|run| run.at > *third + KNOWN_AFTER).count()
+    let Some(third) = ends.get(MAX_CRASHES - 1) else { return 0 };
+    runs.iter().filter(|run| run.at > *third + DETECTION_TIME).count()
 }
 
-/// Further runs of a request of this kind, whose caller comes again so long after each try.
+/// Further runs of a request of this kind, repeated `pause` after each response.
 pub fn further_runs_of(kind: Kind, entries: u16, pause: Duration, time: Duration) -> usize {
     let further = Rc::new(Cell::new(0));
-    let noted = Rc::clone(&further);
-    play(|world| async move {
+    let recorded = Rc::clone(&further);
+    run_test(|world| async move {
         let net = Net::default();
         let all = start(&world, &net, &kind, entries).await;
-        come_again(&world, &all, &kind, pause, time).await;
-        noted.set(further_runs(&world));
+        repeat_request(&world, &all, &kind, pause, time).await;
+        recorded.set(further_runs(&world));
     });
     further.get()
 }
 
-/// Pause of a caller that comes again soon.
-pub const QUICK: Duration = Duration::from_millis(400);
+/// Pause of a caller that retries quickly.
+pub const QUICK_RETRY: Duration = Duration::from_millis(400);
 
-/// Sends so many copies at once, at the entries in turn, and waits for all of them.
-pub async fn all_at_once(
+/// Sends `copies` requests at once, distributed over the entries, and waits for all.
+pub async fn send_all_at_once(
     world: &Rc<World>,
     entries: &[Entry],
     kind: &Kind,
@@ -130,7 +130,7 @@
         let (world, kind) = (Rc::clone(world), kind.clone());
         let entry = entries[number as usize % entries.len()].clone();
         spawn_local(async move {
-            world.ask_at(&entry, lethal(&kind, round * copies + number)).await;
+            world.call_at(&entry, crashing(&kind, round * copies + number)).await;
         })
     };
     let callers: Vec<_> = (0..copies).map(copy).collect();
@@ -139,7 +139,7 @@
     }
 }
 
-/// Body of the n-th of several requests that end servers.
-pub fn lethal_body(n: u32) -> String {
-    format!("{LETHAL_BODY}, {n}")
+/// Body of the n-th of several contents that crash servers.
+pub fn crashing_body(n: u32) -> String {
+    format!("{CRASHING_BODY}, {n}")
 }
--- a/crates/direct/tests/common/limits.rs
+++ b/crates/direct/tests/common/limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name a rate limit, and what reaches them from all entries together.
+//! Servers that report a rate limit, and the load that they get from all entries together.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,18 +11,18 @@
 
 use super::{Answer, World, address, catalog, net::Net, request};
 
-/// Time within which a server's requests are counted.
+/// Interval in which a server's requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a server's first word by which all entries keep to it.
-const KNOWN_AFTER: Duration = Duration::from_secs(1);
+/// Time after a server's first report by which all entries must apply the limit.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Requests that a server may get within four seconds: half as many again as it named, and five.
+/// Requests that a server may get per window: one and a half times its limit, plus five.
 pub fn allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// Most requests that a server got within four seconds, from a time on.
-pub fn most_in_window(world: &World, n: u16, from: Instant) -> usize {
+/// Maximum number of requests in any window from `from` on.
+pub fn max_in_window(world: &World, n: u16, from: Instant) -> usize {
     let seen = world.backends.seen(address(n));
     let times: Vec<Instant> =
         seen.iter().filter_map(|one| one.at).filter(|at| *at >= from).collect();
@@ -37,13 +37,13 @@
     most
 }
 
-/// Requests that a server got from a time on.
+/// Requests that a server received from `from` on.
 pub fn count_from(world: &World, n: u16, from: Instant) -> usize {
     let seen = world.backends.seen(address(n));
     seen.iter().filter(|one| one.at.is_some_and(|at| at >= from)).count()
 }
 
-/// Servers of a service, and entries that know them and one another.
+/// Starts servers of a service, and entries that are connected to each other.
 pub async fn start(
     world: &World,
     net: &Net,
@@ -59,23 +59,23 @@
     entries
 }
 
-/// A server names a limit in all its answers from now on.
-pub fn name_limit(world: &World, n: u16, limit: &str) {
+/// Lets a server report a limit in all further responses.
+pub fn report_limit(world: &World, n: u16, limit: &str) {
     world.backends.tell(address(n), "server-limit", limit);
 }
 
-/// Requests of one kind that come evenly.
+/// Requests of one kind at a constant rate.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     /// Path of the requests.
     pub path: &'static str,
-    /// Time between two.
+    /// Interval between two requests.
     pub gap: Duration,
-    /// How long they come.
+    /// Duration of the load.
     pub time: Duration,
 }
 
-/// Lets requests come, each at the entry that `at` names by its number, none waiting for another.
+/// Sends the load without waiting for responses; `at` maps each request's number to an entry.
 pub async fn load_at(
     world: &Rc<World>,
     entries: &[Entry],
@@ -83,19 +83,19 @@
     at: impl Fn(usize) -> usize,
 ) -> Vec<JoinHandle<Answer>> {
     let end = Instant::now() + load.time;
-    let mut asked = Vec::new();
+    let mut pending = Vec::new();
     while Instant::now() < end {
-        let entry = entries[at(asked.len()) % entries.len()].clone();
-        let id = format!("l{:?}-{}", Instant::now(), asked.len());
+        let entry = entries[at(pending.len()) % entries.len()].clone();
+        let id = format!("l{:?}-{}", Instant::now(), pending.len());
         let world = Rc::clone(world);
         let sent = request(load.path, &id);
-        asked.push(spawn_local(async move { world.ask_at(&entry, sent).await }));
+        pending.push(spawn_local(async move { world.call_at(&entry, sent).await }));
         sleep(load.gap).await;
     }
-    asked
+    pending
 }
 
-/// The same at all entries in turn.
+/// Sends the load to all entries in turn.
 pub async fn load_evenly(
     world: &Rc<World>,
     entries: &[Entry],
@@ -104,21 +104,22 @@
     load_at(world, entries, load, |number| number).await
 }
 
-/// The answers, once all are there.
-pub async fn answers(asked: Vec<JoinHandle<Answer>>) -> Vec<Answer> {
+/// Waits for all responses.
+pub async fn answers(pending: Vec<JoinHandle<Answer>>) -> Vec<Answer> {
     let mut answers = Vec::new();
-    for answer in asked {
-        answers.push(answer.await.expect("an answer"));
+    for answer in pending {
+        answers.push(answer.await.expect("a response"));
     }
     answers
 }
 
-/// Checks that a server, which has just begun to name a limit, gets no more from a second on than that allows.
+/// Checks that a server that reported its limit at `named` gets no more than that limit allows,
+/// from [`PROPAGATION_TIME`] on.
 pub fn check(world: &World, n: u16, limit_per_s: f64, named: Instant) {
-    let most = most_in_window(world, n, named + KNOWN_AFTER);
+    let most = max_in_window(world, n, named + PROPAGATION_TIME);
     let allowed = allowed(limit_per_s);
     assert!(
         most <= allowed,
-        "{most} requests in 4 s at a server that takes {limit_per_s} a second, {allowed} allowed"
+        "{most} requests in 4 s with a limit of {limit_per_s} per second, {allowed} allowed"
     );
 }
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! An entry between callers, backend servers and a store, all in memory and on paused time.
+//! Test environment: an entry between callers, backend servers and a store, all in memory and on
+//! paused time.
 
 #![allow(dead_code)]
 
-pub mod lethal;
+pub mod crashing;
 pub mod limits;
 pub mod net;
 
@@ -35,7 +36,7 @@
     time::sleep,
 };
 
-// NB: the entry's own section comes last, so that further lines belong to it.
+// The entry's own section comes last, so that further lines extend it.
 const SETTINGS: &str = "[retries]\nratio=0.9\nextra=40\nwindow_s=10\n\
     [roll_out]\nexposure=0.1\n\
     [store]\naddress=127.0.0.1:3\ntimeout_ms=1000\nwatch_wait_ms=1500\n\
@@ -47,28 +48,28 @@
     SocketAddr::from(([127, 0, 0, 1], 1000 + n))
 }
 
-/// Settings of an entry.
+/// Settings of an entry with the given peer address.
 pub fn settings(name: &str, peers: Option<SocketAddr>) -> DirectSettings {
     let peers = peers.map_or(String::new(), |address| format!("peers={address}\n"));
     settings_with(name, &peers)
 }
 
-/// Settings of an entry with further lines in its section, or sections behind it.
+/// Settings of an entry with further lines in its section, or further sections.
 pub fn settings_with(name: &str, further: &str) -> DirectSettings {
     let text = format!("{SETTINGS}name={name}\n{further}");
     let file = RawFile::parse("test.ini".as_ref(), &text).expect("INI");
     DirectSettings::try_from(file).expect("settings")
 }
 
-/// The world around one entry.
+/// An entry with its environment.
 pub struct World {
     pub store: MemoryStore,
     pub backends: Backends,
-    /// Takes reports of usage, where the settings of an entry ask for them.
+    /// Receives usage reports, if the entry's settings enable them.
     pub usage_sink: UsageSink,
     pub entry: Entry,
     catalogs: Rc<RefCell<HashMap<u64, Catalog>>>,
-    ways: Rc<RefCell<HashMap<String, MemoryStore>>>,
+    connections: Rc<RefCell<HashMap<String, MemoryStore>>>,
 }
 
 fn port_of(
@@ -76,11 +77,11 @@
     platform: &UsageSink,
     catalogs: &Rc<RefCell<HashMap<u64, Catalog>>>,
 ) -> Port {
-    let known = Rc::clone(catalogs);
+    let catalogs_by_version = Rc::clone(catalogs);
     let platform = platform.clone();
     Port {
         store: store.port(),
-        read: Rc::new(move |key, value| read(&known.borrow(), key, value)),
+        read: Rc::new(move |key, value| read(&catalogs_by_version.borrow(), key, value)),
         write_progress: Rc::new(write_progress),
         report_usage: Some(Rc::new(move |report, limit| {
             let platform = platform.clone();
@@ -109,12 +110,12 @@
 }
 
 /// Runs a test on paused time.
-pub fn play<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
-    play_with("", test);
+pub fn run_test<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
+    run_test_with("", test);
 }
 
-/// The same with an entry whose section has further lines.
-pub fn play_with<F: Future<Output = ()>>(further: &str, test: impl FnOnce(World) -> F) {
+/// Like [`run_test`], with further lines in the entry's settings.
+pub fn run_test_with<F: Future<Output = ()>>(further: &str, test: impl FnOnce(World) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -139,7 +140,7 @@
         });
         let store = MemoryStore::default();
         let catalogs = Rc::new(RefCell::new(HashMap::new()));
-        let ways = Rc::new(RefCell::new(HashMap::new()));
+        let connections = Rc::new(RefCell::new(HashMap::new()));
         let usage_sink = UsageSink::default();
         let port = port_of(&store, &usage_sink, &catalogs);
         let opened = backends.clone();
@@ -150,42 +151,42 @@
         });
         let journal = Journal::silent("e1", 1_000);
         let entry = Entry::new(settings, dialect, port, connect, journal, 7);
-        World { store, backends, usage_sink, entry, catalogs, ways }
+        World { store, backends, usage_sink, entry, catalogs, connections }
     }
 
-    /// Another entry in the same world, with a way of its own to the store.
+    /// Creates another entry in the same environment, with a store connection of its own.
     pub fn entry_with(&self, settings: DirectSettings, connect: Connect) -> Entry {
-        let way = self.store.another_way();
-        let port = port_of(&way, &self.usage_sink, &self.catalogs);
+        let connection = self.store.another_way();
+        let port = port_of(&connection, &self.usage_sink, &self.catalogs);
         let journal = Journal::silent(&settings.name, 1_000);
         let name = settings.name.clone();
-        // NB: an entry that starts anew under its name is told apart from its life before.
-        let is_anew = self.ways.borrow().contains_key(&name);
-        let seed = name.len() as u64 + if is_anew { 1_000 } else { 0 };
+        // An entry that restarts under the same name gets another seed.
+        let is_restart = self.connections.borrow().contains_key(&name);
+        let seed = name.len() as u64 + if is_restart { 1_000 } else { 0 };
         let entry = Entry::new(settings, Dialect::own(), port, connect, journal, seed);
-        self.ways.borrow_mut().insert(name, way);
+        self.connections.borrow_mut().insert(name, connection);
         entry
     }
 
-    /// Times of the exchange among entries, as the settings of these tests have them.
+    /// Timing of the exchange between entries in these settings.
     pub fn entry_times(&self) -> MembershipTimes {
         settings("any", None).membership.times
     }
 
-    /// Lets the calls of one entry fare differently from the others'.
-    pub fn cut_store_for(&self, entry: &Entry, weather: Weather) {
-        let ways = self.ways.borrow();
-        ways.get(entry.name()).expect("an entry of this world").set_own_weather(weather);
+    /// Sets the fault mode of one entry's store connection.
+    pub fn set_store_fault(&self, entry: &Entry, weather: Weather) {
+        let connections = self.connections.borrow();
+        connections.get(entry.name()).expect("an entry of this world").set_own_weather(weather);
     }
 
-    /// Puts a configuration into the store.
+    /// Writes a configuration to the store.
     pub fn configure(&self, catalog: Catalog) {
         let version = catalog.version;
         self.catalogs.borrow_mut().insert(version, catalog);
         self.store.put("catalog", &version.to_string());
     }
 
-    /// The same with so many bytes of other settings in it.
+    /// Like [`World::configure`], with `bytes` of padding.
     pub fn configure_large(&self, catalog: Catalog, bytes: usize) {
         let version = catalog.version;
         self.catalogs.borrow_mut().insert(version, catalog);
@@ -204,25 +205,25 @@
         self.list_server_in("dc1", n, service, version, state);
     }
 
-    /// The same in a data centre.
+    /// Lists a backend server with a state and a data centre.
     pub fn list_server_in(&self, centre: &str, n: u16, service: &str, version: &str, state: &str) {
         let value = format!("{service} {} {centre} {version} {state}", address(n));
         self.store.put(&format!("server/s{n}"), &value);
     }
 
-    /// Starts the entry and gives it time to read everything.
+    /// Starts the entry and waits until it has read everything.
     pub async fn start(&self) {
         self.entry.start();
         sleep(Duration::from_millis(20)).await;
     }
 
-    /// Sends one request on a connection of its own and reads the whole answer.
-    pub async fn ask(&self, request: Request<Full<Bytes>>) -> Answer {
-        self.ask_at(&self.entry, request).await
+    /// Sends a request on a new connection and reads the whole response.
+    pub async fn call(&self, request: Request<Full<Bytes>>) -> Answer {
+        self.call_at(&self.entry, request).await
     }
 
-    /// The same at another entry.
-    pub async fn ask_at(&self, entry: &Entry, request: Request<Full<Bytes>>) -> Answer {
+    /// Like [`World::call`], at another entry.
+    pub async fn call_at(&self, entry: &Entry, request: Request<Full<Bytes>>) -> Answer {
         let response = send_to(entry, request).await;
         let status = response.status();
         let headers = response.headers().clone();
@@ -230,7 +231,7 @@
         Answer { status, headers, body, whole }
     }
 
-    /// Sends one request and returns the head of the answer.
+    /// Sends a request and returns the response head.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Response<Incoming> {
         send_to(&self.entry, request).await
     }
@@ -242,16 +243,16 @@
     spawn_local(async move { entry.serve(far).await });
     let (mut sender, connection) = http1::handshake(TokioIo::new(near)).await.expect("open");
     spawn_local(async move { connection.await.unwrap_or_default() });
-    sender.send_request(request).await.expect("an answer")
+    sender.send_request(request).await.expect("a response")
 }
 
-/// An answer read to its end.
+/// A response read to its end.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: hyper::HeaderMap,
     pub body: String,
-    /// Whether it ended as a whole answer does.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
@@ -281,7 +282,7 @@
         .expect("a request")
 }
 
-/// Adds a header.
+/// Sets a header.
 pub fn with(
     mut request: Request<Full<Bytes>>,
     name: &'static str,
@@ -296,27 +297,27 @@
     Act::Stream { last, gap: Duration::from_millis(10), confidence, cut_in: None }
 }
 
-/// The text of events in a range.
+/// Text of a range of events.
 pub fn events(range: std::ops::RangeInclusive<u32>) -> String {
     range.map(|number| format!("id: {number}\ndata: piece {number}\n\n")).collect()
 }
 
-/// Routes of every kind, over the service `s` and the model service `m`.
+/// Catalog with routes of every kind, over the service `s` and the model service `m`.
 pub fn catalog(version: u64) -> Catalog {
     catalog_with_keys(version, &["k1", "k2"])
 }
 
-/// The same, with these keys.
+/// The same catalog with these keys.
 pub fn catalog_with_keys(version: u64, keys: &[&str]) -> Catalog {
     catalog_of(version, keys, None, (&[], &[]))
 }
 
-/// The usual one, whose routes and whose workspace must not leave these regions.
+/// The same catalog, with routes and a workspace restricted to these regions.
 pub fn catalog_in_regions(version: u64, routes: &[&str], workspace: &[&str]) -> Catalog {
     catalog_of(version, &["k1", "k2"], None, (routes, workspace))
 }
 
-/// The usual one, whose services' servers warm up.
+/// The same catalog, with services whose servers warm up.
 pub fn catalog_warming(version: u64, warm_up: Option<WarmUp>) -> Catalog {
     catalog_of(version, &["k1", "k2"], warm_up, (&[], &[]))
 }
@@ -386,12 +387,12 @@
     let bad = |reason: &str| UnreadableFact { key: key.to_owned(), reason: reason.to_owned() };
     if key == "catalog" {
         let version =
-            value.and_then(|text| text.trim_end().parse().ok()).ok_or(bad("no number"))?;
-        let catalog = catalogs.get(&version).ok_or(bad("no such catalog"))?;
+            value.and_then(|text| text.trim_end().parse().ok()).ok_or(bad("not a number"))?;
+        let catalog = catalogs.get(&version).ok_or(bad("unknown catalog"))?;
         return Ok(Fact::Catalog(Box::new(catalog.clone())));
     }
     if let Some(id) = key.strip_prefix("server/") {
-        let server = value.map(|text| server(id, &text).ok_or(bad("no server"))).transpose();
+        let server = value.map(|text| server(id, &text).ok_or(bad("invalid server"))).transpose();
         return Ok(match server {
             Ok(server) => Fact::Server(id.to_owned(), server),
             Err(error) => Fact::UnreadableServer(id.to_owned(), error),
@@ -405,21 +406,23 @@
         return Ok(Fact::Evacuation(data_centre.to_owned(), evacuation));
     }
     if let Some(service) = key.strip_prefix("order/") {
-        let order = value.map(|text| order(service, &text).ok_or(bad("no order"))).transpose()?;
+        let order =
+            value.map(|text| order(service, &text).ok_or(bad("invalid order"))).transpose()?;
         return Ok(Fact::Order(service.into(), order));
     }
     if let Some(service) = key.strip_prefix("progress/") {
-        let progress =
-            value.map(|text| progress(service, &text).ok_or(bad("no progress"))).transpose()?;
+        let progress = value
+            .map(|text| progress(service, &text).ok_or(bad("invalid progress")))
+            .transpose()?;
         return Ok(Fact::Progress(service.into(), progress));
     }
     Ok(Fact::Unrelated)
 }
 
 fn server(id: &str, text: &str) -> Option<BackendServer> {
-    let mut words: Vec<&str> = text.split(' ').collect();
-    words.resize(7.max(words.len()), "0");
-    let [service, address, data_centre, version, state, cold_ms, born_ms] = words[..] else {
+    let mut fields: Vec<&str> = text.split(' ').collect();
+    fields.resize(7.max(fields.len()), "0");
+    let [service, address, data_centre, version, state, cold_ms, born_ms] = fields[..] else {
         return None;
     };
     Some(BackendServer {
@@ -456,20 +459,20 @@
     (key, format!("{} {:?}", progress.target, progress.outcome).into_bytes())
 }
 
-/// Body of the request that ends every server that runs it.
-pub const LETHAL_BODY: &str = "ends whoever runs it";
-/// Time for which a server is away after its end.
-pub const AWAY_TIME: Duration = Duration::from_millis(1_500);
+/// Request body that crashes every server that runs it.
+pub const CRASHING_BODY: &str = "ends whoever runs it";
+/// Time for which a crashed server is down.
+pub const DOWN_TIME: Duration = Duration::from_millis(1_500);
 
 impl World {
-    /// Lets requests with a body end the servers of a service that run them, `after` they have begun. Each
-    /// server is back some time later as another one, as the store tells.
-    pub fn make_lethal(&self, service: &'static str, body: &str, after: Duration) {
+    /// Makes servers of a service crash `after` they have begun to run a request with this body.
+    /// Each server restarts some time later under a new identity, and is listed in the store.
+    pub fn make_crashing(&self, service: &'static str, body: &str, after: Duration) {
         let store = self.store.clone();
         let is_back = move |address: SocketAddr, id: &str| {
-            let (stem, life) = id.split_once('-').unwrap_or((id, "0"));
-            let life: u32 = life.parse().expect("a number");
-            let next = format!("{stem}-{}", life + 1);
+            let (stem, incarnation) = id.split_once('-').unwrap_or((id, "0"));
+            let incarnation: u32 = incarnation.parse().expect("a number");
+            let next = format!("{stem}-{}", incarnation + 1);
             store.remove(&format!("server/{id}"));
             store.put(&format!("server/{next}"), &format!("{service} {address} dc1 v1 ready"));
             next
@@ -477,13 +480,13 @@
         self.backends.add_lethal(Lethal {
             body: body.as_bytes().to_vec(),
             after,
-            back_after: AWAY_TIME,
+            back_after: DOWN_TIME,
             is_back: Rc::new(is_back),
         });
     }
 }
 
-/// The same request with another body.
+/// Replaces the body of a request.
 pub fn with_body(request: Request<Full<Bytes>>, body: &str) -> Request<Full<Bytes>> {
     request.map(|_| Full::from(body.to_owned()))
 }
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -1,4 +1,4 @@
-//! Many entries in one world, and the ways between them.
+//! Network of many entries in one environment.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,12 +25,12 @@
 
 use super::World;
 
-/// Address at which the n-th entry answers others.
+/// Peer address of the n-th entry.
 pub fn peer_address(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 5_000 + n))
 }
 
-/// A whole state with these keys, all last changed at its revision, as another entry of these tests tells it.
+/// Full state with these keys, all changed at `revision`, as another entry sends it.
 pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> StateMessage {
     let entry = |(key, value): &(&str, &str)| Fetched {
         key: (*key).to_owned(),
@@ -42,7 +42,7 @@
     replica.reset(&keys.iter().map(entry).collect::<Vec<_>>(), position);
     let head = StateHead {
         format: FORMAT,
-        store: "127.0.0.1:3".parse().expect("the store of these tests"),
+        store: "127.0.0.1:3".parse().expect("store address"),
         incarnation: 1,
         now: Duration::from_secs(9),
         confirmed: Duration::from_secs(9),
@@ -54,42 +54,42 @@
         body_bytes: 0,
         news_end: 0,
     };
-    StateMessage { head, body: replica.packed_state().expect("it packs"), gossip: Vec::new() }
+    StateMessage { head, body: replica.packed_state().expect("it compresses"), gossip: Vec::new() }
 }
 
-/// Addresses of the first three entries, by which others find them.
+/// Peer addresses of the first three entries.
 fn seeds() -> String {
     let seeds: Vec<String> = (0..3).map(|n| peer_address(n).to_string()).collect();
     seeds.join(",")
 }
 
-/// Answers on a connection in an entry's place.
+/// Handles connections in place of an entry.
 pub type Impostor = Rc<dyn Fn(DuplexStream)>;
 
-/// Lets entries reach one another, as far as they are not cut off.
+/// Connects entries to each other, with faults.
 #[derive(Clone, Default)]
 pub struct Net {
     entries: Rc<RefCell<HashMap<SocketAddr, Entry>>>,
-    /// Entries to which no new connection opens.
+    /// Addresses to which no new connection opens.
     pub cut: Rc<RefCell<Vec<SocketAddr>>>,
-    /// Who answers at an address in an entry's place.
+    /// Impostors that answer at an address in place of an entry.
     pub impostors: Rc<RefCell<HashMap<SocketAddr, Impostor>>>,
-    /// Side of each entry while the entries are split in two.
+    /// Side of each entry while the network is partitioned.
     sides: Rc<RefCell<HashMap<SocketAddr, bool>>>,
-    /// Rises when all open connections go silent.
-    silences: Rc<Cell<u32>>,
+    /// Incremented when all open connections go silent.
+    silence_count: Rc<Cell<u32>>,
 }
 
-/// A connection that says nothing any more once it has been silenced.
+/// A connection that transmits nothing once it has been silenced.
 struct Silenceable {
     inner: DuplexStream,
     opened_at: u32,
-    silences: Rc<Cell<u32>>,
+    silence_count: Rc<Cell<u32>>,
 }
 
 impl Silenceable {
     fn is_silent(&self) -> bool {
-        self.opened_at != self.silences.get()
+        self.opened_at != self.silence_count.get()
     }
 }
 
@@ -113,7 +113,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         if self.is_silent() {
-            // NB: what is written is lost on the way.
+            // Written data is lost.
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut self.inner).poll_write(context, bytes)
@@ -148,9 +148,9 @@
                     }
                     (None, None) => return Ok(Box::new(backends.connect(address)?) as BoxedDuplex),
                 }
-                let silences = Rc::clone(&net.silences);
-                let opened_at = silences.get();
-                Ok(Box::new(Silenceable { inner: near, opened_at, silences }) as BoxedDuplex)
+                let silence_count = Rc::clone(&net.silence_count);
+                let opened_at = silence_count.get();
+                Ok(Box::new(Silenceable { inner: near, opened_at, silence_count }) as BoxedDuplex)
             };
             Box::pin(opening) as Opening
         })
@@ -162,14 +162,14 @@
         crosses || self.cut.borrow().contains(&to)
     }
 
-    /// Starts an entry with a way of its own to the store.
+    /// Starts an entry with a store connection of its own, and waits until it has read everything.
     pub async fn start(&self, world: &World, n: u16) -> Entry {
         let entry = self.start_with(world, n, "");
         sleep(Duration::from_millis(20)).await;
         entry
     }
 
-    /// Starts an entry at once, with further lines in its settings.
+    /// Starts an entry with further settings, without waiting.
     pub fn start_with(&self, world: &World, n: u16, further: &str) -> Entry {
         let address = peer_address(n);
         let settings =
@@ -180,29 +180,30 @@
         entry
     }
 
-    /// Starts so many entries at once, of which the first three are the seeds.
+    /// Starts `count` entries, the first three of which are the seeds.
     pub fn start_many(&self, world: &World, count: u16, further: &str) -> Vec<Entry> {
         let further = format!("[membership]\nseeds={}\n{further}", seeds());
         (0..count).map(|n| self.start_with(world, n, &further)).collect()
     }
 
-    /// Starts another entry beside those of [`Net::start_many`].
+    /// Starts another entry with the seeds of [`Net::start_many`].
     pub fn start_later(&self, world: &World, n: u16) -> Entry {
         self.start_with(world, n, &format!("[membership]\nseeds={}\n", seeds()))
     }
 
-    /// Ends an entry: nobody can open a connection to it any more.
+    /// Stops an entry: no new connection to it opens.
     pub fn end(&self, n: u16) {
         self.entries.borrow_mut().remove(&peer_address(n));
         self.cut.borrow_mut().push(peer_address(n));
     }
 
-    /// Lets all connections that are open say nothing any more; new ones work.
+    /// Silences all open connections; new ones work.
     pub fn silence_open_connections(&self) {
-        self.silences.set(self.silences.get() + 1);
+        self.silence_count.set(self.silence_count.get() + 1);
     }
 
-    /// Splits the entries: the first `count` reach only one another, and so do the others.
+    /// Partitions the network: the first `count` entries reach only each other, and so do the
+    /// others.
     pub fn split(&self, count: u16) {
         let first: Vec<SocketAddr> = (0..count).map(peer_address).collect();
         let all: Vec<SocketAddr> = self.entries.borrow().keys().copied().collect();
--- a/crates/direct/tests/content_ids.rs
+++ b/crates/direct/tests/content_ids.rs
@@ -1,4 +1,4 @@
-//! By what a request is known again.
+//! Content ids, by which a repeated request is recognised.
 
 use pondwalk_direct::content::{Parts, content_of, content_text};
 
@@ -6,7 +6,7 @@
     Parts { caller: "w1", host: "h.example", target: "/again/x", body: b"asked" };
 
 #[test]
-fn caller_path_and_body_tell_requests_apart() {
+fn content_depends_on_caller_path_and_body() {
     let content = content_of(ASKED);
     assert_eq!(content_of(ASKED), content);
     assert_ne!(content_of(Parts { caller: "w2", ..ASKED }), content);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn host_and_query_count_only_without_a_body() {
+fn host_and_query_count_only_without_body() {
     let content = content_of(ASKED);
     assert_eq!(
         content_of(Parts { target: "/again/x?try=2", host: "other.example", ..ASKED }),
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn parts_that_join_to_the_same_bytes_differ() {
+fn concatenation_of_parts_is_unambiguous() {
     let one = Parts { target: "/a", body: b"bc", ..ASKED };
     let other = Parts { target: "/ab", body: b"c", ..ASKED };
     assert_ne!(content_of(one), content_of(other));
 }
 
 #[test]
-fn a_content_is_the_same_in_every_build() {
-    // NB: entries of two builds that run side by side must know it again.
+fn content_id_is_stable_across_builds() {
+    // Entries of two builds that run side by side must compute the same id.
     assert_eq!(content_text(content_of(ASKED)), "536ecc09e84a56bf5e7ad1cd1ab58a00");
 }
--- a/crates/direct/tests/crashing_requests_many_entries.rs
+++ b/crates/direct/tests/crashing_requests_many_entries.rs
@@ -1,5 +1,5 @@
-//! Requests that end servers, where entries are many, start anew, are cut in halves or hear late, where callers are
-//! slow or many at once, and where others ask the like.
+//! Requests that crash servers, with many entries, restarts, partitions, slow or leaving callers,
+//! simultaneous copies, and innocent requests beside them.
 
 mod common;
 
@@ -7,12 +7,12 @@
 
 use common::{
     address,
-    lethal::{
-        ENDS_AFTER, FURTHER_RUNS, Kind, QUICK, again, all_at_once, come_again, further_runs,
-        further_runs_of, lethal, lethal_body, start,
+    crashing::{
+        CRASH_AFTER, Kind, MAX_FURTHER_RUNS, QUICK_RETRY, crashing, crashing_body, further_runs,
+        further_runs_of, repeat_request, repeatable, send_all_at_once, start,
     },
     net::Net,
-    play, request, stream, total, with, with_body,
+    request, run_test, stream, total, with, with_body,
 };
 use pondwalk_direct::Entry;
 use pondwalk_standin::memory_store::Weather;
@@ -24,43 +24,43 @@
 const SLOW: Duration = Duration::from_secs(30);
 
 #[test]
-fn a_caller_that_waits_long_between_its_tries_ends_no_more() {
+fn slow_retries_crash_no_further_servers() {
     for path in ["/again/x", "/once/x"] {
-        let kind = Kind { path, ..again() };
+        let kind = Kind { path, ..repeatable() };
         let further = further_runs_of(kind, 5, SLOW, Duration::from_secs(600));
-        assert!(further <= FURTHER_RUNS, "{further} of {path}");
+        assert!(further <= MAX_FURTHER_RUNS, "{further} of {path}");
     }
 }
 
 #[test]
-fn it_is_known_at_a_hundred_entries() {
-    let further = further_runs_of(again(), 103, QUICK, Duration::from_secs(15));
-    assert!(further <= FURTHER_RUNS, "{further}");
+fn crashing_request_is_quarantined_at_a_hundred_entries() {
+    let further = further_runs_of(repeatable(), 103, QUICK_RETRY, Duration::from_secs(15));
+    assert!(further <= MAX_FURTHER_RUNS, "{further}");
 }
 
 #[test]
-fn many_copies_at_once_end_no_more_once_it_is_known() {
-    play(|world| async move {
+fn simultaneous_copies_crash_no_further_servers_after_detection() {
+    run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let entries = start(&world, &net, &again(), 5).await;
+        let entries = start(&world, &net, &repeatable(), 5).await;
         for round in 0..40 {
-            all_at_once(&world, &entries, &again(), 20, round).await;
-            sleep(QUICK).await;
+            send_all_at_once(&world, &entries, &repeatable(), 20, round).await;
+            sleep(QUICK_RETRY).await;
         }
         let further = further_runs(&world);
-        assert!(further <= FURTHER_RUNS, "{further}");
+        assert!(further <= MAX_FURTHER_RUNS, "{further}");
     });
 }
 
 #[test]
-fn several_that_end_servers_at_the_same_moment_do_not_excuse_one_another() {
-    play(|world| async move {
+fn simultaneous_crashing_contents_are_all_quarantined() {
+    run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let entries = start(&world, &net, &again(), 2).await;
+        let entries = start(&world, &net, &repeatable(), 2).await;
         for n in 0..5 {
-            world.make_lethal("s", &lethal_body(n), ENDS_AFTER);
+            world.make_crashing("s", &crashing_body(n), CRASH_AFTER);
         }
         let callers: Vec<_> = (0..5)
             .map(|n| {
@@ -69,10 +69,10 @@
                     for number in 0..40 {
                         let sent = with_body(
                             request("/again/x", &format!("l{n}-{number}")),
-                            &lethal_body(n),
+                            &crashing_body(n),
                         );
-                        world.ask_at(&entries[number % 2], sent).await;
-                        sleep(QUICK).await;
+                        world.call_at(&entries[number % 2], sent).await;
+                        sleep(QUICK_RETRY).await;
                     }
                 })
             })
@@ -84,7 +84,7 @@
         let runs = world.backends.lethal_runs();
         let late = runs.iter().filter(|run| run.at > late).count();
         assert!(
-            late <= 5 * FURTHER_RUNS,
+            late <= 5 * MAX_FURTHER_RUNS,
             "{late} of five in the last eight seconds, {} in all",
             runs.len()
         );
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn it_is_known_after_a_restart_of_all_entries() {
-    play(|world| async move {
+fn quarantine_survives_restart_of_all_entries() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 5).await;
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(8)).await;
+        let entries = start(&world, &net, &repeatable(), 5).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(8)).await;
         let before = world.backends.lethal_runs().len();
         for n in 0..5 {
             net.end(n);
@@ -106,52 +106,54 @@
         net.cut.borrow_mut().clear();
         let entries = net.start_many(&world, 5, "");
         sleep(Duration::from_secs(1)).await;
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(20)).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(20)).await;
         let after = world.backends.lethal_runs().len() - before;
         assert!(after <= 2, "{after} runs after the restart");
     });
 }
 
 #[test]
-fn it_is_known_in_both_halves_of_a_deployment_that_is_cut() {
-    play(|world| async move {
+fn quarantine_holds_in_both_partitions() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 8).await;
+        let entries = start(&world, &net, &repeatable(), 8).await;
         net.split(4);
         sleep(Duration::from_secs(1)).await;
-        come_again(&world, &entries[..4], &again(), QUICK, Duration::from_secs(3)).await;
-        come_again(&world, &entries[4..], &again(), QUICK, Duration::from_secs(20)).await;
+        repeat_request(&world, &entries[..4], &repeatable(), QUICK_RETRY, Duration::from_secs(3))
+            .await;
+        repeat_request(&world, &entries[4..], &repeatable(), QUICK_RETRY, Duration::from_secs(20))
+            .await;
         let further = further_runs(&world);
-        assert!(further <= FURTHER_RUNS, "{further}");
+        assert!(further <= MAX_FURTHER_RUNS, "{further}");
     });
 }
 
 #[test]
-fn another_path_of_the_way_is_the_same_request() {
-    play(|world| async move {
+fn same_request_under_another_path_is_quarantined() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 1).await;
+        let entries = start(&world, &net, &repeatable(), 1).await;
         let until = Instant::now() + Duration::from_secs(15);
         let mut number = 0;
         while Instant::now() < until {
             number += 1;
             let kind =
-                Kind { path: ["/again/x", "/again/x?try=2"][number as usize % 2], ..again() };
-            let sent = with(lethal(&kind, number), "pondwalk-session", &format!("s{number}"));
-            world.ask_at(&entries[0], sent).await;
-            sleep(QUICK).await;
+                Kind { path: ["/again/x", "/again/x?try=2"][number as usize % 2], ..repeatable() };
+            let sent = with(crashing(&kind, number), "pondwalk-session", &format!("s{number}"));
+            world.call_at(&entries[0], sent).await;
+            sleep(QUICK_RETRY).await;
         }
         let further = further_runs(&world);
-        assert!(further <= FURTHER_RUNS, "{further}");
+        assert!(further <= MAX_FURTHER_RUNS, "{further}");
     });
 }
 
 #[test]
-fn a_caller_is_told_that_it_is_not_worth_repeating_and_whether_it_ran() {
-    play(|world| async move {
+fn refusal_reports_quarantine_and_whether_the_request_ran() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 1).await;
-        let ran = world.ask_at(&entries[0], lethal(&again(), 1)).await;
+        let entries = start(&world, &net, &repeatable(), 1).await;
+        let ran = world.call_at(&entries[0], crashing(&repeatable(), 1)).await;
         assert_eq!(ran.status.as_u16(), 502);
         assert!(
             ran.body.contains("ended_servers") && ran.body.contains("\"ran\":\"unknown\""),
@@ -160,18 +162,18 @@
         );
         assert!(!ran.headers.contains_key("retry-after"));
         let before = Instant::now();
-        let held = world.ask_at(&entries[0], lethal(&again(), 2)).await;
-        assert!(before.elapsed() < Duration::from_millis(50), "it is rejected at once");
-        assert_eq!(held.status.as_u16(), 429);
+        let refused = world.call_at(&entries[0], crashing(&repeatable(), 2)).await;
+        assert!(before.elapsed() < Duration::from_millis(50), "it is refused at once");
+        assert_eq!(refused.status.as_u16(), 429);
         assert!(
-            held.body.contains("ends_servers") && held.body.contains("\"ran\":false"),
+            refused.body.contains("ends_servers") && refused.body.contains("\"ran\":false"),
             "{}",
-            held.body
+            refused.body
         );
-        assert!(held.headers.contains_key("retry-after"));
+        assert!(refused.headers.contains_key("retry-after"));
         let runs = world.backends.lethal_runs().len();
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(45)).await;
-        let last = world.ask_at(&entries[0], lethal(&again(), 3)).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(45)).await;
+        let last = world.call_at(&entries[0], crashing(&repeatable(), 3)).await;
         let pause: f64 =
             last.headers["retry-after"].to_str().expect("text").parse().expect("seconds");
         assert!(
@@ -183,50 +185,50 @@
 }
 
 #[test]
-fn callers_who_ask_otherwise_are_served_and_nothing_is_told_in_calm() {
-    play(|world| async move {
+fn other_contents_are_served_without_gossip() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 3).await;
-        let news = |entries: &[Entry]| -> Vec<String> {
+        let entries = start(&world, &net, &repeatable(), 3).await;
+        let gossip_counts = |entries: &[Entry]| -> Vec<String> {
             let line = |text: String| {
                 text.lines().find(|line| line.contains("news_remembered")).map(str::to_owned)
             };
             entries.iter().filter_map(|entry| line(entry.metrics_text())).collect()
         };
-        let calm = news(&entries);
+        let before = gossip_counts(&entries);
         for n in 0..20 {
             let sent = with_body(request("/again/x", &format!("c{n}")), "asked in calm");
-            assert_eq!(world.ask_at(&entries[n % 3], sent).await.status.as_u16(), 200);
+            assert_eq!(world.call_at(&entries[n % 3], sent).await.status.as_u16(), 200);
         }
-        assert_eq!(news(&entries), calm, "requests that come to a good end cost no message");
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(5)).await;
+        assert_eq!(gossip_counts(&entries), before, "successful requests cause no messages");
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(5)).await;
         sleep(Duration::from_secs(2)).await;
         for n in 0..20 {
             let sent = with_body(request("/again/x", &format!("o{n}")), "asked otherwise");
-            assert_eq!(world.ask_at(&entries[n % 3], sent).await.status.as_u16(), 200);
+            assert_eq!(world.call_at(&entries[n % 3], sent).await.status.as_u16(), 200);
         }
     });
 }
 
 #[test]
-fn a_store_that_refuses_writes_is_not_asked_again_and_again() {
-    play(|world| async move {
+fn rejected_store_writes_are_not_repeated_often() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 5).await;
+        let entries = start(&world, &net, &repeatable(), 5).await;
         world.store.set_weather(Weather::AnswersLost);
         let before = world.store.calls();
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(10)).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(10)).await;
         let calls = world.store.calls() - before;
         assert!(calls < 120, "{calls} calls in ten seconds");
     });
 }
 #[test]
-fn dbg_slow() {
-    play(|world| async move {
+fn print_runs_with_slow_retries() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 5).await;
+        let entries = start(&world, &net, &repeatable(), 5).await;
         let t0 = Instant::now();
-        come_again(&world, &entries, &again(), SLOW, Duration::from_secs(200)).await;
+        repeat_request(&world, &entries, &repeatable(), SLOW, Duration::from_secs(200)).await;
         for r in world.backends.lethal_runs() {
             println!("run {:?} ended {:?}", r.at - t0, r.ended.map(|e| e - t0));
         }
@@ -243,12 +245,12 @@
 }
 
 #[test]
-fn a_good_version_on_trial_is_not_called_bad_by_one_request_that_ends_servers() {
-    play(|world| async move {
+fn crashing_request_does_not_trip_a_good_version_on_trial() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 3).await;
+        let entries = start(&world, &net, &repeatable(), 3).await;
         for n in 31..=36 {
-            world.start_server(n, "s", "v2", again().usual);
+            world.start_server(n, "s", "v2", repeatable().usual);
         }
         sleep(Duration::from_secs(1)).await;
         world.store.put("order/s", "v2 20");
@@ -256,73 +258,74 @@
             for n in 0..200 {
                 let sent = with_body(request("/again/x", &format!("c{n}")), &format!("asked {n}"));
                 let sent = with(sent, "pondwalk-session", &format!("s{n}"));
-                world.ask_at(&entries[n % 3], sent).await;
+                world.call_at(&entries[n % 3], sent).await;
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        let kind = again();
-        let lethal = come_again(&world, &entries, &kind, QUICK, Duration::from_secs(10));
-        tokio::join!(innocent, lethal);
+        let kind = repeatable();
+        let crashing =
+            repeat_request(&world, &entries, &kind, QUICK_RETRY, Duration::from_secs(10));
+        tokio::join!(innocent, crashing);
         sleep(Duration::from_secs(20)).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Completed"));
     });
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_server_ends_is_found_by_those_beside_it() {
-    play(|world| async move {
+fn content_of_disconnected_caller_is_detected() {
+    run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let kind = Kind { path: "/stream/x", usual: stream(100, None), ..again() };
+        let kind = Kind { path: "/stream/x", usual: stream(100, None), ..repeatable() };
         let entries = start(&world, &net, &kind, 2).await;
         for number in 0..60 {
-            // NB: others are at all servers, each with a request of its own.
+            // Other callers are at all servers, each with a content of its own.
             for n in 0..30 {
                 let (world, entry) = (Rc::clone(&world), entries[n % 2].clone());
                 let body = format!("beside {number} {n}");
                 spawn_local(async move {
                     let sent = with_body(request("/stream/x", &format!("b{number}-{n}")), &body);
-                    world.ask_at(&entry, sent).await;
+                    world.call_at(&entry, sent).await;
                 });
             }
             sleep(Duration::from_millis(30)).await;
-            let asking = world.ask_at(&entries[number % 2], lethal(&kind, number as u32));
-            // NB: the answer that the caller does not wait for is dropped with its connection.
-            let _ = timeout(ENDS_AFTER / 2, asking).await;
-            sleep(QUICK).await;
+            let asking = world.call_at(&entries[number % 2], crashing(&kind, number as u32));
+            // The response is dropped with the caller's connection.
+            let _ = timeout(CRASH_AFTER / 2, asking).await;
+            sleep(QUICK_RETRY).await;
         }
         let further = further_runs(&world);
-        assert!(further <= FURTHER_RUNS, "{further} of {}", world.backends.lethal_runs().len());
+        assert!(further <= MAX_FURTHER_RUNS, "{further} of {}", world.backends.lethal_runs().len());
     });
 }
 
 #[test]
-fn a_loss_of_all_servers_with_thousands_aboard_costs_little_and_holds_nobody() {
-    play(|world| async move {
+fn crash_of_all_servers_under_load_quarantines_no_content() {
+    run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let kind = Kind { path: "/stream/x", usual: stream(500, None), ..again() };
+        let kind = Kind { path: "/stream/x", usual: stream(500, None), ..repeatable() };
         let entries = start(&world, &net, &kind, 20).await;
         for n in 0..2_000_usize {
             let (world, entry) = (Rc::clone(&world), entries[n % 20].clone());
             spawn_local(async move {
                 let sent =
                     with_body(request("/stream/x", &format!("a{n}")), &format!("aboard {n}"));
-                world.ask_at(&entry, sent).await;
+                world.call_at(&entry, sent).await;
             });
         }
         sleep(Duration::from_millis(500)).await;
-        let told = "pondwalk_peer_bytes_told_total";
-        let (bytes, calls) = (total(&entries, told), world.store.calls());
+        let sent_bytes_name = "pondwalk_peer_bytes_told_total";
+        let (bytes, calls) = (total(&entries, sent_bytes_name), world.store.calls());
         for n in 1..=30 {
             world.backends.crash(address(n));
         }
         sleep(Duration::from_secs(2)).await;
-        let bytes = total(&entries, told) - bytes;
+        let bytes = total(&entries, sent_bytes_name) - bytes;
         assert_eq!(total(&entries, "pondwalk_contents_held"), 0);
         let remembered = total(&entries, "pondwalk_contents_remembered") / 20;
-        assert_eq!(remembered, 2_000, "each entry knows of all that were aboard");
-        // NB: each end is told to each entry once, and up the tree: some 40 bytes.
+        assert_eq!(remembered, 2_000, "every entry has counted all contents that were running");
+        // Each crash is sent to each entry once, and towards the roots: some 40 bytes.
         assert!(bytes < 2_000 * 20 * 60, "{bytes} bytes");
         let stored = "pondwalk_store_calls_total{cause=\"quarantine\"}";
         assert_eq!(total(&entries, stored), 0);
@@ -331,60 +334,61 @@
     });
 }
 
-/// Callers who all ask the same are aboard wherever a server ends. In a run with real processes their content
-/// was held for minutes: its probes had run at servers that another request ended.
+/// Callers that all send the same content are affected by every crash. In a run with real processes
+/// their content stayed quarantined for minutes, because its probes ran on servers that another
+/// content crashed.
 #[test]
-fn what_came_to_good_ends_before_is_not_held_when_servers_end_by_chance() {
+fn successful_contents_are_not_quarantined_by_unrelated_crashes() {
     for entries in [1, 5] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
-            let entries = start(&world, &net, &again(), entries).await;
-            let ask = async |n: usize| {
+            let entries = start(&world, &net, &repeatable(), entries).await;
+            let call = async |n: usize| {
                 let sent = with_body(request("/again/x", &format!("a{n}")), "the same");
-                world.ask_at(&entries[n % entries.len()], sent).await.status.as_u16()
+                world.call_at(&entries[n % entries.len()], sent).await.status.as_u16()
             };
-            assert_eq!(ask(0).await, 200);
-            world.make_lethal("s", "the same", ENDS_AFTER);
-            assert_eq!(ask(1).await, 502);
-            assert_eq!(ask(2).await, 502);
+            assert_eq!(call(0).await, 200);
+            world.make_crashing("s", "the same", CRASH_AFTER);
+            assert_eq!(call(1).await, 502);
+            assert_eq!(call(2).await, 502);
             world.backends.clear_lethal();
-            // NB: that it went well is known to the first entry, which tells the others.
+            // The first entry knows of the success, and publishes it.
             sleep(Duration::from_millis(if entries.len() > 1 { 800 } else { 0 })).await;
             for n in 3..8 {
-                assert_eq!(ask(n).await, 200, "at {} entries", entries.len());
+                assert_eq!(call(n).await, 200, "at {} entries", entries.len());
             }
         });
     }
 }
 
 #[test]
-fn a_probe_that_reaches_no_server_is_not_used_up() {
+fn probe_that_reaches_no_server_is_released() {
     for entries in [1, 5] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
-            let entries = start(&world, &net, &again(), entries).await;
-            let ask = async |n: usize| {
+            let entries = start(&world, &net, &repeatable(), entries).await;
+            let call = async |n: usize| {
                 let sent =
                     with_body(request("/again/x", &format!("a{n}")), "lost with all servers");
-                world.ask_at(&entries[n % entries.len()], sent).await.status.as_u16()
+                world.call_at(&entries[n % entries.len()], sent).await.status.as_u16()
             };
-            world.make_lethal("s", "lost with all servers", ENDS_AFTER);
-            assert_eq!(ask(0).await, 502);
+            world.make_crashing("s", "lost with all servers", CRASH_AFTER);
+            assert_eq!(call(0).await, 502);
             world.backends.clear_lethal();
             sleep(Duration::from_secs(2)).await;
             for n in 1..=30 {
                 world.backends.stop(address(n));
             }
-            // NB: it comes again and again while there is no server at all.
+            // It is repeated while there is no server at all.
             for n in 0..20 {
-                assert!([429, 503].contains(&ask(n).await));
-                sleep(QUICK).await;
+                assert!([429, 503].contains(&call(n).await));
+                sleep(QUICK_RETRY).await;
             }
             for n in 1..=30 {
-                world.start_server(n, "s", "v1", again().usual);
+                world.start_server(n, "s", "v1", repeatable().usual);
             }
             sleep(Duration::from_secs(3)).await;
-            assert_eq!(ask(0).await, 200, "at {} entries", entries.len());
+            assert_eq!(call(0).await, 200, "at {} entries", entries.len());
         });
     }
 }
--- a/crates/direct/tests/initial_state.rs
+++ b/crates/direct/tests/initial_state.rs
@@ -1,4 +1,4 @@
-//! An entry that starts hears the whole state from one other.
+//! An entry that starts receives the full state from exactly one peer.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{
     catalog,
     net::{Impostor, Net, peer_address, whole_state},
-    play,
+    run_test,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt, DuplexStream},
@@ -15,15 +15,15 @@
     time::sleep,
 };
 
-/// Tells a state in two pieces, some time apart, and counts who asks for one.
-fn telling_in_pieces(asked: &Rc<Cell<usize>>) -> Impostor {
-    let asked = Rc::clone(asked);
+/// Sends a state in two parts, with a pause between them, and counts the requests for one.
+fn sending_in_parts(requests: &Rc<Cell<usize>>) -> Impostor {
+    let requests = Rc::clone(requests);
     Rc::new(move |mut stream: DuplexStream| {
-        let asked = Rc::clone(&asked);
+        let requests = Rc::clone(&requests);
         spawn_local(async move {
             let mut question = [0; 4_096];
             while stream.read(&mut question).await.is_ok_and(|bytes| bytes > 0) {
-                asked.set(asked.get() + 1);
+                requests.set(requests.get() + 1);
                 let state = whole_state(&[("catalog", "1")], 100);
                 let body = state.to_bytes().expect("it serializes");
                 let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
@@ -38,19 +38,19 @@
 }
 
 #[test]
-fn nobody_else_is_asked_while_one_tells() {
-    play(|world| async move {
+fn only_one_peer_is_asked_for_the_initial_state() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
-        let asked = Rc::default();
+        let requests = Rc::default();
         for n in 0..3 {
-            net.impostors.borrow_mut().insert(peer_address(n), telling_in_pieces(&asked));
+            net.impostors.borrow_mut().insert(peer_address(n), sending_in_parts(&requests));
         }
         let seeds: Vec<String> = (0..3).map(|n| peer_address(n).to_string()).collect();
         let further = format!("[membership]\nseeds={}\n", seeds.join(","));
         let entry = net.start_with(&world, 9, &further);
         sleep(Duration::from_millis(290)).await;
-        assert_eq!(asked.get(), 1);
+        assert_eq!(requests.get(), 1);
         sleep(Duration::from_millis(60)).await;
         assert!(entry.gathered_lines().contains("first_state"), "{}", entry.gathered_lines());
     });
--- a/crates/direct/tests/log_limits.rs
+++ b/crates/direct/tests/log_limits.rs
@@ -1,4 +1,5 @@
-//! Log lines and counters: bounded, fair between failures and successes, never waited for.
+//! Log lines and metrics: bounded, shared fairly between failures and successes, and never
+//! blocking.
 
 mod common;
 
@@ -7,7 +8,7 @@
     time::Duration,
 };
 
-use common::{catalog, play, request};
+use common::{catalog, request, run_test};
 use pondwalk_direct::journal::{Journal, Rank};
 use pondwalk_standin::backends::Act;
 use spdlog::{
@@ -26,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn ten_times_the_load_stays_within_the_lines_allowed() {
+async fn log_lines_stay_within_limit_under_tenfold_load() {
     let journal = Journal::silent("e1", 100);
     for _ in 0..1_000 {
         journal.note(Rank::Success, &Line { event: "good" });
@@ -41,20 +42,20 @@
     sleep(Duration::from_secs(1)).await;
     journal.note(Rank::Success, &Line { event: "good" });
     journal.flush();
-    assert_eq!(lines(&journal, "good"), 51, "a second later there is room again");
+    assert_eq!(lines(&journal, "good"), 51, "a second later lines are available again");
     let text = journal.gathered();
     let dropped = text.lines().find(|line| line.contains("lines_dropped")).expect("a line");
     assert!(dropped.contains("\"lines\":1900"), "{dropped}");
 }
 
 #[test]
-fn each_line_is_one_json_object() {
-    play(|world| async move {
+fn each_log_line_is_one_json_object() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
         world.start().await;
-        world.ask(request("/once/", "r1")).await;
-        world.ask(request("/nowhere/", "r2")).await;
+        world.call(request("/once/", "r1")).await;
+        world.call(request("/nowhere/", "r2")).await;
         let text = world.entry.gathered_lines();
         let read = |line| serde_json::from_str::<serde_json::Value>(line).expect("JSON");
         let events: Vec<serde_json::Value> = text.lines().map(read).collect();
@@ -68,12 +69,12 @@
 }
 
 #[test]
-fn counters_and_latencies_are_told_as_text() {
-    play(|world| async move {
+fn metrics_are_exposed_as_text() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
         world.start().await;
-        world.ask(request("/once/", "r1")).await;
+        world.call(request("/once/", "r1")).await;
         let text = world.entry.metrics_text();
         for line in [
             "pondwalk_requests_total 1",
@@ -82,12 +83,12 @@
             "pondwalk_configuration_age_ms_count 1",
             "pondwalk_store_call_ms_count 1",
         ] {
-            assert!(text.lines().any(|told| told == line), "{line} in\n{text}");
+            assert!(text.lines().any(|other| other == line), "{line} in\n{text}");
         }
     });
 }
 
-/// An output that takes nothing while it is held.
+/// An output that blocks while it is locked.
 #[derive(Default)]
 struct HeldOutput {
     prop: SinkProp,
@@ -102,7 +103,7 @@
 
 impl Sink for HeldOutput {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
-        let mut written = self.written.lock().expect("nobody panics with it");
+        let mut written = self.written.lock().expect("the lock is not poisoned");
         written.push_str(record.payload());
         written.push('\n');
         Ok(())
@@ -114,24 +115,25 @@
 }
 
 #[test]
-fn a_blocked_output_stalls_nothing_and_what_it_lost_is_told() {
+fn blocked_output_does_not_stall_and_lost_lines_are_counted() {
     let output = Arc::new(HeldOutput::default());
     let journal = Journal::to(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
     let journal = journal.expect("a journal");
-    let held = output.written.lock().expect("nobody panics with it");
-    // NB: more batches than may wait; with a journal that waits, this never ends.
+    let guard = output.written.lock().expect("the lock is not poisoned");
+    // More batches than the queue holds; with a blocking log this would never end.
     for _ in 0..30 {
         journal.note(Rank::State, &Line { event: "changed" });
         journal.flush();
     }
-    drop(held);
-    let told = || output.written.lock().expect("nobody panics with it").contains("lines_dropped");
+    drop(guard);
+    let reported =
+        || output.written.lock().expect("the lock is not poisoned").contains("lines_dropped");
     for _ in 0..10_000 {
-        if told() {
+        if reported() {
             return;
         }
         std::thread::sleep(Duration::from_millis(1));
         journal.flush();
     }
-    panic!("what was lost is never told");
+    panic!("lost lines are never reported");
 }
--- a/crates/direct/tests/peer_polling.rs
+++ b/crates/direct/tests/peer_polling.rs
@@ -1,5 +1,5 @@
-//! Entries that ask one another for changes: few store calls, and never a state that looks
-//! fresher than it is.
+//! Entries that poll each other for changes: number of store calls, and states that never look
+//! fresher than they are.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{
     World, catalog, catalog_with_keys,
     net::{Net, peer_address},
-    play, request, with,
+    request, run_test, with,
 };
 use pondwalk_direct::{Entry, membership::Members};
 use pondwalk_standin::{backends::Act, memory_store::Weather};
@@ -16,10 +16,10 @@
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
     let sent = with(request("/once/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask_at(entry, sent).await.status.as_u16()
+    world.call_at(entry, sent).await.status.as_u16()
 }
 
-async fn with_entries(world: &World, net: &Net, count: u16) -> Vec<Entry> {
+async fn run_with_entries(world: &World, net: &Net, count: u16) -> Vec<Entry> {
     world.configure(catalog(1));
     world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
     let mut entries = Vec::new();
@@ -30,36 +30,36 @@
     entries
 }
 
-/// Store calls that so many entries make in `time`, once `before` has passed.
+/// Store calls of `count` entries in `time`, after `before` has completed.
 fn store_calls<B>(count: u16, before: impl Fn(World) -> B, time: Duration) -> u64
 where
     B: Future<Output = World>,
 {
     let seen = Rc::new(RefCell::new(0));
-    let noted = Rc::clone(&seen);
-    play(|world| async move {
+    let recorded = Rc::clone(&seen);
+    run_test(|world| async move {
         let net = Net::default();
-        let _entries = with_entries(&world, &net, count).await;
+        let _entries = run_with_entries(&world, &net, count).await;
         let world = before(world).await;
         let calls = world.store.calls();
         sleep(time).await;
-        *noted.borrow_mut() = world.store.calls() - calls;
+        *recorded.borrow_mut() = world.store.calls() - calls;
     });
     seen.take()
 }
 
 #[test]
-fn store_calls_hardly_grow_with_the_entries() {
+fn store_calls_hardly_grow_with_entries() {
     let calls = |count| store_calls(count, async |world| world, Duration::from_secs(60));
     let (few, many) = (calls(3), calls(15));
     assert!(many <= few + few / 5, "{few} calls by 3 entries, {many} by 15");
 }
 
 #[test]
-fn a_change_is_in_force_at_every_entry_within_a_second() {
-    play(|world| async move {
+fn change_is_in_force_at_all_entries_within_a_second() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = with_entries(&world, &net, 6).await;
+        let entries = run_with_entries(&world, &net, 6).await;
         world.configure(catalog_with_keys(2, &["k1"]));
         sleep(Duration::from_secs(1)).await;
         for entry in &entries {
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn a_source_that_is_cut_off_is_left_before_two_seconds_are_over() {
+fn unreachable_source_is_replaced_within_two_seconds() {
     let silent = Weather::Silent(Duration::from_secs(30));
     for weather in [silent, Weather::Refused] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
-            let entries = with_entries(&world, &net, 4).await;
+            let entries = run_with_entries(&world, &net, 4).await;
             let source = Members::first_in_order(&["e0", "e1", "e2", "e3"]);
-            world.cut_store_for(&entries[source], weather);
+            world.set_store_fault(&entries[source], weather);
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(Duration::from_millis(1_900)).await;
             for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != source) {
@@ -88,14 +88,14 @@
                 status(&world, &entries[source], "k1").await,
                 status(&world, &entries[source], "k2").await,
             ];
-            // NB: it asks the others, whether its calls to the store are refused or not answered.
+            // The entry polls its peers, whether its store calls are refused or time out.
             assert_eq!(of_source, [200, 401], "{weather:?}");
         });
     }
 }
 
 #[test]
-fn entries_ask_one_another_again_once_the_store_is_back() {
+fn entries_poll_peers_again_after_store_outage() {
     let outage = async |world: World| {
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(8)).await;
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn a_source_that_does_not_answer_is_passed_over() {
-    play(|world| async move {
+fn unresponsive_source_is_skipped() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = with_entries(&world, &net, 4).await;
+        let entries = run_with_entries(&world, &net, 4).await;
         let source = Members::first_in_order(&["e0", "e1", "e2", "e3"]);
         net.cut.borrow_mut().push(peer_address(source as u16));
-        // NB: kept connections stay open; those that are new hang.
+        // Open connections are kept; new ones hang.
         sleep(Duration::from_secs(10)).await;
         world.configure(catalog_with_keys(2, &["k1"]));
         sleep(Duration::from_millis(1_900)).await;
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn a_store_that_is_away_makes_all_entries_refuse_keys_in_time() {
-    play(|world| async move {
+fn all_entries_refuse_keys_in_time_during_store_outage() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = with_entries(&world, &net, 5).await;
+        let entries = run_with_entries(&world, &net, 5).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
@@ -144,8 +144,8 @@
 }
 
 #[test]
-fn a_session_on_the_old_version_stays_there_at_every_entry() {
-    play(|world| async move {
+fn session_stays_on_the_old_version_at_all_entries() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
@@ -153,28 +153,28 @@
             world.start_server(10 + n, "s", "v2", Act::Answer(200, "new".into()));
         }
         let entries = [net.start(&world, 0).await, net.start(&world, 1).await];
-        let ask = async |entry: &Entry, session: usize| {
+        let call = async |entry: &Entry, session: usize| {
             let session = format!("session{session}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
-            world.ask_at(entry, sent).await.body
+            world.call_at(entry, sent).await.body
         };
         sleep(Duration::from_secs(2)).await;
         world.store.put("order/s", "v2 20");
-        // NB: until the order is heard, servers of both versions are alike.
+        // Before the order arrives, servers of both versions are treated alike.
         sleep(world.entry_times().confirm_interval).await;
         for session in 0..60 {
-            assert_eq!(ask(&entries[0], session).await, "old");
+            assert_eq!(call(&entries[0], session).await, "old");
         }
         sleep(Duration::from_secs(3)).await;
         for session in 0..60 {
-            assert_eq!(ask(&entries[1], session).await, "old", "session {session}");
+            assert_eq!(call(&entries[1], session).await, "old", "session {session}");
         }
     });
 }
 
 #[test]
-fn a_bad_version_is_told_by_others_where_its_finder_cannot_write() {
-    play(|world| async move {
+fn bad_version_is_reported_by_others_if_the_finder_cannot_write() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
@@ -184,11 +184,11 @@
         let (finder, _other) = (net.start(&world, 0).await, net.start(&world, 1).await);
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(2)).await;
-        world.cut_store_for(&finder, Weather::Refused);
+        world.set_store_fault(&finder, Weather::Refused);
         for number in 0..60 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
-            world.ask_at(&finder, sent).await;
+            world.call_at(&finder, sent).await;
             sleep(Duration::from_millis(50)).await;
         }
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
@@ -196,13 +196,13 @@
 }
 
 #[test]
-fn entries_that_cannot_answer_are_not_asked_one_after_the_other() {
-    play(|world| async move {
+fn unresponsive_entries_are_not_polled_in_sequence() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = with_entries(&world, &net, 14).await;
+        let entries = run_with_entries(&world, &net, 14).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let source = Members::first_in_order(&names);
-        world.cut_store_for(&entries[source], Weather::Refused);
+        world.set_store_fault(&entries[source], Weather::Refused);
         net.cut.borrow_mut().extend((0..14).map(peer_address));
         world.configure(catalog_with_keys(2, &["k1"]));
         sleep(Duration::from_millis(1_900)).await;
--- a/crates/direct/tests/server_rate_limits_many_entries.rs
+++ b/crates/direct/tests/server_rate_limits_many_entries.rs
@@ -1,4 +1,4 @@
-//! Servers that name a rate limit, where entries are many, end, start anew or are cut off from one another.
+//! Servers that report a rate limit, with many entries, which stop, restart or are partitioned.
 
 mod common;
 
@@ -6,9 +6,9 @@
 
 use common::{
     World,
-    limits::{Load, answers, check, count_from, load_at, load_evenly, name_limit, start},
+    limits::{Load, answers, check, count_from, load_at, load_evenly, report_limit, start},
     net::{Impostor, Net, peer_address},
-    play, stream, total,
+    run_test, stream, total,
 };
 use pondwalk_decide::direct::{granting_order, server_hash};
 use pondwalk_direct::Entry;
@@ -18,7 +18,7 @@
     time::{Instant, sleep},
 };
 
-fn made() -> Act {
+fn ok_response() -> Act {
     Act::Answer(200, "made".into())
 }
 
@@ -26,16 +26,16 @@
     Load { path: "/again/x", gap: Duration::from_millis(25), time: Duration::from_secs(seconds) }
 }
 
-/// Four servers, the first of which names 1.7 a second, at so many entries.
+/// Four servers and `entries` entries; the first server reports a limit of 1.7 requests a second.
 async fn one_limits(world: World, entries: u16) -> (Rc<World>, Net, Vec<Entry>) {
     let net = Net::default();
-    let entries = start(&world, &net, (4, "s", made()), entries).await;
-    name_limit(&world, 1, "1.7");
+    let entries = start(&world, &net, (4, "s", ok_response()), entries).await;
+    report_limit(&world, 1, "1.7");
     (Rc::new(world), net, entries)
 }
 
-fn keeps_to_limit(entries: u16) {
-    play(move |world| async move {
+fn check_limit_is_kept(entries: u16) {
+    run_test(move |world| async move {
         let (world, _net, entries) = one_limits(world, entries).await;
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load(15)).await).await;
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn a_server_that_named_a_limit_gets_no_more_from_24_entries_together() {
-    keeps_to_limit(24);
+fn limit_is_kept_by_24_entries_together() {
+    check_limit_is_kept(24);
 }
 
 #[test]
-fn a_server_that_named_a_limit_gets_no_more_from_103_entries_together() {
-    keeps_to_limit(103);
+fn limit_is_kept_by_103_entries_together() {
+    check_limit_is_kept(103);
 }
 
 #[test]
-fn what_a_server_takes_is_used_and_no_more_by_357_entries_with_a_request_each_nine_seconds() {
-    play(|world| async move {
+fn limit_is_used_and_kept_by_357_entries_with_sparse_requests() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, (1, "s", made()), 357).await;
-        name_limit(&world, 1, "1.7");
+        let entries = start(&world, &net, (1, "s", ok_response()), 357).await;
+        report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load(20)).await).await;
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn what_a_server_takes_is_used_by_one_entry_of_24() {
-    play(|world| async move {
+fn limited_capacity_is_used_by_one_of_24_entries() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, (1, "s", made()), 24).await;
-        name_limit(&world, 1, "1.7");
+        let entries = start(&world, &net, (1, "s", ok_response()), 24).await;
+        report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
         let named = Instant::now();
         answers(load_at(&world, &entries, load(30), |_| 17).await).await;
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn a_limit_is_kept_by_the_two_halves_of_a_deployment_that_is_cut() {
+fn limit_is_kept_by_both_partitions() {
     for seconds_before in [0, 5] {
-        play(move |world| async move {
+        run_test(move |world| async move {
             let (world, net, entries) = one_limits(world, 8).await;
             let named = Instant::now();
             answers(load_evenly(&world, &entries, load(seconds_before)).await).await;
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn a_limit_is_kept_while_entries_end_one_after_the_other() {
-    play(|world| async move {
+fn limit_is_kept_while_entries_stop_in_turn() {
+    run_test(|world| async move {
         let (world, net, entries) = one_limits(world, 8).await;
         let named = Instant::now();
         for ended in 0..6u16 {
@@ -115,13 +115,13 @@
         answers(load_evenly(&world, &entries[6..], load(20)).await).await;
         check(&world, 1, 1.7, named);
         let count = count_from(&world, 1, left);
-        assert!(count >= 8, "{count} by the two that are left");
+        assert!(count >= 8, "{count} by the two remaining entries");
     });
 }
 
 #[test]
-fn a_limit_is_kept_by_entries_that_start_later() {
-    play(|world| async move {
+fn limit_is_kept_by_later_entries() {
+    run_test(|world| async move {
         let (world, net, mut entries) = one_limits(world, 4).await;
         let named = Instant::now();
         for n in 4..10 {
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn a_limit_is_kept_after_a_restart_of_all_entries() {
-    play(|world| async move {
+fn limit_is_kept_after_a_restart_of_all_entries() {
+    run_test(|world| async move {
         let (world, net, entries) = one_limits(world, 5).await;
         answers(load_evenly(&world, &entries, load(5)).await).await;
         (0..5).for_each(|n| net.end(n));
@@ -151,8 +151,8 @@
 }
 
 #[test]
-fn a_limit_holds_where_all_open_connections_go_silent() {
-    play(|world| async move {
+fn limit_is_kept_when_all_connections_go_silent() {
+    run_test(|world| async move {
         let (world, net, entries) = one_limits(world, 6).await;
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load(4)).await).await;
@@ -163,11 +163,11 @@
 }
 
 #[test]
-fn forty_servers_that_all_limit_are_used_by_24_entries() {
-    play(|world| async move {
+fn forty_limited_servers_are_used_by_24_entries() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, (40, "m", stream(2, Some(100))), 24).await;
-        (1..=40).for_each(|n| name_limit(&world, n, "0.8"));
+        (1..=40).for_each(|n| report_limit(&world, n, "0.8"));
         let world = Rc::new(world);
         let named = Instant::now();
         let load = Load { path: "/models/x", ..load(20) };
@@ -179,13 +179,14 @@
 }
 
 #[test]
-fn a_part_of_what_a_server_takes_is_used_while_the_entry_that_grants_its_permits_stands_still() {
-    play(|world| async move {
+fn part_of_the_limit_is_used_while_the_granter_is_unresponsive() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, (1, "s", made()), 6).await;
+        let entries = start(&world, &net, (1, "s", ok_response()), 6).await;
         let mut names: Vec<String> = entries.iter().map(|entry| entry.name().to_owned()).collect();
         granting_order(u128::from(server_hash("s1")), &mut names);
-        let granter = entries.iter().position(|entry| entry.name() == names[0]).expect("it is");
+        let granter =
+            entries.iter().position(|entry| entry.name() == names[0]).expect("it is used");
         let stands_still: Impostor = Rc::new(|io| {
             spawn_local(async move {
                 sleep(Duration::from_secs(3_600)).await;
@@ -194,7 +195,7 @@
         });
         let address = peer_address(u16::try_from(granter).expect("a few"));
         net.impostors.borrow_mut().insert(address, stands_still);
-        name_limit(&world, 1, "1.7");
+        report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
         let named = Instant::now();
         let others = load_at(&world, &entries, load(30), |number| {
@@ -209,21 +210,21 @@
 }
 
 #[test]
-fn requests_ask_for_few_permits_where_hundreds_of_servers_have_none_to_give() {
-    play(|world| async move {
+fn few_permits_are_requested_if_hundreds_of_servers_are_at_their_limits() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, (300, "s", made()), 4).await;
-        (1..=300).for_each(|n| name_limit(&world, n, "0"));
+        let entries = start(&world, &net, (300, "s", ok_response()), 4).await;
+        (1..=300).for_each(|n| report_limit(&world, n, "0"));
         let world = Rc::new(world);
         answers(load_evenly(&world, &entries, load(10)).await).await;
-        let asked = || {
+        let permit_requests = || {
             let names = ["pondwalk_permits_given_total", "pondwalk_permits_refused_total"];
             names.iter().map(|name| total(&entries, name)).sum::<u64>()
         };
-        let before = asked();
-        let seldom = Load { gap: Duration::from_millis(400), ..load(20) };
-        let requests = answers(load_evenly(&world, &entries, seldom).await).await.len();
-        let of_each = (asked() - before) as f64 / requests as f64;
-        assert!(of_each <= 24.0, "{of_each} permits asked for by each request");
+        let before = permit_requests();
+        let slow_load = Load { gap: Duration::from_millis(400), ..load(20) };
+        let requests = answers(load_evenly(&world, &entries, slow_load).await).await.len();
+        let per_request = (permit_requests() - before) as f64 / requests as f64;
+        assert!(per_request <= 24.0, "{per_request} permit requests per request");
     });
 }
--- a/crates/direct/tests/slow_callers.rs
+++ b/crates/direct/tests/slow_callers.rs
@@ -1,26 +1,27 @@
-//! Callers that read slowly or not at all: what is held for each, and what others notice of it.
+//! Callers that read slowly or not at all: the memory used for each, and the effect on other
+//! callers.
 
 mod common;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{World, address, catalog, play, request, stream};
+use common::{World, address, catalog, request, run_test, stream};
 use http_body_util::{BodyExt, Full};
 use hyper::{Response, body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
 use pondwalk_standin::backends::Act;
 use tokio::{io::duplex, task::spawn_local, time::sleep};
 
-/// Bytes that the way between caller and entry, and between entry and server, carries before it is read.
-const WAY_BYTES: usize = 64 * 1024;
-/// Bytes that an entry may hold for one caller: what it has read from the server, what waits, and what it is
-/// about to write.
-const MOST_HELD: usize = 256 * 1024;
+/// Bytes that a connection between caller and entry, or entry and server, buffers.
+const CONNECTION_BYTES: usize = 64 * 1024;
+/// Bytes that an entry may buffer for one caller: read from the server, waiting, and about to be
+/// written.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Sends a request over a way that carries little, and reads the head of the answer only.
-async fn open(world: &World, path: &str, id: &str, way_bytes: usize) -> Response<Incoming> {
-    let (near, far) = duplex(way_bytes);
+/// Sends a request over a connection with a small buffer, and reads only the response head.
+async fn open(world: &World, path: &str, id: &str, connection_bytes: usize) -> Response<Incoming> {
+    let (near, far) = duplex(connection_bytes);
     let entry = world.entry.clone();
     spawn_local(async move { entry.serve(far).await });
     let handshake = http1::Builder::new().max_buf_size(8 * 1024).handshake(TokioIo::new(near));
@@ -29,8 +30,8 @@
     let answer: Response<Incoming> = sender
         .send_request(request(path, id) as hyper::Request<Full<Bytes>>)
         .await
-        .expect("an answer");
-    // NB: the connection stays open as long as the sender does.
+        .expect("a response");
+    // The connection stays open as long as the sender is alive.
     spawn_local(async move {
         let _sender = sender;
         sleep(Duration::from_secs(3_600)).await;
@@ -43,8 +44,8 @@
 }
 
 #[test]
-fn a_server_gets_rid_of_a_usual_answer_though_its_caller_reads_nothing() {
-    play(|world| async move {
+fn usual_response_is_buffered_if_its_caller_does_not_read() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", stream(600, None));
         world.start().await;
@@ -56,14 +57,14 @@
             whole,
             "the server still holds some of it"
         );
-        let read = answer.into_body().collect().await.expect("a whole answer");
+        let read = answer.into_body().collect().await.expect("a complete response");
         assert_eq!(read.to_bytes().len(), whole);
     });
 }
 
 #[test]
-fn what_is_held_for_many_slow_callers_is_bounded_and_others_are_served() {
-    play(|world| async move {
+fn buffers_of_slow_callers_are_bounded_and_others_are_served() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", endless());
         world.start().await;
@@ -73,11 +74,14 @@
             answers.push(open(&world, "/fixed/", &format!("slow{n}"), 512).await);
         }
         sleep(Duration::from_secs(6)).await;
-        let held = world.backends.taken_bytes(address(1)) / callers;
-        assert!(held > 32 * 1024, "{held} bytes: nothing waits for a slow caller");
-        assert!(held <= MOST_HELD + WAY_BYTES, "{held} bytes are held for each slow caller");
+        let buffered = world.backends.taken_bytes(address(1)) / callers;
+        assert!(buffered > 32 * 1024, "{buffered} bytes: nothing is buffered for a slow caller");
+        assert!(
+            buffered <= MAX_BUFFERED_BYTES + CONNECTION_BYTES,
+            "{buffered} bytes are buffered for each slow caller"
+        );
         world.backends.does(address(1), Act::Answer(200, "made".into()));
-        assert_eq!(world.ask(request("/again/", "quick")).await.status, 200);
+        assert_eq!(world.call(request("/again/", "quick")).await.status, 200);
         drop(answers);
     });
 }
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -1,8 +1,8 @@
-//! What holds when the store answers late, or when its answers are large and links narrow.
+//! Behaviour with a slow store, large responses and narrow links.
 //!
-//! A bound of time that is kept by asking, waiting for the answer and asking again holds only while
-//! answers come quicker than the bound; so does one that is kept by taking nothing older than so
-//! much. The tests state what is promised at each answer time instead.
+//! A time bound that depends on a request, its response and a further request holds only while
+//! responses take less than the bound; the same is true of a maximum age. The tests therefore state
+//! what is guaranteed at each response time.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use common::{
     World, catalog, catalog_with_keys,
     net::{Impostor, Net, peer_address, whole_state},
-    play, request, with,
+    request, run_test, with,
 };
 use pondwalk_direct::Entry;
 use pondwalk_standin::{backends::Act, memory_store::Weather};
@@ -21,13 +21,13 @@
     time::{Instant, sleep},
 };
 
-/// Time within which a change must be in force where the tests declare nothing.
+/// Time in which a change must be in force unless a test states otherwise.
 const PROPAGATION: Duration = Duration::from_secs(2);
-/// Bytes a second of a link of 10 Mbit/s.
+/// Bandwidth of a link of 10 Mbit/s, in bytes a second.
 const NARROW: u64 = 1_250_000;
-/// Bytes of a configuration near the largest value that the store takes, as they are sent.
+/// Encoded size of a configuration near the largest value that the store takes, in bytes.
 const LARGE: usize = 1_300_000;
-/// Steps in which the tests look.
+/// Interval at which the tests check the state.
 const STEP: Duration = Duration::from_millis(20);
 
 async fn start(world: &World, count: u16) -> Vec<Entry> {
@@ -40,10 +40,10 @@
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
     let sent = with(request("/again/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask_at(entry, sent).await.status.as_u16()
+    world.call_at(entry, sent).await.status.as_u16()
 }
 
-/// Calls to the store of a cause, by all entries.
+/// Store calls by cause, of all entries.
 fn store_calls(entries: &[Entry], cause: &str) -> u64 {
     let name = format!("pondwalk_store_calls_total{{cause=\"{cause}\"}}");
     let of_one = |entry: &Entry| {
@@ -58,7 +58,7 @@
     entry.gathered_lines().contains(&installed)
 }
 
-/// Time until all entries have put a configuration in force, up to 30 s.
+/// Time until all entries have a configuration in force, up to 30 s.
 async fn until_in_force(entries: &[Entry], version: u64) -> Duration {
     let from = Instant::now();
     while !entries.iter().all(|entry| holds(entry, version)) && from.elapsed().as_secs() < 30 {
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn a_large_change_is_in_force_in_time_though_all_links_to_the_store_are_narrow() {
-    play(|world| async move {
+fn large_change_is_in_force_in_time_over_narrow_store_links() {
+    run_test(|world| async move {
         let entries = start(&world, 40).await;
         for entry in &entries {
-            world.cut_store_for(entry, Weather::Narrow(NARROW));
+            world.set_store_fault(entry, Weather::Narrow(NARROW));
         }
-        // NB: at different points of the time between two questions.
+        // At different points of the interval between two requests.
         for (round, pause_ms) in [1_000, 1_130, 1_270, 1_390].into_iter().enumerate() {
             sleep(Duration::from_millis(pause_ms)).await;
             let version = round as u64 + 2;
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn entries_on_wide_links_take_large_changes_from_the_store_for_those_on_narrow_ones() {
-    play(|world| async move {
+fn entries_with_wide_links_distribute_large_changes() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
         let net = Net::default();
@@ -99,7 +99,7 @@
         };
         let entries: Vec<(Entry, u64)> = (0..32).map(start).collect();
         for (entry, link_mbps) in &entries {
-            world.cut_store_for(entry, Weather::Narrow(link_mbps * NARROW / 10));
+            world.set_store_fault(entry, Weather::Narrow(link_mbps * NARROW / 10));
         }
         sleep(Duration::from_secs(6)).await;
         let (wide, narrow): (Vec<_>, Vec<_>) =
@@ -108,7 +108,7 @@
         let asks_store = |entry: &Entry| entry.metrics_text().contains("asks_store 1");
         let roots: Vec<usize> = (0..32).filter(|n| asks_store(&entries[*n])).collect();
         assert_eq!(roots.len(), 3);
-        assert!(roots.iter().all(|root| *root < 5), "{roots:?} of those on wide links, 0 to 4");
+        assert!(roots.iter().all(|root| *root < 5), "{roots:?} have wide links, which are 0 to 4");
         world.configure_large(catalog_with_keys(2, &["k1"]), LARGE);
         let time = until_in_force(&entries, 2).await;
         let read = Duration::from_secs_f64(LARGE as f64 / (20.0 * NARROW as f64));
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn a_change_is_in_force_an_answer_and_an_interval_after_it_was_made() {
+fn change_is_in_force_within_response_time_and_interval() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             let entries = start(&world, 40).await;
             let answer = Duration::from_millis(answer_ms);
             world.store.set_weather(Weather::Late(answer));
@@ -130,16 +130,16 @@
                 sleep(Duration::from_millis(700 + 170 * version)).await;
                 world.configure(catalog_with_keys(version, &["k1"]));
                 let time = until_in_force(&entries, version).await;
-                assert!(time <= bound, "{time:?} where answers take {answer:?}");
+                assert!(time <= bound, "{time:?} with responses that take {answer:?}");
             }
         });
     }
 }
 
 #[test]
-fn keys_are_honoured_as_long_as_a_late_store_still_confirms_them_within_the_bound() {
+fn keys_are_honoured_while_a_slow_store_confirms_within_the_bound() {
     for answer_ms in [10, 500, 2_000, 3_500] {
-        play(|world| async move {
+        run_test(|world| async move {
             let entries = start(&world, 20).await;
             world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
             for _ in 0..60 {
@@ -154,9 +154,9 @@
 }
 
 #[test]
-fn a_key_taken_away_is_dead_in_time_whatever_an_answer_takes() {
+fn removed_key_is_refused_in_time_with_a_slow_store() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             let entries = start(&world, 20).await;
             world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
             sleep(Duration::from_secs(7)).await;
@@ -171,24 +171,24 @@
 }
 
 #[test]
-fn an_entry_that_starts_reads_its_first_state_from_a_late_store() {
+fn starting_entry_reads_initial_state_from_a_slow_store() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             world.configure(catalog(1));
             world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
             let answer = Duration::from_millis(answer_ms);
             world.store.set_weather(Weather::Late(answer));
             let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
-            let alone = Net::default().start_with(&world, 9, &seeds);
-            // NB: it asks the seed for 0.9 s first.
+            let entry = Net::default().start_with(&world, 9, &seeds);
+            // It first polls the seed for 0.9 s.
             sleep(Duration::from_millis(1_000) + answer).await;
-            assert!(holds(&alone, 1), "at {answer_ms} ms");
+            assert!(holds(&entry, 1), "at {answer_ms} ms");
         });
     }
 }
 
-/// Tells a first state, in parts that come for 1.2 s, to whoever connects.
-fn telling_slowly(keys: &[(&str, &str)]) -> Impostor {
+/// Sends an initial state to each client, in parts over 1.2 s.
+fn sending_slowly(keys: &[(&str, &str)]) -> Impostor {
     let state = whole_state(keys, 9);
     let body = state.to_bytes().expect("it serializes");
     Rc::new(move |mut stream| {
@@ -207,13 +207,13 @@
 }
 
 #[test]
-fn a_state_that_another_entry_tells_is_read_however_long_it_takes_to_come() {
-    play(|world| async move {
+fn slowly_arriving_peer_state_is_read() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
         world.store.set_weather(Weather::Refused);
-        let told = telling_slowly(&[("catalog", "1")]);
-        net.impostors.borrow_mut().insert(peer_address(0), told);
+        let impostor = sending_slowly(&[("catalog", "1")]);
+        net.impostors.borrow_mut().insert(peer_address(0), impostor);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_millis(1_300)).await;
@@ -222,9 +222,9 @@
 }
 
 #[test]
-fn a_roll_out_is_carried_through_in_time_whatever_an_answer_takes() {
+fn roll_out_completes_in_time_with_a_slow_store() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             let entries = start(&world, 20).await;
             for n in 11..=13 {
                 world.start_server(n, "s", "v2", Act::Answer(200, "new".into()));
@@ -233,18 +233,18 @@
             sleep(Duration::from_secs(7)).await;
             world.store.put("order/s", "v2 24");
             sleep(Duration::from_secs(24)).await;
-            let told = world.store.value("progress/s");
-            assert_eq!(told.as_deref(), Some("v2 Completed"), "at {answer_ms} ms");
+            let progress = world.store.value("progress/s");
+            assert_eq!(progress.as_deref(), Some("v2 Completed"), "at {answer_ms} ms");
             let lost = store_calls(&entries, "step_lost");
-            assert!(lost <= 12, "{lost} writes of a step in vain at {answer_ms} ms");
+            assert!(lost <= 12, "{lost} conflicting writes of steps at {answer_ms} ms");
         });
     }
 }
 
 #[test]
-fn entries_that_start_are_listed_whatever_an_answer_takes() {
+fn starting_entries_are_listed_with_a_slow_store() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             world.configure(catalog(1));
             world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
             world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
@@ -261,17 +261,21 @@
 }
 
 #[test]
-fn a_server_that_leaves_is_left_an_answer_and_an_interval_later() {
+fn draining_server_is_avoided_within_response_time_and_interval() {
     for answer_ms in [10, 500, 2_000, 4_000] {
-        play(|world| async move {
+        run_test(|world| async move {
             let entries = start(&world, 20).await;
             let answer = Duration::from_millis(answer_ms);
             world.store.set_weather(Weather::Late(answer));
             sleep(Duration::from_secs(7)).await;
             world.list_server(1, "s", "v1", "draining");
             sleep(answer + world.entry_times().oldest_in_calm() + STEP).await;
-            let knows = |entry: &&Entry| entry.gathered_lines().contains("Draining");
-            assert_eq!(entries.iter().filter(knows).count(), entries.len(), "at {answer_ms} ms");
+            let has_received = |entry: &&Entry| entry.gathered_lines().contains("Draining");
+            assert_eq!(
+                entries.iter().filter(has_received).count(),
+                entries.len(),
+                "at {answer_ms} ms"
+            );
         });
     }
 }
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -1,5 +1,5 @@
-//! Many entries with one store: few calls, states that stay confirmed whatever changes or fails, a
-//! first state from others, and steps that one of them makes.
+//! Many entries with one store: number of store calls, freshness of states under changes and
+//! faults, initial states from peers, and steps made by one entry for all.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{
     World, address, catalog, catalog_warming, catalog_with_keys,
     net::{Impostor, Net, peer_address, whole_state},
-    play, request, total, with,
+    request, run_test, total, with,
 };
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::{
@@ -24,28 +24,28 @@
     time::sleep,
 };
 
-/// As many as in the largest deployment served so far.
-const MANY: u16 = 103;
+/// Size of the largest deployment served so far.
+const MANY_ENTRIES: u16 = 103;
 
-fn prepare(world: &World, servers: u16) {
+fn set_up(world: &World, servers: u16) {
     world.configure(catalog(1));
     for n in 1..=servers {
         world.start_server(n, "s", "v1", Act::Answer(200, "made".into()));
     }
 }
 
-/// Oldest state among entries, as long as all have one.
+/// Age of the oldest state; `None` if an entry has no state.
 fn oldest(entries: &[Entry]) -> Option<Duration> {
     let ages: Option<Vec<Duration>> = entries.iter().map(Entry::state_age).collect();
     ages?.into_iter().max()
 }
 
-/// Oldest state seen among entries in `time`.
+/// Age of the oldest state observed during `time`.
 async fn oldest_within(entries: &[Entry], time: Duration) -> Duration {
     let step = Duration::from_millis(20);
     let mut seen = Duration::ZERO;
     for _ in 0..time.as_millis() / step.as_millis() {
-        seen = seen.max(oldest(entries).expect("all have a state"));
+        seen = seen.max(oldest(entries).expect("every entry has a state"));
         sleep(step).await;
     }
     seen
@@ -57,19 +57,19 @@
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
     let sent = with(request("/again/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask_at(entry, sent).await.status.as_u16()
+    world.call_at(entry, sent).await.status.as_u16()
 }
 
 #[test]
-fn states_stay_confirmed_whatever_changes_and_whenever() {
-    play(|world| async move {
+fn states_stay_fresh_under_changes_at_any_time() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 60);
+        set_up(&world, 60);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
         let bound = world.entry_times().oldest_in_calm();
         let mut rng = SmallRng::seed_from_u64(4);
-        // NB: single changes at any point of a wait, and bursts such as servers leaving together.
+        // Single changes at any point of a wait, and bursts, as when several servers drain at once.
         for _ in 0..120 {
             for _ in 0..rng.random_range(0..20) {
                 let n = rng.random_range(1..=60);
@@ -86,10 +86,10 @@
 const WARMING: &str =
     "[warm_up]\novershoot=1.5\ntolerance=5\nheartbeat_ms=1200\n[membership]\npropagation_ms=2000\n";
 
-/// Forty entries that are listed, and two servers that warm up.
+/// Starts forty listed entries, and two servers that warm up.
 async fn start_warming(world: &World) -> Vec<Entry> {
     let net = Net::default();
-    prepare(world, 2);
+    set_up(world, 2);
     let warm_up = WarmUp { time: Duration::from_secs(3), requests_per_s: 14.0 };
     world.configure(catalog_warming(2, Some(warm_up)));
     let entries = net.start_many(world, 40, WARMING);
@@ -97,14 +97,14 @@
     entries
 }
 
-/// Entries that count a server as cold.
+/// Number of servers considered cold, summed over the entries.
 fn count_cold(entries: &[Entry]) -> u64 {
     total(entries, "pondwalk_servers_cold")
 }
 
 #[test]
-fn a_server_that_one_entry_cannot_reach_counts_as_cold_everywhere() {
-    play(|world| async move {
+fn unreachable_server_is_presumed_cold_by_all_entries() {
+    run_test(|world| async move {
         let entries = start_warming(&world).await;
         assert_eq!(count_cold(&entries), 0);
         world.backends.stop(address(1));
@@ -112,15 +112,16 @@
         assert_eq!(status(&world, &entries[7], "k1").await, 503);
         sleep(Duration::from_millis(700)).await;
         assert_eq!(count_cold(&entries), 2 * 40);
-        // Two heartbeats and the warm-up time later it has told of its start, or was never away.
+        // Two heartbeats and a warm-up time later, the server has either reported a restart or was
+        // never down.
         sleep(Duration::from_millis(5_400)).await;
         assert_eq!(count_cold(&entries), 0);
     });
 }
 
 #[test]
-fn a_server_that_turns_cold_again_and_an_evacuation_are_known_everywhere_in_time() {
-    play(|world| async move {
+fn cold_server_and_evacuation_reach_all_entries_in_time() {
+    run_test(|world| async move {
         let entries = start_warming(&world).await;
         world.store.put("server/s1", &format!("s {} dc1 v1 ready 3000 1", address(1)));
         world.store.put("evacuate/dc2", "{}");
@@ -135,10 +136,10 @@
 }
 
 #[test]
-fn the_bound_on_ages_holds_for_a_change_late_in_each_wait() {
-    play(|world| async move {
+fn age_bound_holds_for_changes_late_in_each_wait() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 40, "");
         sleep(Duration::from_secs(5)).await;
         let bound = world.entry_times().oldest_in_calm();
@@ -150,25 +151,26 @@
     });
 }
 
-/// Store calls of so many entries in a minute of calm.
-fn calls_in_calm(count: u16) -> u64 {
+/// Store calls of `count` entries in a minute without changes.
+fn idle_store_calls(count: u16) -> u64 {
     let seen = Rc::new(RefCell::new(0));
-    let noted = Rc::clone(&seen);
-    play(|world| async move {
+    let recorded = Rc::clone(&seen);
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let _entries = net.start_many(&world, count, "");
         sleep(Duration::from_secs(10)).await;
         let before = world.store.calls();
         sleep(Duration::from_secs(60)).await;
-        *noted.borrow_mut() = world.store.calls() - before;
+        *recorded.borrow_mut() = world.store.calls() - before;
     });
     seen.take()
 }
 
 #[test]
-fn store_calls_do_not_grow_with_the_entries_beyond_three_roots() {
-    let (some, many, most) = (calls_in_calm(40), calls_in_calm(MANY), calls_in_calm(420));
+fn store_calls_are_bounded_by_three_roots() {
+    let (some, many, most) =
+        (idle_store_calls(40), idle_store_calls(MANY_ENTRIES), idle_store_calls(420));
     assert_eq!((some, many), (most, most), "40, 103 and 420 entries");
     let interval = Duration::from_millis(400);
     let expected = 3 * 60_000 / interval.as_millis() as u64;
@@ -176,12 +178,12 @@
 }
 
 #[test]
-fn a_start_of_all_costs_a_few_calls_and_all_are_configured_at_once() {
-    play(|world| async move {
+fn simultaneous_start_is_fast_with_few_store_calls() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 50);
+        set_up(&world, 50);
         let before = world.store.calls();
-        let entries = net.start_many(&world, MANY, "");
+        let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_millis(400)).await;
         for entry in &entries {
             assert_eq!(status(&world, entry, "k1").await, 200, "{}", entry.name());
@@ -189,18 +191,21 @@
         sleep(Duration::from_secs(5)).await;
         assert_eq!(store_calls(&entries, "first_reading"), 3, "by the seeds");
         let listings = store_calls(&entries, "listing");
-        assert!(listings <= 12, "{listings} writes list {MANY} entries");
+        assert!(listings <= 12, "{listings} writes list {MANY_ENTRIES} entries");
         let calls = world.store.calls() - before;
         assert!(calls <= 60, "{calls} calls in 5.4 s");
-        assert!(total(&entries, "pondwalk_entries_listed") == u64::from(MANY) * u64::from(MANY));
+        assert!(
+            total(&entries, "pondwalk_entries_listed")
+                == u64::from(MANY_ENTRIES) * u64::from(MANY_ENTRIES)
+        );
     });
 }
 
 #[test]
-fn an_entry_that_starts_while_the_store_is_away_serves_what_others_hold() {
-    play(|world| async move {
+fn starting_entry_serves_peer_state_during_store_outage() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 12, "");
         sleep(Duration::from_secs(6)).await;
         world.store.set_weather(Weather::Refused);
@@ -214,32 +219,32 @@
         assert_eq!(status(&world, &late_seed, "k1").await, 200);
         let (own, of_others) = (late.state_age(), oldest(&entries));
         assert!(own >= Some(Duration::from_millis(1_300)), "{own:?}, as old as {of_others:?}");
-        // Keys are dead everywhere once nothing has been confirmed for the bound.
+        // Keys are refused everywhere once nothing has been confirmed for the key bound.
         sleep(Duration::from_secs(4)).await;
         assert_eq!(status(&world, &late, "k1").await, 503);
     });
 }
 
 #[test]
-fn an_entry_with_neither_peers_nor_store_says_so_at_once() {
-    play(|world| async move {
+fn entry_without_peers_and_store_refuses_at_once() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 1);
+        set_up(&world, 1);
         world.store.set_weather(Weather::Refused);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
-        let alone = net.start_with(&world, 9, &seeds);
+        let isolated = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(3)).await;
-        let asked = tokio::time::Instant::now();
-        let answer = world.ask_at(&alone, request("/again/", "r")).await;
+        let start = tokio::time::Instant::now();
+        let answer = world.call_at(&isolated, request("/again/", "r")).await;
         assert_eq!(answer.status.as_u16(), 503);
         assert!(answer.body.contains("not_configured") && answer.body.contains("\"ran\":false"));
         assert!(answer.headers.contains_key("retry-after"));
-        assert!(asked.elapsed() < Duration::from_millis(50));
+        assert!(start.elapsed() < Duration::from_millis(50));
     });
 }
 
 #[test]
-fn a_seed_that_answers_rubbish_is_passed_by_and_logged() {
+fn invalid_response_of_seed_is_skipped_and_logged() {
     let answers: [&'static [u8]; 4] = [
         b"",
         b"\x00\x05rubbish",
@@ -247,9 +252,9 @@
         b"\x00\x30\x02aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
     ];
     for answer in answers {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
-            prepare(&world, 3);
+            set_up(&world, 3);
             let impostor = move |mut stream: tokio::io::DuplexStream| {
                 spawn_local(async move {
                     let mut question = [0; 4_096];
@@ -265,7 +270,7 @@
             let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
             let entry = net.start_with(&world, 9, &seeds);
             sleep(Duration::from_secs(2)).await;
-            assert_eq!(status(&world, &entry, "k1").await, 200, "it read the store");
+            assert_eq!(status(&world, &entry, "k1").await, 200, "it reads the store");
             let lines = entry.gathered_lines();
             assert!(lines.contains("source_failed") && lines.contains("refused"), "{lines}");
         });
@@ -273,10 +278,10 @@
 }
 
 #[test]
-fn open_connections_that_go_silent_are_left_before_a_change_is_late() {
-    play(|world| async move {
+fn silent_connections_are_replaced_before_changes_are_late() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
         net.silence_open_connections();
@@ -293,10 +298,10 @@
 }
 
 #[test]
-fn two_halves_that_cannot_reach_one_another_both_follow_the_store() {
-    play(|world| async move {
+fn both_partitions_follow_the_store() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
         net.split(30);
@@ -309,19 +314,19 @@
 }
 
 #[test]
-fn a_third_that_the_store_turns_away_goes_on_with_what_the_others_tell() {
-    play(|world| async move {
+fn third_without_store_continues_with_peer_state() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
-        // NB: the entries first in order, the roots among them.
+        // The first entries in order, the roots among them.
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let mut left: Vec<usize> = (0..entries.len()).collect();
         for _ in 0..20 {
             let among: Vec<&str> = left.iter().map(|n| names[*n]).collect();
             let first = left.remove(Members::first_in_order(&among));
-            world.cut_store_for(&entries[first], Weather::Refused);
+            world.set_store_fault(&entries[first], Weather::Refused);
         }
         sleep(Duration::from_secs(6)).await;
         let before = world.store.calls();
@@ -335,14 +340,14 @@
 }
 
 #[test]
-fn most_steps_of_a_roll_out_are_written_by_one_entry_and_lost_by_none() {
-    play(|world| async move {
+fn most_roll_out_steps_are_written_by_one_entry() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         for n in 11..=13 {
             world.start_server(n, "s", "v2", Act::Answer(200, "new".into()));
         }
-        let entries = net.start_many(&world, MANY, "");
+        let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(20)).await;
@@ -353,15 +358,15 @@
 }
 
 #[test]
-fn the_next_in_order_make_a_step_whose_turn_the_first_has_missed() {
-    play(|world| async move {
+fn next_entry_writes_step_missed_by_the_first() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 20, "");
         sleep(Duration::from_secs(5)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let first = Members::first_in_order(&names);
-        world.cut_store_for(&entries[first], Weather::Silent(Duration::from_secs(60)));
+        world.set_store_fault(&entries[first], Weather::Silent(Duration::from_secs(60)));
         net.end(first as u16);
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
@@ -371,57 +376,57 @@
 }
 
 #[test]
-fn what_one_entry_finds_all_others_hear_without_the_store() {
-    play(|world| async move {
+fn observation_reaches_all_entries_without_the_store() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
             world.start_server(n, "s", "v1", Act::Answer(200, "old".into()));
             world.start_server(10 + n, "s", "v2", Act::Answer(500, "bad".into()));
         }
-        let entries = net.start_many(&world, MANY, "");
+        let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(3)).await;
-        // NB: neither the finder nor anyone else can write it to the store.
+        // Neither the entry that found it nor any other can write it to the store.
         world.store.set_weather(Weather::Refused);
         let finder = entries.last().expect("some");
         let mut number = 0;
         while !finder.gathered_lines().contains("version_tripped") && number < 400 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
-            world.ask_at(finder, sent).await;
+            world.call_at(finder, sent).await;
             number += 1;
         }
         sleep(Duration::from_millis(700)).await;
-        let heard = |entry: &&Entry| entry.gathered_lines().contains("\"what\":\"bad\"");
-        assert_eq!(entries.iter().filter(heard).count(), entries.len());
+        let has_received = |entry: &&Entry| entry.gathered_lines().contains("\"what\":\"bad\"");
+        assert_eq!(entries.iter().filter(has_received).count(), entries.len());
     });
 }
 
 #[test]
-fn nobody_is_asked_by_many_and_every_way_leads_to_a_root() {
+fn tree_has_bounded_fan_out_and_reaches_a_root() {
     fn holds(entries: u16) -> bool {
         let entries = usize::from(entries % 1_000) + 1;
-        let mut askers = vec![0; entries];
+        let mut children = vec![0; entries];
         for position in 0..entries {
             let mut at = position;
             let mut steps = 0;
-            while let TreeRole::ChildOf(above) = tree_role(at, entries, true) {
+            while let TreeRole::ChildOf(parent) = tree_role(at, entries, true) {
                 if steps == 0 {
-                    askers[above] += 1;
+                    children[parent] += 1;
                 }
-                if above >= at || steps > 2 {
+                if parent >= at || steps > 2 {
                     return false;
                 }
-                at = above;
+                at = parent;
                 steps += 1;
             }
             if at >= root_count(entries) {
                 return false;
             }
         }
-        let most = askers.iter().copied().max().unwrap_or(0);
+        let most = children.iter().copied().max().unwrap_or(0);
         root_count(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(2_000, 8)).tests(500);
@@ -429,13 +434,13 @@
 }
 
 #[test]
-fn servers_that_lapse_with_the_store_away_serve_on_at_entries_that_only_heard_of_it() {
-    play(|world| async move {
+fn servers_lapsed_during_outage_keep_serving_at_child_entries() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
-        let entries = net.start_many(&world, MANY, "");
+        set_up(&world, 3);
+        let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(6)).await;
-        // NB: as long as it takes for the first listings to lapse, three heartbeats of 1.2 s.
+        // The first listings lapse after three heartbeats of 1.2 s.
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_millis(3_600)).await;
         (1..=3).for_each(|n| world.store.remove(&format!("server/s{n}")));
@@ -448,40 +453,40 @@
 }
 
 #[test]
-fn servers_that_leave_while_a_root_is_cut_off_are_left_at_once_by_all_others() {
-    play(|world| async move {
+fn draining_servers_are_avoided_while_a_root_is_cut_off() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
-        world.cut_store_for(&entries[root], Weather::Refused);
+        world.set_store_fault(&entries[root], Weather::Refused);
         sleep(Duration::from_millis(1_100)).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(1_000)).await;
         for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != root) {
             let lines = entry.gathered_lines();
             assert!(lines.contains("server_gone"), "entry {n}: {lines}");
-            assert!(!lines.contains("server_lapsed"), "entry {n}: the store was never away");
+            assert!(!lines.contains("server_lapsed"), "entry {n}: the store was never down");
         }
     });
 }
 
-/// Answers each question with the next of these states, and all further ones with the last.
-fn telling(states: Vec<StateMessage>) -> Impostor {
+/// Answers each request with the next of these states, and all further ones with the last.
+fn sending(states: Vec<StateMessage>) -> Impostor {
     Rc::new(move |mut stream| {
         let states = states.clone();
         spawn_local(async move {
             let mut question = [0; 4_096];
-            let mut told = 0;
+            let mut sent_count = 0;
             while stream.read(&mut question).await.is_ok_and(|bytes| bytes > 0) {
-                let state = &states[told.min(states.len() - 1)];
+                let state = &states[sent_count.min(states.len() - 1)];
                 let body = state.to_bytes().expect("it serializes");
                 let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
                 let _ = stream.write_all(head.as_bytes()).await;
                 let _ = stream.write_all(&body).await;
-                told += 1;
+                sent_count += 1;
                 sleep(Duration::from_millis(100)).await;
             }
         });
@@ -489,49 +494,49 @@
 }
 
 #[test]
-fn a_whole_state_that_is_older_than_the_one_held_is_refused_and_logged() {
-    play(|world| async move {
+fn older_full_state_is_rejected_and_logged() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let server = format!("s {} dc1 v1 ready", address(1));
         let current = whole_state(&[("catalog", "1"), ("server/s1", &server)], 100);
         let older = whole_state(&[], 40);
-        net.impostors.borrow_mut().insert(peer_address(0), telling(vec![current, older]));
+        net.impostors.borrow_mut().insert(peer_address(0), sending(vec![current, older]));
         world.store.set_weather(Weather::Refused);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(status(&world, &entry, "k1").await, 200, "what was held still is");
+        assert_eq!(status(&world, &entry, "k1").await, 200, "the local state is kept");
         assert!(entry.gathered_lines().contains("revision 40"), "{}", entry.gathered_lines());
     });
 }
 
 #[test]
-fn an_entry_that_alone_lost_the_store_does_not_take_it_for_returned_when_others_tell_again() {
-    play(|world| async move {
+fn single_entry_without_store_does_not_infer_its_return_from_peers() {
+    run_test(|world| async move {
         let net = Net::default();
-        prepare(&world, 3);
+        set_up(&world, 3);
         let entries = net.start_many(&world, 12, "");
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
-        let alone = if root == 0 { 1 } else { 0 };
-        world.cut_store_for(&entries[alone], Weather::Refused);
+        let isolated = if root == 0 { 1 } else { 0 };
+        world.set_store_fault(&entries[isolated], Weather::Refused);
         net.cut.borrow_mut().extend((0..12).map(peer_address));
         net.silence_open_connections();
         sleep(Duration::from_secs(3)).await;
-        assert!(entries[alone].gathered_lines().contains("store_lost"));
+        assert!(entries[isolated].gathered_lines().contains("store_lost"));
         net.cut.borrow_mut().clear();
-        let is_told_again = || entries[alone].state_age() < Some(Duration::from_millis(700));
+        let is_fresh_again = || entries[isolated].state_age() < Some(Duration::from_millis(700));
         let mut waited = 0;
-        while !is_told_again() && waited < 600 {
+        while !is_fresh_again() && waited < 600 {
             sleep(Duration::from_millis(50)).await;
             waited += 1;
         }
-        assert!(is_told_again(), "others tell it again");
+        assert!(is_fresh_again(), "other entries have published it again");
         world.store.remove("server/s1");
         sleep(Duration::from_millis(900)).await;
-        let lines = entries[alone].gathered_lines();
+        let lines = entries[isolated].gathered_lines();
         assert!(lines.contains("server_gone") && !lines.contains("server_lapsed"), "{lines}");
     });
 }
--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -1,10 +1,10 @@
-//! Configuration, keys, membership and roll-outs under a store that fails in every way.
+//! Configuration, keys, membership and roll-outs under all kinds of store faults.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{World, address, catalog, catalog_with_keys, play, play_with, request, with};
+use common::{World, address, catalog, catalog_with_keys, request, run_test, run_test_with, with};
 use hyper::StatusCode;
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use tokio::time::sleep;
@@ -17,14 +17,14 @@
 
 async fn status(world: &World, key: &str) -> u16 {
     let sent = with(request("/once/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask(sent).await.status.as_u16()
+    world.call(sent).await.status.as_u16()
 }
 
 #[test]
-fn keys_are_honoured_only_while_the_store_confirms_them() {
+fn keys_are_honoured_only_while_confirmed() {
     let silent = Weather::Silent(Duration::from_secs(1));
     for weather in [Weather::Refused, silent] {
-        play(|world| async move {
+        run_test(|world| async move {
             with_one_server(&world).await;
             world.store.set_weather(weather);
             sleep(Duration::from_secs(2)).await;
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn a_deployment_that_is_not_strict_honours_known_keys_for_longer() {
-    play_with("strict_keys=false\nlenient_key_bound_ms=20000", |world| async move {
+fn non_strict_deployment_honours_known_keys_longer() {
+    run_test_with("strict_keys=false\nlenient_key_bound_ms=20000", |world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(15)).await;
         assert_eq!(status(&world, "k1").await, 200);
         assert!(world.entry.is_ready());
-        // NB: the key may have been added meanwhile, so this is no 401.
+        // The key may have been added meanwhile, so this is not a 401.
         assert_eq!(status(&world, "unknown").await, 503);
         sleep(Duration::from_secs(6)).await;
         assert_eq!(status(&world, "k1").await, 503);
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_strict_deployment_ignores_the_longer_bound() {
-    play_with("strict_keys=true\nlenient_key_bound_ms=20000", |world| async move {
+fn strict_deployment_ignores_the_longer_bound() {
+    run_test_with("strict_keys=true\nlenient_key_bound_ms=20000", |world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(6)).await;
@@ -65,23 +65,23 @@
 }
 
 #[test]
-fn what_needs_no_key_is_served_while_the_store_is_away() {
-    play(|world| async move {
+fn anonymous_requests_are_served_during_store_outage() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(30)).await;
         let mut open = request("/open/", "r1");
         open.headers_mut().remove("authorization");
-        assert_eq!(world.ask(open).await.status, StatusCode::OK);
-        // NB: the route may have been added meanwhile, so this is no 404.
-        let nowhere = world.ask(request("/nowhere/", "r2")).await;
+        assert_eq!(world.call(open).await.status, StatusCode::OK);
+        // The route may have been added meanwhile, so this is not a 404.
+        let nowhere = world.call(request("/nowhere/", "r2")).await;
         assert_eq!(nowhere.status, StatusCode::SERVICE_UNAVAILABLE);
     });
 }
 
 #[test]
-fn a_key_taken_away_is_refused_at_once_and_one_added_is_taken() {
-    play(|world| async move {
+fn removed_key_is_refused_and_added_key_accepted_at_once() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.configure(catalog_with_keys(2, &["k1", "k3"]));
         sleep(Duration::from_millis(500)).await;
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_key_taken_away_while_a_request_waits_stops_its_next_send() {
-    play(|world| async move {
+fn key_removed_during_a_request_stops_its_next_send() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Silent);
         world.start_server(2, "s", "v1", Act::Silent);
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn no_older_configuration_comes_back() {
-    play(|world| async move {
+fn older_configuration_is_not_applied() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.configure(catalog_with_keys(5, &["k1"]));
         sleep(Duration::from_millis(500)).await;
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn what_changed_while_history_was_lost_is_found() {
-    play(|world| async move {
+fn changes_are_found_after_lost_history() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.start_server(2, "s", "v1", Act::Answer(200, "made".into()));
         sleep(Duration::from_millis(500)).await;
@@ -143,8 +143,8 @@
 }
 
 #[test]
-fn a_quiet_store_is_asked_less_than_once_a_second() {
-    play(|world| async move {
+fn idle_store_is_called_less_than_once_a_second() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         let before = world.store.calls();
         sleep(Duration::from_secs(60)).await;
@@ -164,21 +164,22 @@
     sleep(Duration::from_millis(500)).await;
 }
 
-/// Requests of new sessions over a time; how many the new version answered or failed.
+/// Sends `count` requests of new sessions over time; counts the responses and failures of the new
+/// version.
 async fn requests(world: &World, count: usize, label: &str) -> usize {
     let seen = || (11..=13).map(|n| world.backends.seen(address(n)).len()).sum::<usize>();
     let before = seen();
     for number in 0..count {
         let session = format!("{label}{number}");
-        world.ask(with(request("/again/", "r"), "pondwalk-session", &session)).await;
+        world.call(with(request("/again/", "r"), "pondwalk-session", &session)).await;
         sleep(Duration::from_millis(50)).await;
     }
     seen() - before
 }
 
 #[test]
-fn a_good_version_takes_over_by_steps_and_is_told_complete() {
-    play(|world| async move {
+fn good_version_takes_over_in_steps_and_is_reported_complete() {
+    run_test(|world| async move {
         roll_out(&world, Act::Answer(200, "new".into())).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 InProgress"));
         let at_trial = requests(&world, 150, "a").await;
@@ -191,9 +192,9 @@
 }
 
 #[test]
-fn a_bad_version_is_left_at_once_and_told_reverted() {
+fn bad_version_is_left_at_once_and_reported_reverted() {
     for weather in [Weather::Fair, Weather::Refused, Weather::AnswersLost] {
-        play(|world| async move {
+        run_test(|world| async move {
             roll_out(&world, Act::Answer(500, "bad".into())).await;
             world.store.set_weather(weather);
             let bad = requests(&world, 60, "a").await + requests(&world, 20, "b").await;
@@ -207,11 +208,11 @@
 }
 
 #[test]
-fn a_reverted_version_gets_nothing_from_the_next_roll_out_either() {
-    play(|world| async move {
+fn reverted_version_gets_nothing_in_the_next_roll_out() {
+    run_test(|world| async move {
         roll_out(&world, Act::Answer(500, "bad".into())).await;
         requests(&world, 60, "a").await;
-        // NB: long enough for their failures to be forgotten.
+        // Long enough for its failures to expire.
         sleep(Duration::from_secs(60)).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
         world.start_server(21, "s", "v3", Act::Answer(200, "newer".into()));
@@ -223,31 +224,31 @@
 }
 
 #[test]
-fn a_session_stays_on_its_version_through_the_trial() {
-    play(|world| async move {
+fn session_stays_on_its_version_during_the_trial() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         for number in 1..=3 {
             world.start_server(number, "s", "v1", Act::Answer(200, "old".into()));
             world.start_server(10 + number, "s", "v2", Act::Answer(200, "new".into()));
         }
         world.start().await;
-        let ask = async |session: &str| {
-            world.ask(with(request("/again/", "r"), "pondwalk-session", session)).await.body
+        let call = async |session: &str| {
+            world.call(with(request("/again/", "r"), "pondwalk-session", session)).await.body
         };
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_millis(500)).await;
         for round in 0..40 {
             let session = format!("session{}", round / 4);
-            let first = ask(&session).await;
+            let first = call(&session).await;
             sleep(Duration::from_millis(100)).await;
-            assert_eq!(ask(&session).await, first, "{session}");
+            assert_eq!(call(&session).await, first, "{session}");
         }
     });
 }
 
 #[test]
-fn an_entry_that_starts_anew_takes_a_roll_out_up_where_it_stands() {
-    play(|world| async move {
+fn restarted_entry_continues_the_roll_out() {
+    run_test(|world| async move {
         world.store.put("order/s", "v2 20");
         world.store.put("progress/s", "v2 Reverted");
         world.configure(catalog(1));
@@ -260,12 +261,12 @@
 }
 
 #[test]
-fn the_log_of_a_refusal_tells_what_decided_it() {
-    play(|world| async move {
+fn refusal_log_shows_its_reason() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(6)).await;
-        let answer = world.ask(request("/once/", "r-17")).await;
+        let answer = world.call(request("/once/", "r-17")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         let lines = world.entry.gathered_lines();
         let line = lines.lines().find(|line| line.contains("r-17")).expect("a line");
@@ -277,24 +278,24 @@
 }
 
 #[test]
-fn a_server_whose_entry_lapsed_with_the_store_away_serves_on_until_it_should_be_back() {
-    play(|world| async move {
+fn server_lapsed_during_outage_serves_for_a_grace_period() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
         world.store.set_weather(Weather::Fair);
         sleep(Duration::from_millis(1_000)).await;
-        assert_eq!(status(&world, "k1").await, 200, "it may come back yet");
+        assert_eq!(status(&world, "k1").await, 200, "it may still return");
         world.list_server(1, "s", "v1", "ready");
         sleep(Duration::from_secs(3)).await;
-        assert_eq!(status(&world, "k1").await, 200, "it came back");
+        assert_eq!(status(&world, "k1").await, 200, "it has returned");
     });
 }
 
 #[test]
-fn a_server_that_does_not_come_back_after_the_store_gets_nothing_two_seconds_later() {
-    play(|world| async move {
+fn server_missing_after_outage_gets_nothing_two_seconds_later() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(1)).await;
@@ -306,8 +307,8 @@
 }
 
 #[test]
-fn a_server_that_goes_with_the_store_in_order_gets_nothing_at_once() {
-    play(|world| async move {
+fn server_removed_with_working_store_gets_nothing_at_once() {
+    run_test(|world| async move {
         with_one_server(&world).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(100)).await;
@@ -316,14 +317,14 @@
 }
 
 #[test]
-fn an_entry_that_starts_without_the_store_asks_for_pauses_as_long_as_the_outage() {
-    play(|world| async move {
+fn retry_after_grows_with_the_outage_at_a_new_entry() {
+    run_test(|world| async move {
         world.store.set_weather(Weather::Refused);
         world.start().await;
         let mut pauses = Vec::new();
         for wait_s in [0, 2, 20] {
             sleep(Duration::from_secs(wait_s)).await;
-            let refused = world.ask(request("/once/", "r")).await;
+            let refused = world.call(request("/once/", "r")).await;
             assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
             pauses.push(refused.headers["retry-after"].to_str().expect("text").to_owned());
         }
@@ -332,8 +333,8 @@
 }
 
 #[test]
-fn a_version_whose_servers_break_off_under_everything_is_told_reverted() {
-    play(|world| async move {
+fn version_that_breaks_every_request_is_reported_reverted() {
+    run_test(|world| async move {
         roll_out(&world, Act::LoseAnswer).await;
         let broken = requests(&world, 80, "a").await;
         sleep(Duration::from_secs(25)).await;
--- a/crates/direct/tests/store_outage_recovery.rs
+++ b/crates/direct/tests/store_outage_recovery.rs
@@ -1,10 +1,11 @@
-//! The store's return after an outage, at many entries: when each honours keys again, and how often the store is called.
+//! The end of a store outage with many entries: when each entry honours keys again, and how often
+//! the store is called.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{World, limits, net::Net, play};
+use common::{World, limits, net::Net, run_test};
 use pondwalk_direct::Entry;
 use pondwalk_standin::{
     backends::Act,
@@ -12,24 +13,25 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// How long the outages last: keys are refused from 4.5 s on.
+/// Durations of the outages; keys are refused from 4.5 s on.
 const OUTAGES: [Duration; 2] = [Duration::from_secs(6), Duration::from_secs(8)];
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time in which all must honour keys again: a second, and the time between two confirmations.
-const BACK_WITHIN: Duration = Duration::from_millis(1_600);
-/// Calls that a few entries may make meanwhile: three that ask the store, twice a second and once more each.
-const FEW_CALLS: u64 = 30;
-/// Time after the store's return in which its calls are counted.
-const COUNTED: Duration = Duration::from_secs(3);
-
-/// What was seen of one return.
+/// Interval at which the state is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time in which all entries must honour keys again: a second, and the interval between two
+/// confirmations.
+const RECOVERY_LIMIT: Duration = Duration::from_millis(1_600);
+/// Calls that a few entries may make meanwhile: three roots, twice a second, and once more each.
+const MIN_CALL_LIMIT: u64 = 30;
+/// Time after the outage in which store calls are counted.
+const COUNTING_TIME: Duration = Duration::from_secs(3);
+
+/// Measurements of one outage.
 #[derive(Debug, Default)]
 struct Return {
-    /// Time until half of the entries and until all of them honour keys again.
+    /// Time until half of the entries, and all of them, honour keys again.
     half: Duration,
     all: Duration,
-    /// Calls to the store in the first seconds.
+    /// Store calls in the first seconds.
     calls: u64,
 }
 
@@ -53,8 +55,8 @@
     world.store.set_weather(Weather::Fair);
     let back = Instant::now();
     let mut seen = Return::default();
-    while back.elapsed() < COUNTED {
-        sleep(LOOK).await;
+    while back.elapsed() < COUNTING_TIME {
+        sleep(POLL_INTERVAL).await;
         let count = ready(entries);
         if seen.half.is_zero() && 2 * count >= entries.len() {
             seen.half = back.elapsed();
@@ -67,20 +69,20 @@
     seen
 }
 
-fn returns_at(count: u16) {
+fn check_outage(count: u16) {
     for outage in OUTAGES {
-        returns_after(count, outage, false);
+        recovery_after(count, outage, false);
     }
 }
 
-fn restored_at(count: u16) {
+fn check_restoration(count: u16) {
     for outage in OUTAGES {
-        returns_after(count, outage, true);
+        recovery_after(count, outage, true);
     }
 }
 
-fn returns_after(count: u16, outage: Duration, is_restored: bool) {
-    play(move |world| async move {
+fn recovery_after(count: u16, outage: Duration, is_restored: bool) {
+    run_test(move |world| async move {
         let net = Net::default();
         let usual = Act::Answer(200, "made".into());
         let entries = limits::start(&world, &net, (2, "s", usual), count).await;
@@ -92,38 +94,38 @@
         sleep(Duration::from_secs(1)).await;
         let seen = store_returns(&world, &entries, outage, copy).await;
         println!("{count} entries, {outage:?}: {seen:?}");
-        assert!(!seen.all.is_zero() && seen.all <= BACK_WITHIN, "{seen:?}");
-        // NB: an entry that has lost its way asks the store itself; not all may.
-        assert!(seen.calls < u64::from(count).max(FEW_CALLS), "{seen:?}");
+        assert!(!seen.all.is_zero() && seen.all <= RECOVERY_LIMIT, "{seen:?}");
+        // An entry that has lost its parent calls the store itself; only some may do so.
+        assert!(seen.calls < u64::from(count).max(MIN_CALL_LIMIT), "{seen:?}");
     });
 }
 
 #[test]
-fn keys_are_honoured_again_within_a_second_and_an_interval_at_4_entries() {
-    returns_at(4);
+fn keys_are_honoured_soon_after_an_outage_at_4_entries() {
+    check_outage(4);
 }
 
 #[test]
-fn keys_are_honoured_again_within_a_second_and_an_interval_at_24_entries() {
-    returns_at(24);
+fn keys_are_honoured_soon_after_an_outage_at_24_entries() {
+    check_outage(24);
 }
 
 #[test]
-fn keys_are_honoured_again_within_a_second_and_an_interval_at_103_entries() {
-    returns_at(103);
+fn keys_are_honoured_soon_after_an_outage_at_103_entries() {
+    check_outage(103);
 }
 
 #[test]
-fn keys_are_honoured_again_as_soon_where_the_store_is_restored_at_4_entries() {
-    restored_at(4);
+fn keys_are_honoured_soon_after_a_restoration_at_4_entries() {
+    check_restoration(4);
 }
 
 #[test]
-fn keys_are_honoured_again_as_soon_where_the_store_is_restored_at_24_entries() {
-    restored_at(24);
+fn keys_are_honoured_soon_after_a_restoration_at_24_entries() {
+    check_restoration(24);
 }
 
 #[test]
-fn keys_are_honoured_again_as_soon_where_the_store_is_restored_at_103_entries() {
-    restored_at(103);
+fn keys_are_honoured_soon_after_a_restoration_at_103_entries() {
+    check_restoration(103);
 }
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -1,12 +1,12 @@
-//! A store that is restored from a copy some seconds old: its revisions are given out again, and what entries
-//! wrote since is gone.
+//! A store that is restored from an old copy: its revisions are issued again, and the entries'
+//! later writes are lost.
 
 mod common;
 
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 
 use common::{
-    World, address, catalog, catalog_with_keys, lethal, net::Net, play, request, total, with,
+    World, address, catalog, catalog_with_keys, crashing, net::Net, request, run_test, total, with,
 };
 use pondwalk_direct::{Entry, membership::Members};
 use pondwalk_standin::{
@@ -16,13 +16,13 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::time::sleep;
 
-/// Time in which the store is away before it comes back from a copy.
+/// Time for which the store is unreachable before it is restored.
 const AWAY: Duration = Duration::from_millis(2_400);
-/// Time after the restoration from which changes must be in force in time again.
+/// Time after the restoration from which changes must again be in force in time.
 const SETTLED: Duration = Duration::from_secs(3);
 /// Time in which a change must be in force at all entries.
 const IN_FORCE: Duration = Duration::from_secs(1);
-/// Changes that are lost with the restoration.
+/// Number of changes that are lost with the restoration.
 const LOST: u32 = 12;
 
 async fn start(world: &World, net: &Net, count: u16) -> Vec<Entry> {
@@ -35,13 +35,13 @@
     entries
 }
 
-fn write_what_is_lost(world: &World) {
+fn write_lost_changes(world: &World) {
     for n in 0..LOST {
         world.store.put(&format!("other/{n}"), "written after the copy");
     }
 }
 
-/// The store is away for some time and comes back from the copy.
+/// Makes the store unreachable for `away`, and restores it from the copy.
 async fn restore(world: &World, copy: &StoreCopy, away: Duration) {
     if !away.is_zero() {
         world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
@@ -53,27 +53,32 @@
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
     let sent = with(request("/again/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask_at(entry, sent).await.status.as_u16()
+    world.call_at(entry, sent).await.status.as_u16()
 }
 
-/// Entries at which a key of the configuration in force is refused, or another one is not.
-async fn astray(world: &World, entries: &[Entry], honoured: &str, refused: &str) -> Vec<String> {
-    let mut astray = Vec::new();
+/// Entries that refuse a key of the current configuration, or honour another one.
+async fn count_wrong_keys(
+    world: &World,
+    entries: &[Entry],
+    honoured: &str,
+    refused: &str,
+) -> Vec<String> {
+    let mut count_wrong_keys = Vec::new();
     for entry in entries {
         let found = (status(world, entry, honoured).await, status(world, entry, refused).await);
         if found != (200, 401) {
-            astray.push(format!("{}: {found:?}", entry.name()));
+            count_wrong_keys.push(format!("{}: {found:?}", entry.name()));
         }
     }
-    astray
+    count_wrong_keys
 }
 
-/// Requests that reach a server which all entries should have left.
+/// Requests that reach a server which no entry should use any more.
 async fn sent_to(world: &World, entries: &[Entry], n: u16) -> usize {
     let before = world.backends.seen(address(n)).len();
     for entry in entries {
         for number in 0..6 {
-            world.ask_at(entry, request("/again/", &format!("r{number}"))).await;
+            world.call_at(entry, request("/again/", &format!("r{number}"))).await;
         }
     }
     world.backends.seen(address(n)).len() - before
@@ -88,16 +93,16 @@
 }
 
 async fn assert_in_force(world: &World, entries: &[Entry]) {
-    assert_eq!(astray(world, entries, "k1", "k2").await, Vec::<String>::new());
+    assert_eq!(count_wrong_keys(world, entries, "k1", "k2").await, Vec::<String>::new());
     assert_eq!(sent_to(world, entries, 1).await, 0);
 }
 
 fn changes_reach_all(count: u16, away: Duration) {
-    play(|world| async move {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
         let copy = world.store.copy();
-        write_what_is_lost(&world);
+        write_lost_changes(&world);
         sleep(IN_FORCE).await;
         restore(&world, &copy, away).await;
         sleep(SETTLED).await;
@@ -106,38 +111,38 @@
 }
 
 #[test]
-fn changes_after_a_restoration_reach_all_of_4_entries() {
+fn changes_after_restoration_reach_all_of_4_entries() {
     changes_reach_all(4, AWAY);
 }
 
 #[test]
-fn changes_after_a_restoration_reach_all_of_24_entries() {
+fn changes_after_restoration_reach_all_of_24_entries() {
     changes_reach_all(24, AWAY);
 }
 
 #[test]
-fn changes_after_a_restoration_reach_all_of_103_entries() {
+fn changes_after_restoration_reach_all_of_103_entries() {
     changes_reach_all(103, AWAY);
 }
 
 #[test]
-fn changes_after_a_restoration_without_an_outage_reach_all() {
+fn changes_after_restoration_without_outage_reach_all() {
     changes_reach_all(24, Duration::ZERO);
 }
 
 #[test]
-fn changes_under_revisions_already_passed_when_first_asked_reach_all() {
+fn changes_below_the_first_polled_revision_reach_all() {
     for count in [1, 4, 24] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, count).await;
             let copy = world.store.copy();
-            write_what_is_lost(&world);
+            write_lost_changes(&world);
             sleep(IN_FORCE).await;
             restore(&world, &copy, Duration::ZERO).await;
             world.configure(catalog_with_keys(2, &["k1"]));
             world.list_server(1, "s", "v1", "draining");
-            write_what_is_lost(&world);
+            write_lost_changes(&world);
             sleep(IN_FORCE).await;
             assert_in_force(&world, &entries).await;
         });
@@ -145,15 +150,15 @@
 }
 
 #[test]
-fn changes_reach_an_entry_that_cannot_reach_the_restored_store() {
+fn changes_reach_an_entry_without_the_restored_store() {
     for position in 0..4 {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
             let copy = world.store.copy();
-            write_what_is_lost(&world);
+            write_lost_changes(&world);
             sleep(IN_FORCE).await;
-            world.cut_store_for(&entries[position], Weather::Silent(Duration::from_secs(30)));
+            world.set_store_fault(&entries[position], Weather::Silent(Duration::from_secs(30)));
             restore(&world, &copy, AWAY).await;
             sleep(SETTLED).await;
             assert_changes_reach(&world, &entries, 2 * IN_FORCE).await;
@@ -162,13 +167,13 @@
 }
 
 #[test]
-fn answers_of_the_era_before_that_come_late_hide_no_change() {
+fn late_responses_of_the_previous_era_hide_no_change() {
     for late_ms in [150, 400, 900, 1_500] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
             let copy = world.store.copy();
-            write_what_is_lost(&world);
+            write_lost_changes(&world);
             world.store.set_weather(Weather::Late(Duration::from_millis(late_ms)));
             sleep(2 * SETTLED).await;
             world.store.restore(copy);
@@ -184,12 +189,12 @@
 }
 
 #[test]
-fn entries_that_start_beside_others_of_the_era_before_hear_all_changes() {
-    play(|world| async move {
+fn new_entries_beside_entries_of_the_previous_era_get_all_changes() {
+    run_test(|world| async move {
         let net = Net::default();
         let mut entries = start(&world, &net, 8).await;
         let copy = world.store.copy();
-        write_what_is_lost(&world);
+        write_lost_changes(&world);
         sleep(IN_FORCE).await;
         world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
         sleep(AWAY).await;
@@ -203,9 +208,9 @@
 }
 
 #[test]
-fn changes_and_restorations_in_any_order_leave_all_with_what_the_store_holds() {
+fn entries_converge_after_any_order_of_changes_and_restorations() {
     for seed in 0..24 {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 5).await;
             let mut rng = SmallRng::seed_from_u64(seed);
@@ -220,7 +225,7 @@
                             .await;
                         copy = world.store.copy();
                     }
-                    2 => write_what_is_lost(&world),
+                    2 => write_lost_changes(&world),
                     3 => {
                         version += 1;
                         world.configure(catalog(version));
@@ -228,7 +233,7 @@
                     _ => sleep(Duration::from_millis(rng.random_range(0..900))).await,
                 }
             }
-            // NB: the operator writes its last configuration again after a restoration.
+            // After a restoration, the operator writes the last configuration again.
             world.configure(catalog_with_keys(version + 1, &["k1"]));
             world.list_server(1, "s", "v1", "draining");
             sleep(SETTLED).await;
@@ -238,8 +243,8 @@
 }
 
 #[test]
-fn no_configuration_reverts_with_the_store() {
-    play(|world| async move {
+fn configuration_does_not_revert_with_the_store() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
@@ -256,8 +261,8 @@
 }
 
 #[test]
-fn a_server_that_leaves_gets_nothing_though_the_copy_calls_it_ready() {
-    play(|world| async move {
+fn draining_server_listed_ready_in_the_copy_gets_no_requests() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
@@ -272,8 +277,8 @@
 }
 
 #[test]
-fn a_server_that_starts_anew_after_the_copy_serves_again() {
-    play(|world| async move {
+fn server_restarted_after_the_copy_serves_again() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
@@ -289,9 +294,9 @@
 }
 
 #[test]
-fn servers_that_the_copy_lacks_serve_on_until_they_should_be_back() {
+fn servers_missing_in_the_copy_serve_for_a_grace_period() {
     for away in [AWAY, Duration::ZERO] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
             for n in 1..=3 {
@@ -313,7 +318,7 @@
     }
 }
 
-/// Requests that reach the servers of the data centre that is evacuated.
+/// Requests that reach the servers of the evacuated data centre.
 async fn sent_to_evacuated(world: &World, entries: &[Entry]) -> usize {
     let seen = || (1..=3).map(|n| world.backends.seen(address(n)).len()).sum::<usize>();
     let before = seen();
@@ -321,7 +326,7 @@
     seen() - before
 }
 
-/// Evacuates all but a server elsewhere, and restores the store from a copy without that.
+/// Evacuates all data centres but one, and restores the store from a copy without that evacuation.
 async fn lose_evacuation(world: &World, entries: &[Entry]) {
     world.backends.start(address(9), "s9", Act::Answer(200, "made".into()));
     world.list_server_in("dc2", 9, "s", "v1", "ready");
@@ -333,8 +338,8 @@
 }
 
 #[test]
-fn an_evacuation_that_the_copy_lacks_holds_until_it_should_be_back() {
-    play(|world| async move {
+fn evacuation_missing_in_the_copy_holds_for_a_grace_period() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         lose_evacuation(&world, &entries).await;
@@ -349,20 +354,20 @@
 }
 
 #[test]
-fn an_evacuation_that_is_not_written_again_ends() {
-    play(|world| async move {
+fn evacuation_not_written_again_ends() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         lose_evacuation(&world, &entries).await;
         sleep(2 * SETTLED).await;
-        assert!(sent_to_evacuated(&world, &entries).await > 0, "it is taken back in the end");
+        assert!(sent_to_evacuated(&world, &entries).await > 0, "it is revoked in the end");
     });
 }
 
 #[test]
-fn entries_whose_listing_is_lost_are_listed_again() {
+fn entries_with_lost_listings_are_listed_again() {
     for count in [2_u16, 8, 40] {
-        play(|world| async move {
+        run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 3).await;
             let copy = world.store.copy();
@@ -379,15 +384,15 @@
             assert_eq!(unlisted, 0, "of {count}");
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(IN_FORCE).await;
-            assert_eq!(astray(&world, &later, "k1", "k2").await, Vec::<String>::new());
-            assert_eq!(astray(&world, &entries, "k1", "k2").await, Vec::<String>::new());
+            assert_eq!(count_wrong_keys(&world, &later, "k1", "k2").await, Vec::<String>::new());
+            assert_eq!(count_wrong_keys(&world, &entries, "k1", "k2").await, Vec::<String>::new());
         });
     }
 }
 
 #[test]
-fn all_entries_that_the_copy_lacks_are_listed_again() {
-    play(|world| async move {
+fn all_entries_missing_in_the_copy_are_listed_again() {
+    run_test(|world| async move {
         let net = Net::default();
         let copy = world.store.copy();
         let entries = start(&world, &net, 24).await;
@@ -407,11 +412,11 @@
     });
 }
 
-/// Plays a roll-out to its end, and restores the store from a copy taken `copy_after` its order.
+/// Runs a roll-out to its end, and restores the store from a copy taken `copy_after` the order.
 fn outcome_after_restoration(second: Act, copy_after: Duration, count: u16) -> Option<String> {
     let found = Rc::new(RefCell::new(None));
-    let told = Rc::clone(&found);
-    play(move |world| async move {
+    let recorded = Rc::clone(&found);
+    run_test(move |world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
         for n in 11..=13 {
@@ -426,7 +431,7 @@
             let entry = &entries[n as usize % entries.len()];
             let sent =
                 with(request("/again/", &format!("r{n}")), "pondwalk-session", &n.to_string());
-            world.ask_at(entry, sent).await;
+            world.call_at(entry, sent).await;
             sleep(Duration::from_millis(40)).await;
             let over = |text: String| !text.ends_with("InProgress");
             if world.store.value("progress/s").is_some_and(over) {
@@ -438,14 +443,14 @@
         restore(&world, &copy.expect("a copy before the end"), AWAY).await;
         assert_ne!(world.store.value("progress/s"), before, "it is lost");
         sleep(2 * SETTLED).await;
-        assert_eq!(world.store.value("progress/s"), before, "it is told again");
-        *told.borrow_mut() = before;
+        assert_eq!(world.store.value("progress/s"), before, "it is reported again");
+        *recorded.borrow_mut() = before;
     });
     found.take()
 }
 
 #[test]
-fn a_completed_roll_out_that_is_lost_is_told_again() {
+fn lost_completed_roll_out_is_reported_again() {
     let good = Act::Answer(200, "new".into());
     let copy_after = Duration::from_secs(8);
     let outcome = outcome_after_restoration(good, copy_after, 4);
@@ -453,27 +458,34 @@
 }
 
 #[test]
-fn a_roll_out_whose_beginning_is_lost_too_is_told_again() {
+fn roll_out_with_lost_beginning_is_reported_again() {
     let good = Act::Answer(200, "new".into());
     let outcome = outcome_after_restoration(good, Duration::ZERO, 4);
     assert_eq!(outcome.as_deref(), Some("v2 Completed"));
 }
 
 #[test]
-fn a_reverted_roll_out_that_is_lost_is_told_again() {
+fn lost_reverted_roll_out_is_reported_again() {
     let bad = Act::Answer(500, "bad".into());
     let outcome = outcome_after_restoration(bad, Duration::ZERO, 4);
     assert_eq!(outcome.as_deref(), Some("v2 Reverted"));
 }
 
 #[test]
-fn contents_that_are_held_are_stored_again() {
-    play(|world| async move {
+fn quarantined_contents_are_stored_again() {
+    run_test(|world| async move {
         let net = Net::default();
-        let kind = lethal::again();
-        let entries = lethal::start(&world, &net, &kind, 5).await;
+        let kind = crashing::repeatable();
+        let entries = crashing::start(&world, &net, &kind, 5).await;
         let copy = world.store.copy();
-        lethal::come_again(&world, &entries, &kind, lethal::QUICK, Duration::from_secs(10)).await;
+        crashing::repeat_request(
+            &world,
+            &entries,
+            &kind,
+            crashing::QUICK_RETRY,
+            Duration::from_secs(10),
+        )
+        .await;
         assert!(world.store.value("pondwalk/quarantine").is_some(), "stored before");
         restore(&world, &copy, AWAY).await;
         assert!(world.store.value("pondwalk/quarantine").is_none(), "lost");
@@ -483,49 +495,50 @@
 }
 
 #[test]
-fn logs_and_metrics_tell_the_era() {
-    play(|world| async move {
+fn logs_and_metrics_show_the_era() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
-        write_what_is_lost(&world);
+        write_lost_changes(&world);
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
         sleep(SETTLED).await;
         assert_eq!(total(&entries, "pondwalk_store_era"), 4);
         for entry in &entries {
             let lines = entry.gathered_lines();
-            let told = "\"event\":\"store_restored\",\"before\":{\"era\":0,";
-            assert!(lines.contains(told), "{lines}");
+            let expected = "\"event\":\"store_restored\",\"before\":{\"era\":0,";
+            assert!(lines.contains(expected), "{lines}");
         }
     });
 }
 
 #[test]
-fn a_root_that_has_not_read_anew_is_not_believed() {
-    play(|world| async move {
+fn root_of_the_previous_era_is_not_trusted() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 5).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
         let copy = world.store.copy();
-        write_what_is_lost(&world);
+        write_lost_changes(&world);
         sleep(IN_FORCE).await;
-        // NB: the root that most others ask is the last to hear from the restored store.
-        world.cut_store_for(&entries[root], Weather::Silent(Duration::from_secs(30)));
+        // The root that most others poll is the last to read the restored store.
+        world.set_store_fault(&entries[root], Weather::Silent(Duration::from_secs(30)));
         restore(&world, &copy, Duration::ZERO).await;
         world.configure(catalog_with_keys(2, &["k1"]));
         world.list_server(1, "s", "v1", "draining");
         sleep(Duration::from_millis(1_500)).await;
-        world.cut_store_for(&entries[root], Weather::Fair);
+        world.set_store_fault(&entries[root], Weather::Fair);
         sleep(IN_FORCE).await;
         assert_in_force(&world, &entries).await;
     });
 }
 
-/// A bad version is left, and the operator told so, whatever is lost while it is on trial.
-fn bad_version_is_left(count: u16, times: usize) {
-    play(move |world| async move {
+/// Checks that a bad version is left, and that this is reported to the operator, whatever is lost
+/// during its trial.
+fn check_bad_version_is_left(count: u16, times: usize) {
+    run_test(move |world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
         for n in 11..=13 {
@@ -543,7 +556,7 @@
             let entry = &entries[n % entries.len()];
             let sent =
                 with(request("/again/", &format!("r{n}")), "pondwalk-session", &n.to_string());
-            world.ask_at(entry, sent).await;
+            world.call_at(entry, sent).await;
             sleep(Duration::from_millis(25)).await;
         }
         sleep(SETTLED).await;
@@ -553,16 +566,16 @@
 }
 
 #[test]
-fn a_bad_version_on_trial_is_left_though_the_store_is_restored_once_and_twice() {
+fn bad_version_is_left_after_one_and_two_restorations() {
     for count in [4, 24] {
-        bad_version_is_left(count, 1);
-        bad_version_is_left(count, 2);
+        check_bad_version_is_left(count, 1);
+        check_bad_version_is_left(count, 2);
     }
 }
 
 #[test]
-fn an_evacuation_holds_through_two_restorations() {
-    play(|world| async move {
+fn evacuation_holds_through_two_restorations() {
+    run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         lose_evacuation(&world, &entries).await;
--- a/crates/direct/tests/suspended_machine.rs
+++ b/crates/direct/tests/suspended_machine.rs
@@ -1,4 +1,5 @@
-//! Entries on a machine that was suspended: the steady clock, on which timers run, did not count that time.
+//! Entries on a machine that was suspended. The monotonic clock, on which timers run, did not count
+//! that time.
 
 mod common;
 
@@ -6,35 +7,38 @@
 
 use common::{
     World, catalog, catalog_with_keys,
-    lethal::{QUICK, again, come_again, further_runs, start},
+    crashing::{QUICK_RETRY, further_runs, repeat_request, repeatable, start},
     net::Net,
-    play, request, with,
+    request, run_test, with,
 };
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use tokio::time::sleep;
 
-/// Longer than a key is honoured without the store's word.
-const LONG: Duration = Duration::from_secs(8);
+/// Longer than a key is honoured without a confirmation.
+const SUSPENSION: Duration = Duration::from_secs(8);
 
 async fn status(world: &World, entry: &pondwalk_direct::Entry, key: &str) -> u16 {
     let sent = with(request("/once/", "r"), "authorization", &format!("Bearer {key}"));
-    world.ask_at(entry, sent).await.status.as_u16()
+    world.call_at(entry, sent).await.status.as_u16()
 }
 
 #[test]
-fn a_key_taken_away_meanwhile_is_not_honoured_after_waking() {
-    play(|world| async move {
+fn key_removed_during_suspension_is_refused_after_resume() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
         world.start().await;
         assert_eq!(status(&world, &world.entry, "k2").await, 200);
-        // NB: the store says nothing until the first request has come.
+        // The store does not respond until the first request has arrived.
         world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
         world.configure(catalog_with_keys(2, &["k1"]));
-        world.entry.pretend_suspended(LONG);
+        world.entry.pretend_suspended(SUSPENSION);
         assert_eq!(status(&world, &world.entry, "k2").await, 503);
         assert_eq!(world.backends.runs(), 1);
-        assert!(!world.entry.is_ready(), "callers are sent elsewhere until the store has told");
+        assert!(
+            !world.entry.is_ready(),
+            "callers are refused until the store has confirmed the state"
+        );
         world.store.set_weather(Weather::Fair);
         sleep(Duration::from_secs(3)).await;
         assert_eq!(status(&world, &world.entry, "k2").await, 401);
@@ -43,36 +47,36 @@
 }
 
 #[test]
-fn a_request_aboard_does_not_leave_after_its_key_went_stale() {
-    play(|world| async move {
+fn suspended_request_is_not_sent_with_a_stale_key() {
+    run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::NotRun(503));
         world.start_server(2, "s", "v1", Act::Silent);
         world.start().await;
-        let asking = world.ask(request("/again/x", "r1"));
-        let waking = async {
+        let asking = world.call(request("/again/x", "r1"));
+        let resuming = async {
             sleep(Duration::from_millis(300)).await;
             world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
             world.entry.pretend_suspended(Duration::from_secs(5));
         };
-        let (answer, ()) = tokio::join!(asking, waking);
+        let (answer, ()) = tokio::join!(asking, resuming);
         assert!(answer.status.is_server_error());
-        assert!(world.backends.runs() <= 1, "nothing is sent on after waking");
+        assert!(world.backends.runs() <= 1, "nothing is sent after the resume");
     });
 }
 
 #[test]
-fn what_others_tell_after_waking_is_not_taken_for_fresher_than_it_is() {
-    play(|world| async move {
+fn peer_state_after_resume_does_not_look_fresher() {
+    run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
-            entry.pretend_suspended(LONG);
+            entry.pretend_suspended(SUSPENSION);
             let age = entry.state_age().expect("a state");
-            assert!(age >= LONG, "{age:?}");
+            assert!(age >= SUSPENSION, "{age:?}");
         }
         sleep(Duration::from_secs(3)).await;
         let bound = world.entry_times().oldest_in_calm();
@@ -85,17 +89,17 @@
 }
 
 #[test]
-fn a_request_that_ends_servers_stays_known_over_a_suspension() {
-    play(|world| async move {
+fn quarantine_survives_suspension() {
+    run_test(|world| async move {
         let net = Net::default();
-        let entries = start(&world, &net, &again(), 5).await;
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(3)).await;
+        let entries = start(&world, &net, &repeatable(), 5).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(3)).await;
         for entry in &entries {
-            entry.pretend_suspended(LONG);
+            entry.pretend_suspended(SUSPENSION);
         }
         sleep(Duration::from_secs(2)).await;
-        come_again(&world, &entries, &again(), QUICK, Duration::from_secs(20)).await;
+        repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(20)).await;
         let further = further_runs(&world);
-        assert!(further <= common::lethal::FURTHER_RUNS, "{further}");
+        assert!(further <= common::crashing::MAX_FURTHER_RUNS, "{further}");
     });
 }
