--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -137,7 +137,7 @@
     where
         I: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        http::connection(Rc::clone(&self.core), io, Rc::clone(&self.gate)).await;
+        http::serve_connection(Rc::clone(&self.core), io, Rc::clone(&self.gate)).await;
     }
 
     /// Serves the requests on a connection from another entry.
