--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -20,7 +20,7 @@
 use cadence::StatsdClient;
 use pondwalk_config::AgentSettings;
 use pondwalk_store::Store;
-use pondwalk_threads::{ControlThread, StartError, traffic_threads};
+use pondwalk_threads::{ControlThread, StartError, traffic_runtime};
 use tokio::{net::TcpListener, runtime::Runtime};
 
 use crate::core::Core;
@@ -42,7 +42,7 @@
         metrics: StatsdClient,
     ) -> Result<Self, StartError> {
         let address = settings.listen;
-        let traffic = traffic_threads("agent-traffic", settings.threads)?;
+        let traffic = traffic_runtime("agent-traffic", settings.threads)?;
         let core = Arc::new(Core::new(settings, metrics, traffic.handle().clone()));
         let listener = traffic
             .block_on(TcpListener::bind(address))
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,61 +1,61 @@
-//! Answers: pieces on their way to the caller, and whole ones put together.
+//! Answers: events sent to the caller, and assembly of streamed chats.
 
 use bytes::Bytes;
 use pondwalk_types::{Executed, Refusal, TokenUsage, VersionId};
 use serde_json::{Map, Value, json};
 
-/// One piece of an answer on its way to the caller.
+/// An event of an answer sent to the caller.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Piece {
+pub enum AnswerEvent {
     /// The answer starts.
-    Open(Opening),
-    /// One event of a chat, or a part of a service's body.
+    Start(AnswerHead),
+    /// One chat event, or a part of the body of a service's response.
     Data(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There is no answer, or none any more.
+    /// There is no answer, or it broke off.
     Fail(Failure),
 }
 
-/// What is known when an answer starts.
+/// Metadata of an answer, known at its start.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Opening {
-    /// The version, or service, that answers.
+pub struct AnswerHead {
+    /// The version or service that answers.
     pub version: VersionId,
-    /// The session's pin, to be sent along with its next request.
+    /// The session pin, to be sent with the next request of the session.
     pub pin: Option<String>,
-    /// Whether the session had to start anew on another version.
+    /// Whether the session restarted on another version.
     pub session_restarted: bool,
-    /// Status and content type of a service's answer.
+    /// Status and content type of a service's response.
     pub head: Option<(u16, String)>,
 }
 
-/// Why there is no whole answer.
+/// The reason why a request has no complete answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
     /// The reason.
     pub refusal: Refusal,
-    /// Whether any of it ran.
-    pub ran: Executed,
+    /// Whether any run was executed.
+    pub executed: Executed,
 }
 
 impl Failure {
-    /// A refusal of something that has truly not run.
+    /// A refusal of a request that was not executed.
     pub fn not_run(refusal: Refusal) -> Self {
-        Failure { refusal, ran: Executed::No }
+        Failure { refusal, executed: Executed::No }
     }
 }
 
-/// An answer as its run brought it.
+/// The answer of one run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Answer {
-    /// The version, or service, that gave it.
+    /// The version or service that produced it.
     pub version: VersionId,
-    /// The server that gave it.
+    /// The server that produced it.
     pub server: String,
-    /// Status and content type of a service's answer.
+    /// Status and content type of a service's response.
     pub head: Option<(u16, String)>,
-    /// Events of a chat, or parts of a service's body.
+    /// Chat events, or parts of the body of a service's response.
     pub parts: Vec<Bytes>,
     /// Tokens used.
     pub usage: TokenUsage,
@@ -64,18 +64,18 @@
 impl Answer {
     /// The generated text, for rating.
     pub fn text(&self) -> String {
-        let whole = assemble(&self.parts);
-        let content = whole.pointer("/choices/0/message/content").and_then(Value::as_str);
+        let completion = assemble_chat(&self.parts);
+        let content = completion.pointer("/choices/0/message/content").and_then(Value::as_str);
         content.unwrap_or_default().to_owned()
     }
 }
 
-/// Puts the events of a streamed chat together to one whole reply.
+/// Assembles the events of a streamed chat into one chat completion.
 ///
-/// Texts of the same field are joined; lists are merged by their items' `index`; other values
-/// are replaced by later ones. So nothing that an engine sends is lost.
-pub fn assemble(events: &[Bytes]) -> Value {
-    let mut whole = Map::new();
+/// Strings of the same field are concatenated, lists are merged by the `index` of their items,
+/// and other values are replaced by later ones, so that all fields of the engine are preserved.
+pub fn assemble_chat(events: &[Bytes]) -> Value {
+    let mut completion = Map::new();
     let mut choices: Vec<Value> = Vec::new();
     for event in events {
         let Ok(Value::Object(mut event)) = serde_json::from_slice(event) else {
@@ -84,17 +84,17 @@
         if let Some(Value::Array(deltas)) = event.remove("choices") {
             deltas.into_iter().for_each(|delta| merge_choice(&mut choices, delta));
         }
-        whole.extend(event.into_iter().filter(|(_, value)| !value.is_null()));
+        completion.extend(event.into_iter().filter(|(_, value)| !value.is_null()));
     }
-    whole.insert("object".into(), json!("chat.completion"));
-    whole.insert("choices".into(), Value::Array(choices));
-    Value::Object(whole)
+    completion.insert("object".into(), json!("chat.completion"));
+    completion.insert("choices".into(), Value::Array(choices));
+    Value::Object(completion)
 }
 
 fn merge_choice(choices: &mut Vec<Value>, mut chunk: Value) {
     let index = chunk["index"].as_u64().unwrap_or(0) as usize;
-    const MOST_CHOICES: usize = 128;
-    if index >= MOST_CHOICES {
+    const MAX_CHOICES: usize = 128;
+    if index >= MAX_CHOICES {
         return;
     }
     while choices.len() <= index {
@@ -125,11 +125,11 @@
 }
 
 fn merge_field(whole: &mut Map<String, Value>, key: String, value: Value) {
-    const WHOLE_FIELDS: [&str; 4] = ["role", "id", "type", "index"];
+    const REPLACED_FIELDS: [&str; 4] = ["role", "id", "type", "index"];
     match (whole.get_mut(&key), value) {
         (_, Value::Null) => {}
         (Some(Value::String(text)), Value::String(more))
-            if !WHOLE_FIELDS.contains(&key.as_str()) =>
+            if !REPLACED_FIELDS.contains(&key.as_str()) =>
         {
             text.push_str(&more);
         }
--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -1,7 +1,7 @@
-//! Bills between the end of an answer and their place in the store.
+//! Bills from the end of an answer until they are stored.
 //!
-//! A bill is held by this process and by the agent that gave the answer before the answer is
-//! closed, so that one failure loses none; the agent's copy is released once the store has it.
+//! Before an answer is completed, its bill is copied to the agent that produced the answer, so
+//! that a single failure loses no bill. The copy is released once the bill is stored.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -11,87 +11,87 @@
 use pondwalk_types::{Incarnation, RequestId, ServerId};
 use pondwalk_wire::HeldBill;
 
-use crate::{calls::call_context, fleet::Fleet};
+use crate::{agent_links::AgentLinks, calls::call_context};
 
-/// How many hold a bill once its answer is closed.
+/// Number of copies of a bill when its answer is completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Copies {
-    /// This process alone.
+    /// Held by this process only.
     One,
-    /// An agent too, or the store.
+    /// Held by an agent as well, or stored.
     Two,
 }
 
-/// Bills of this process.
+/// The bills of this process that are not stored yet.
 #[derive(Debug)]
 pub struct Bills {
-    book: Mutex<BillBuffer>,
-    holders: Mutex<HashMap<RequestId, ServerId>>,
+    buffer: Mutex<BillBuffer>,
+    copy_servers: Mutex<HashMap<RequestId, ServerId>>,
 }
 
 impl Bills {
-    /// No bills yet.
+    /// Creates an empty buffer of bills.
     pub fn new(writer: Incarnation) -> Self {
-        Bills { book: Mutex::new(BillBuffer::new(writer)), holders: Mutex::default() }
+        Bills { buffer: Mutex::new(BillBuffer::new(writer)), copy_servers: Mutex::default() }
     }
 
-    /// Bills not known to be durable.
+    /// Number of bills not known to be stored.
     pub fn backlog(&self) -> usize {
-        lock(&self.book).backlog()
+        lock(&self.buffer).backlog()
     }
 
-    /// Makes a bill safe before its answer is closed: at the agent of `server`, or else in the store.
-    pub async fn hold(
+    /// Copies a bill to the agent of `server`, or writes it to the store if the agent fails.
+    pub async fn replicate(
         &self,
         bill: Bill,
         server: &str,
         entry: Incarnation,
-        fleet: &Fleet,
+        agents: &AgentLinks,
         store: &Store,
     ) -> Copies {
         let request = bill.request.clone();
-        // NB: a bill is a plain tree of numbers and texts, which always has a JSON form.
+        // NB: serialization cannot fail, because all fields are numbers and strings.
         let text = serde_json::to_vec(&bill).unwrap_or_default();
-        lock(&self.book).add(bill);
+        lock(&self.buffer).add(bill);
         let held = HeldBill { entry, request: request.clone(), bill: text };
-        let client = fleet.get(server).and_then(|link| link.client());
+        let client = agents.get(server).and_then(|link| link.client());
         let copied = match client {
             Some(client) => client.hold_bill(call_context(), held).await.is_ok(),
             None => false,
         };
         if copied {
-            lock(&self.holders).insert(request, server.to_owned());
+            lock(&self.copy_servers).insert(request, server.to_owned());
             return Copies::Two;
         }
-        // NB: without a second holder the bill goes to the store first, if the store answers.
-        match self.flush(store, fleet).await {
+        // NB: without a copy at an agent, the bill is written to the store at once.
+        match self.flush(store, agents).await {
             Ok(()) => Copies::Two,
             Err(_) => Copies::One,
         }
     }
 
-    /// Writes all bills there are, and releases their copies.
-    pub async fn flush(&self, store: &Store, fleet: &Fleet) -> Result<(), StoreError> {
+    /// Writes all pending bills to the store and releases their copies.
+    pub async fn flush(&self, store: &Store, agents: &AgentLinks) -> Result<(), StoreError> {
         while self.backlog() > 0 {
-            let durable = bills::flush(&self.book, store).await?;
-            self.release(durable, fleet).await;
+            let durable = bills::flush(&self.buffer, store).await?;
+            self.release_copies(durable, agents).await;
         }
         Ok(())
     }
 
-    async fn release(&self, durable: Vec<RequestId>, fleet: &Fleet) {
+    async fn release_copies(&self, durable: Vec<RequestId>, agents: &AgentLinks) {
         let mut by_server: HashMap<ServerId, Vec<RequestId>> = HashMap::new();
         {
-            let mut holders = lock(&self.holders);
+            let mut copy_servers = lock(&self.copy_servers);
             for request in durable {
-                if let Some(server) = holders.remove(&request) {
+                if let Some(server) = copy_servers.remove(&request) {
                     by_server.entry(server).or_default().push(request);
                 }
             }
         }
         for (server, requests) in by_server {
-            if let Some(client) = fleet.get(&server).and_then(|link| link.client()) {
-                // NB: a copy not released is written once more by its agent, and merged when read.
+            if let Some(client) = agents.get(&server).and_then(|link| link.client()) {
+                // NB: an agent writes copies that are not released again; readers merge duplicates.
                 let _ = client.release_bills(call_context(), requests).await;
             }
         }
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -1,20 +1,20 @@
-//! How long calls to agents may take.
+//! Deadlines of calls to agents.
 
 use std::time::Duration;
 
 use tarpc::context::Context;
 
-/// Longest time of a call that waits for nothing but its answer.
-const CALL_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of ordinary calls.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Context of a call that may take so long.
-pub fn context(limit: Duration) -> Context {
+/// Context of a call with a timeout.
+pub fn context_with_timeout(timeout: Duration) -> Context {
     let mut context = Context::current();
-    context.deadline = std::time::Instant::now() + limit;
+    context.deadline = std::time::Instant::now() + timeout;
     context
 }
 
-/// Context of a call that waits for nothing but its answer.
+/// Context of an ordinary call.
 pub fn call_context() -> Context {
-    context(CALL_LIMIT)
+    context_with_timeout(CALL_TIMEOUT)
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry share.
+//! State shared by all parts of an entry.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,18 +19,21 @@
 use pondwalk_wire::Configuration;
 use tokio::{runtime::Handle, time::Instant};
 
-use crate::{bills::Bills, fleet::Fleet, pins::PinSigner, rating::RatingClient, spend::Slices};
+use crate::{
+    agent_links::AgentLinks, bills::Bills, pins::PinSigner, rating::RatingClient,
+    spend::SpendSlices,
+};
 
-/// A configuration with its callers' keys at hand.
+/// An installed configuration with an index of its API keys.
 #[derive(Debug)]
-pub struct Installed {
+pub struct InstalledConfiguration {
     /// The configuration.
     pub configuration: Configuration,
-    /// Workspaces by the digest of their callers' keys.
+    /// Workspaces by the SHA-256 digests of their API keys.
     pub keys: HashMap<String, WorkspaceId>,
 }
 
-impl Installed {
+impl InstalledConfiguration {
     /// The price of a version.
     pub fn price(&self, version: &str) -> Price {
         self.configuration.policy.price_of(version).unwrap_or_default()
@@ -40,41 +43,41 @@
 /// State shared by the entry's traffic and control threads.
 #[derive(Debug)]
 pub struct Core {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: EntrySettings,
-    /// Tells this process from its restarts.
+    /// Random id of this process; differs after a restart.
     pub incarnation: Incarnation,
-    /// The decision.
+    /// The router.
     pub router: Mutex<Router>,
-    /// Connections to agents.
-    pub fleet: Fleet,
-    /// Signs and checks session pins.
+    /// Links to agents.
+    pub agents: AgentLinks,
+    /// Signs and verifies session pins.
     pub pins: PinSigner,
     /// Claims on idempotency keys.
     pub claims: Claims,
-    /// Bills not yet durable.
+    /// Bills that are not stored yet.
     pub bills: Bills,
-    /// Slices of spend caps.
-    pub slices: Slices,
-    /// The rating service, if there is one.
+    /// Allocated slices of spend caps.
+    pub spend_slices: SpendSlices,
+    /// Client of the rating service, if configured.
     pub rating: Option<RatingClient>,
     /// The platform's store.
     pub store: Store,
-    /// Counters.
+    /// Sink of counters.
     pub metrics: StatsdClient,
-    /// Where requests are served.
+    /// The runtime that serves requests.
     pub traffic: Handle,
-    installed: Mutex<Option<Arc<Installed>>>,
-    /// Workspaces with a cap, which live on slices.
-    capped: Mutex<HashSet<WorkspaceId>>,
-    confirmed: Mutex<Instant>,
+    installed: Mutex<Option<Arc<InstalledConfiguration>>>,
+    /// Workspaces with a spend cap, which need allocated slices.
+    capped_workspaces: Mutex<HashSet<WorkspaceId>>,
+    confirmed_at: Mutex<Instant>,
     draining: AtomicBool,
     next_attempt: AtomicU64,
     started: Instant,
 }
 
 impl Core {
-    /// The state of a new entry process; to be called within its traffic runtime.
+    /// Creates the state of an entry; must be called within its traffic runtime.
     pub fn new(
         settings: EntrySettings,
         store: Store,
@@ -85,18 +88,18 @@
         Core {
             incarnation,
             router: Mutex::new(Router::new(&settings.data_centre)),
-            fleet: Fleet::default(),
+            agents: AgentLinks::default(),
             pins: PinSigner::new(&settings.signing_key, settings.former_signing_key.as_deref()),
             claims: Claims::spawn(store.clone()),
             bills: Bills::new(incarnation),
-            slices: Slices::default(),
+            spend_slices: SpendSlices::default(),
             rating: settings.rating.map(RatingClient::new),
             store,
             metrics,
             traffic,
             installed: Mutex::default(),
-            capped: Mutex::default(),
-            confirmed: Mutex::new(Instant::now()),
+            capped_workspaces: Mutex::default(),
+            confirmed_at: Mutex::new(Instant::now()),
             draining: AtomicBool::new(false),
             next_attempt: AtomicU64::new(1),
             started: Instant::now(),
@@ -104,33 +107,33 @@
         }
     }
 
-    /// Time since the process started, as the pure decision code wants it.
+    /// Time since the start of the process; the clock of the router.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// A number for a new attempt.
-    pub fn attempt(&self) -> AttemptId {
+    /// A unique id for a new attempt.
+    pub fn next_attempt_id(&self) -> AttemptId {
         self.next_attempt.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The configuration in force, unless it has been unconfirmed for too long.
-    pub fn installed(&self) -> Option<Arc<Installed>> {
+    /// The installed configuration, unless its last confirmation is older than the bound.
+    pub fn installed(&self) -> Option<Arc<InstalledConfiguration>> {
         if let Some(bound) = self.settings.config_bound
-            && lock(&self.confirmed).elapsed() > bound
+            && lock(&self.confirmed_at).elapsed() > bound
         {
             return None;
         }
         lock(&self.installed).clone()
     }
 
-    /// Generation in force; zero before the first.
+    /// Generation of the installed configuration; 0 if there is none.
     pub fn generation(&self) -> u64 {
         let installed = lock(&self.installed);
         installed.as_ref().map_or(0, |installed| installed.configuration.generation)
     }
 
-    /// Puts a configuration in force if it is newer; tells whether it was.
+    /// Installs a configuration if it is newer than the installed one; returns whether it is.
     pub fn install(&self, configuration: Configuration) -> bool {
         let mut installed = lock(&self.installed);
         let current = installed.as_ref().map_or(0, |i| i.configuration.generation);
@@ -139,54 +142,54 @@
         }
         let generation = configuration.generation;
         lock(&self.router).install(generation, &configuration.policy);
-        self.limit_new_caps(&configuration);
-        let keys = keys(&configuration);
-        *installed = Some(Arc::new(Installed { configuration, keys }));
+        self.zero_new_spend_limits(&configuration);
+        let keys = index_keys(&configuration);
+        *installed = Some(Arc::new(InstalledConfiguration { configuration, keys }));
         spdlog::info!("configuration in force", kv: { generation });
         true
     }
 
-    /// A workspace with a cap may spend nothing here before its first slice.
-    fn limit_new_caps(&self, configuration: &Configuration) {
+    /// Sets the limit of newly capped workspaces to zero until their first slice is allocated.
+    fn zero_new_spend_limits(&self, configuration: &Configuration) {
         let mut router = lock(&self.router);
-        let mut limited = lock(&self.capped);
+        let mut capped = lock(&self.capped_workspaces);
         for (name, workspace) in &configuration.policy.workspaces {
-            if workspace.spend_cap.is_some() && limited.insert(name.clone()) {
+            if workspace.spend_cap.is_some() && capped.insert(name.clone()) {
                 router.set_spend_slice(name, Some(0.0));
             }
         }
-        limited.retain(|name| {
+        capped.retain(|name| {
             let workspace = configuration.policy.workspaces.get(name);
             workspace.is_some_and(|workspace| workspace.spend_cap.is_some())
         });
     }
 
-    /// Notes that the configuration in force was confirmed as the newest.
+    /// Records that the installed configuration was confirmed as the newest.
     pub fn confirm(&self) {
-        *lock(&self.confirmed) = Instant::now();
+        *lock(&self.confirmed_at) = Instant::now();
     }
 
-    /// Is unready from now on.
+    /// Reports the entry as not ready from now on.
     pub fn begin_drain(&self) {
         if !self.draining.swap(true, Ordering::SeqCst) {
             spdlog::info!("draining", kv: { instance = self.settings.instance.as_str() });
         }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send requests here.
     pub fn is_ready(&self) -> bool {
         let draining = self.draining.load(Ordering::SeqCst);
-        !draining && self.generation() > 0 && self.fleet.any_connected()
+        !draining && self.generation() > 0 && self.agents.any_connected()
     }
 
-    /// Adds one to a counter.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
-        // NB: a counter that cannot be sent is not worth failing for.
+        // NB: failures to send metrics are ignored.
         let _ = self.metrics.incr(name);
     }
 }
 
-fn keys(configuration: &Configuration) -> HashMap<String, WorkspaceId> {
+fn index_keys(configuration: &Configuration) -> HashMap<String, WorkspaceId> {
     let mut keys = HashMap::new();
     for (name, workspace) in &configuration.policy.workspaces {
         for digest in &workspace.keys_sha256 {
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP.
+//! The HTTP server for callers.
 
 mod auth;
 mod chat;
@@ -15,27 +15,27 @@
 
 use crate::core::Core;
 
-/// Time that a planned stop leaves to connections without a request under way.
-const CLOSE_IDLE: std::time::Duration = std::time::Duration::from_secs(1);
+/// Unit of the timeout of connections without a request in flight.
+const IDLE_TIMEOUT_UNIT: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// A bound address that is not served yet.
-pub struct Bound {
+/// A server that is bound but does not serve yet.
+pub struct BoundServer {
     /// The address.
     pub address: SocketAddr,
     acceptor: LimitedAcceptor,
     core: Arc<Core>,
 }
 
-/// Binds the settings' address.
-pub async fn bind(core: Arc<Core>) -> io::Result<Bound> {
+/// Binds the configured address.
+pub async fn bind(core: Arc<Core>) -> io::Result<BoundServer> {
     let connections = core.settings.limits.connections;
     let acceptor = LimitedAcceptor::bind(core.settings.listen, connections).await?;
     let address = acceptor.address();
-    Ok(Bound { address, acceptor, core })
+    Ok(BoundServer { address, acceptor, core })
 }
 
-impl Bound {
-    /// Serves callers until `closed`, then finishes what is under way.
+impl BoundServer {
+    /// Serves callers until `closed` resolves, then finishes the requests in flight.
     pub async fn run(self, closed: oneshot::Receiver<()>) -> io::Result<()> {
         let limit = self.core.settings.limits.drain;
         let route = Route::new()
@@ -46,11 +46,11 @@
             .at("/status", get(health::status))
             .data(self.core);
         let signal = async {
-            // NB: a dropped sender means the same as one that fired.
+            // NB: a dropped sender also stops the server.
             let _ = closed.await;
         };
         Server::new_with_acceptor(self.acceptor)
-            .idle_timeout(CLOSE_IDLE * 60)
+            .idle_timeout(IDLE_TIMEOUT_UNIT * 60)
             .run_with_graceful_shutdown(route, signal, Some(limit))
             .await
     }
--- a/crates/entry/src/http/auth.rs
+++ b/crates/entry/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! Which workspace a caller belongs to.
+//! Authentication of callers.
 
 use std::fmt::Write;
 
@@ -8,13 +8,13 @@
 
 use crate::core::Core;
 
-const SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// The workspace whose key the caller presents.
-pub fn workspace(core: &Core, request: &Request) -> Result<WorkspaceId, Refusal> {
+/// The workspace that the API key of the caller belongs to.
+pub fn authenticate(core: &Core, request: &Request) -> Result<WorkspaceId, Refusal> {
     let installed = core.installed().ok_or(Refusal::NoConfiguration)?;
     let header = request.header(header::AUTHORIZATION).unwrap_or_default();
-    let key = header.strip_prefix(SCHEME).ok_or(Refusal::UnknownCaller)?;
+    let key = header.strip_prefix(BEARER_PREFIX).ok_or(Refusal::UnknownCaller)?;
     installed.keys.get(&digest(key)).cloned().ok_or(Refusal::UnknownCaller)
 }
 
--- a/crates/entry/src/http/errors.rs
+++ b/crates/entry/src/http/errors.rs
@@ -1,4 +1,4 @@
-//! Failures as typed JSON.
+//! Failures as JSON responses.
 
 use poem::{
     Response,
@@ -9,12 +9,12 @@
 
 use crate::answer::Failure;
 
-/// When a caller should come back if nothing better is known.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay if the refusal states none.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// The failure's JSON form.
+/// The JSON body of a failure.
 pub fn body(failure: &Failure) -> Value {
-    let ran = match failure.ran {
+    let executed = match failure.executed {
         Executed::No => json!(false),
         Executed::Yes => json!(true),
         Executed::Unknown => json!("unknown"),
@@ -25,13 +25,13 @@
             "message": failure.refusal.to_string(),
             "type": "pondwalk_error",
         },
-        "ran": ran,
+        "ran": executed,
     })
 }
 
-/// The failure as an HTTP response.
+/// The HTTP response of a failure.
 pub fn response(failure: &Failure) -> Response {
-    let status = status(&failure.refusal, failure.ran);
+    let status = status(&failure.refusal, failure.executed);
     let mut builder = Response::builder().status(status).content_type("application/json");
     if status == StatusCode::SERVICE_UNAVAILABLE {
         let seconds = retry_after_ms(&failure.refusal).div_ceil(1_000);
@@ -43,11 +43,11 @@
 fn retry_after_ms(refusal: &Refusal) -> u64 {
     match refusal {
         Refusal::Overloaded { retry_after_ms } => *retry_after_ms,
-        _ => RETRY_AFTER_MS,
+        _ => DEFAULT_RETRY_AFTER_MS,
     }
 }
 
-fn status(refusal: &Refusal, ran: Executed) -> StatusCode {
+fn status(refusal: &Refusal, executed: Executed) -> StatusCode {
     match refusal {
         Refusal::UnknownCaller => StatusCode::UNAUTHORIZED,
         Refusal::VersionNotAllowed(_) | Refusal::TaskNotAllowed | Refusal::BadSessionPin => {
@@ -60,7 +60,7 @@
         Refusal::DuplicateKey | Refusal::VersionWithdrawn(_) | Refusal::VersionRetiring(_) => {
             StatusCode::CONFLICT
         }
-        _ if ran == Executed::No => StatusCode::SERVICE_UNAVAILABLE,
+        _ if executed == Executed::No => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
--- a/crates/entry/src/http/health.rs
+++ b/crates/entry/src/http/health.rs
@@ -14,7 +14,7 @@
     "ok"
 }
 
-/// Answers 200 only while the balancer should send callers here.
+/// Answers 200 only while the load balancer should send requests here.
 #[handler]
 pub fn readyz(core: Data<&Arc<Core>>) -> (StatusCode, &'static str) {
     if core.is_ready() {
@@ -24,11 +24,11 @@
     }
 }
 
-/// What is in force and under way.
+/// The state of the entry and of its agents.
 #[handler]
 pub fn status(core: Data<&Arc<Core>>) -> Response {
     let agents: Vec<_> = core
-        .fleet
+        .agents
         .all()
         .iter()
         .map(|link| {
--- a/crates/entry/src/http/intake.rs
+++ b/crates/entry/src/http/intake.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request, within limits.
+//! Reading and checking of callers' requests, within limits.
 
 use std::sync::Arc;
 
@@ -11,45 +11,52 @@
 
 use super::auth;
 use crate::{
-    answer::{Failure, Piece},
+    answer::{AnswerEvent, Failure},
     core::Core,
     incoming::{
-        DEADLINE_MS, IDEMPOTENCY_KEY, Incoming, REPEATABLE, REQUEST_ID, RawRequest, SESSION,
-        SESSION_PIN, TASK,
+        DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, IncomingRequest, REPEATABLE_HEADER,
+        REQUEST_ID_HEADER, RawRequest, SESSION_HEADER, SESSION_PIN_HEADER, TASK_HEADER,
     },
     serve::serve,
 };
 
-/// Headers that pondwalk reads.
-const HEADERS: [&str; 7] =
-    [REQUEST_ID, SESSION, SESSION_PIN, TASK, DEADLINE_MS, REPEATABLE, IDEMPOTENCY_KEY];
+/// Request headers that the entry reads.
+const HEADERS: [&str; 7] = [
+    REQUEST_ID_HEADER,
+    SESSION_HEADER,
+    SESSION_PIN_HEADER,
+    TASK_HEADER,
+    DEADLINE_HEADER,
+    REPEATABLE_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+];
 
-/// A request that has been taken in, with the pieces of its answer to come.
-pub struct Taken {
-    /// Its id, to be told to the caller.
-    pub request: String,
-    /// Whether the caller wants tokens as they come.
+/// An accepted request and the events of its answer.
+pub struct AcceptedRequest {
+    /// The request id, returned to the caller.
+    pub request_id: String,
+    /// Whether the caller requested a streamed answer.
     pub streaming: bool,
-    /// Whether the caller wants the usage event in its stream.
-    pub wants_usage: bool,
-    /// The answer's pieces.
-    pub pieces: mpsc::Receiver<Piece>,
+    /// Whether the caller requested the usage event in the stream.
+    pub include_usage: bool,
+    /// Events of the answer.
+    pub events: mpsc::Receiver<AnswerEvent>,
 }
 
 /// Checks a request and starts serving it.
-pub async fn take(
+pub async fn accept(
     core: &Arc<Core>,
     request: &Request,
     body: Body,
     service: Option<(VersionId, String)>,
-) -> Result<Taken, Failure> {
+) -> Result<AcceptedRequest, Failure> {
     let span = tracing::info_span!("caller", path = request.uri().path());
     set_parent(&span, request);
     let incoming = read(core, request, body, service).await.map_err(Failure::not_run)?;
     let id = incoming.request.clone();
-    let (streaming, wants_usage) = (incoming.streaming, incoming.wants_usage);
-    let pieces = span.in_scope(|| serve(core.clone(), incoming));
-    Ok(Taken { request: id, streaming, wants_usage, pieces })
+    let (streaming, include_usage) = (incoming.streaming, incoming.include_usage);
+    let events = span.in_scope(|| serve(core.clone(), incoming));
+    Ok(AcceptedRequest { request_id: id, streaming, include_usage, events })
 }
 
 async fn read(
@@ -57,9 +64,9 @@
     request: &Request,
     body: Body,
     service: Option<(VersionId, String)>,
-) -> Result<Incoming, Refusal> {
+) -> Result<IncomingRequest, Refusal> {
     check_header_size(core, request)?;
-    let workspace = auth::workspace(core, request)?;
+    let workspace = auth::authenticate(core, request)?;
     let body = read_body(core, body).await.map_err(Refusal::BadRequest)?;
     let raw = RawRequest {
         workspace,
@@ -69,17 +76,17 @@
         service,
         default_deadline: core.settings.limits.default_deadline,
     };
-    let mut incoming = Incoming::try_from(raw).map_err(Refusal::BadRequest)?;
+    let mut incoming = IncomingRequest::try_from(raw).map_err(Refusal::BadRequest)?;
     verify_pin(core, &mut incoming)?;
     Ok(incoming)
 }
 
-/// A pin must be genuine and belong to the workspace and session that bring it.
-fn verify_pin(core: &Core, incoming: &mut Incoming) -> Result<(), Refusal> {
-    let Some(text) = &incoming.pin_text else {
+/// Verifies the pin's signature and that it belongs to the request's workspace and session.
+fn verify_pin(core: &Core, incoming: &mut IncomingRequest) -> Result<(), Refusal> {
+    let Some(text) = &incoming.raw_pin else {
         return Ok(());
     };
-    let pin = core.pins.check(text, &incoming.workspace)?;
+    let pin = core.pins.verify(text, &incoming.workspace)?;
     if incoming.session.as_ref().is_some_and(|session| *session != pin.session) {
         return Err(Refusal::BadSessionPin);
     }
@@ -118,7 +125,7 @@
     }
 }
 
-/// Continues the caller's W3C trace, if it has one.
+/// Continues the caller's W3C trace, if the request carries one.
 fn set_parent(span: &Span, request: &Request) {
     struct Headers<'a>(&'a Request);
 
@@ -133,6 +140,6 @@
     }
 
     let parent = global::get_text_map_propagator(|p| p.extract(&Headers(request)));
-    // NB: fails only where no subscriber takes spans, and then there is nothing to continue.
+    // NB: fails only if no subscriber records spans.
     let _ = span.set_parent(parent);
 }
--- a/crates/entry/src/http/service.rs
+++ b/crates/entry/src/http/service.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/services/NAME/PATH`: calls passed through to plain services.
+//! `POST /v1/services/NAME/PATH`: calls forwarded to plain services.
 
 use std::{io, sync::Arc};
 
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc;
 
 use super::{
-    chat::{answer_head, cut, with_id},
+    chat::{interrupted, response_builder, with_request_id},
     errors, intake,
 };
-use crate::{answer::Piece, core::Core};
+use crate::{answer::AnswerEvent, core::Core};
 
-/// Passes a call through.
+/// Forwards a call to a service.
 #[handler]
 pub async fn call(
     request: &Request,
@@ -26,35 +26,38 @@
 ) -> Response {
     let query = request.uri().query().map(|query| format!("?{query}")).unwrap_or_default();
     let target = (service, format!("/{path}{query}"));
-    let mut taken = match intake::take(&core, request, body, Some(target)).await {
-        Ok(taken) => taken,
+    let mut accepted = match intake::accept(&core, request, body, Some(target)).await {
+        Ok(accepted) => accepted,
         Err(failure) => return errors::response(&failure),
     };
-    match taken.pieces.recv().await {
-        Some(Piece::Open(opening)) => {
-            let (status, content_type) = opening.head.clone().unwrap_or((200, String::new()));
+    match accepted.events.recv().await {
+        Some(AnswerEvent::Start(answer_head)) => {
+            let (status, content_type) = answer_head.head.clone().unwrap_or((200, String::new()));
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            answer_head(status, &taken.request, &opening)
+            response_builder(status, &accepted.request_id, &answer_head)
                 .content_type(content_type)
-                .body(Body::from_bytes_stream(parts(taken.pieces)))
+                .body(Body::from_bytes_stream(body_stream(accepted.events)))
         }
-        Some(Piece::Fail(failure)) => with_id(errors::response(&failure), &taken.request),
-        _ => with_id(errors::response(&cut()), &taken.request),
+        Some(AnswerEvent::Fail(failure)) => {
+            with_request_id(errors::response(&failure), &accepted.request_id)
+        }
+        _ => with_request_id(errors::response(&interrupted()), &accepted.request_id),
     }
 }
 
-/// The parts of the body; a broken answer breaks the connection, so that the caller can tell.
-fn parts(
-    pieces: mpsc::Receiver<Piece>,
+/// The body of the response; an interrupted answer aborts the connection, so that the caller
+/// detects it.
+fn body_stream(
+    events: mpsc::Receiver<AnswerEvent>,
 ) -> impl futures::Stream<Item = Result<bytes::Bytes, io::Error>> + Send + 'static {
-    stream::unfold(Some(pieces), |pieces| async move {
-        let mut pieces = pieces?;
+    stream::unfold(Some(events), |events| async move {
+        let mut events = events?;
         loop {
-            match pieces.recv().await {
-                Some(Piece::Data(data)) => return Some((Ok(data), Some(pieces))),
-                Some(Piece::Open(_)) => {}
-                Some(Piece::End) => return None,
-                Some(Piece::Fail(_)) | None => {
+            match events.recv().await {
+                Some(AnswerEvent::Data(data)) => return Some((Ok(data), Some(events))),
+                Some(AnswerEvent::Start(_)) => {}
+                Some(AnswerEvent::End) => return None,
+                Some(AnswerEvent::Fail(_)) | None => {
                     return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
                 }
             }
--- a/crates/entry/src/incoming.rs
+++ b/crates/entry/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Requests from raw HTTP input to checked values.
+//! Parsing of raw HTTP requests into checked requests.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 
 use crate::pins::Pin;
 
-/// Name of a caller's own id for its request.
-pub const REQUEST_ID: &str = "x-request-id";
-/// Names the conversation.
-pub const SESSION: &str = "pondwalk-session";
-/// Carries the session's pin, both ways.
-pub const SESSION_PIN: &str = "pondwalk-session-pin";
-/// Names the kind of work.
-pub const TASK: &str = "pondwalk-task";
-/// Time allowed, in milliseconds.
-pub const DEADLINE_MS: &str = "pondwalk-deadline-ms";
-/// `false` for a request that may run at most once.
-pub const REPEATABLE: &str = "pondwalk-repeatable";
-/// Marks the caller's own repeats.
-pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Task of a request that names none.
+/// Header with the request id chosen by the caller.
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Header with the session id.
+pub const SESSION_HEADER: &str = "pondwalk-session";
+/// Request and response header with the session pin.
+pub const SESSION_PIN_HEADER: &str = "pondwalk-session-pin";
+/// Header with the kind of work.
+pub const TASK_HEADER: &str = "pondwalk-task";
+/// Header with the time allowed, in milliseconds.
+pub const DEADLINE_HEADER: &str = "pondwalk-deadline-ms";
+/// Header that is `false` for a request that may run at most once.
+pub const REPEATABLE_HEADER: &str = "pondwalk-repeatable";
+/// Header that identifies repeated requests of a caller.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Task of requests without a task header.
 pub const DEFAULT_TASK: &str = "chat";
-/// Model name that leaves the choice to pondwalk.
+/// Model name with which the router chooses the version.
 pub const ANY_MODEL: &str = "auto";
-/// Longest value of any of these headers.
-const HEADER_LIMIT: usize = 256;
-/// Longest pin.
-const PIN_LIMIT: usize = 2_048;
-/// Bytes of JSON that make about one token.
+/// Maximum length of a header value, except for the session pin.
+const MAX_HEADER_VALUE_BYTES: usize = 256;
+/// Maximum length of a session pin.
+const MAX_PIN_BYTES: usize = 2_048;
+/// Approximate number of JSON bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Longest deadline that a caller may state.
-const LONGEST_DEADLINE_MS: u64 = 86_400_000;
+/// Maximum deadline of a caller: one day.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// A request as it came, header names in lower case.
+/// An unchecked request; header names are in lower case.
 #[derive(Debug, Clone, Default)]
 pub struct RawRequest {
-    /// The workspace that the caller's key belongs to.
+    /// The workspace of the caller's key.
     pub workspace: WorkspaceId,
-    /// Headers of interest.
+    /// The headers that the entry reads.
     pub headers: Vec<(&'static str, String)>,
     /// Content type.
     pub content_type: String,
@@ -47,50 +47,50 @@
     pub body: Vec<u8>,
     /// Service and path, if it calls a plain service.
     pub service: Option<(VersionId, String)>,
-    /// Deadline if the caller states none.
+    /// Time allowed if the request states none.
     pub default_deadline: Duration,
 }
 
 /// A checked request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Incoming {
-    /// Its id.
+pub struct IncomingRequest {
+    /// The request id.
     pub request: RequestId,
-    /// Whose it is.
+    /// The workspace of the caller.
     pub workspace: WorkspaceId,
     /// Kind of work.
     pub task: TaskId,
-    /// Conversation.
+    /// The session id.
     pub session: Option<SessionId>,
-    /// The session's pin, still to be verified.
-    pub pin_text: Option<String>,
-    /// The verified pin.
+    /// The session pin, not verified yet.
+    pub raw_pin: Option<String>,
+    /// The verified session pin.
     pub pin: Option<Pin>,
     /// Service and path, if it calls a plain service.
     pub service: Option<(VersionId, String)>,
-    /// The version that the caller insists on.
+    /// The version that the caller requests explicitly.
     pub version: Option<VersionId>,
-    /// Size of the prompt.
+    /// Estimated size of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Fingerprint of the cacheable prefix.
+    /// Hash that identifies the cacheable prefix.
     pub prefix: Option<u64>,
     /// Time allowed.
     pub deadline: Duration,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Marks the caller's own repeats.
+    /// Identifies repeated requests of the caller.
     pub idempotency_key: Option<String>,
-    /// Whether the caller wants tokens as they come.
+    /// Whether the caller requested a streamed answer.
     pub streaming: bool,
-    /// Whether the caller wants the usage event in its stream.
-    pub wants_usage: bool,
+    /// Whether the caller requested the usage event in the stream.
+    pub include_usage: bool,
     /// Content type.
     pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-impl TryFrom<RawRequest> for Incoming {
+impl TryFrom<RawRequest> for IncomingRequest {
     type Error = BadRequest;
 
     fn try_from(raw: RawRequest) -> Result<Self, BadRequest> {
@@ -98,22 +98,26 @@
             Some(_) => ChatFields::default(),
             None => ChatFields::try_from(raw.body.as_slice())?,
         };
-        let session = raw.text(SESSION, HEADER_LIMIT)?;
-        let prefix = prefix(session.as_deref(), &chat);
-        Ok(Incoming {
-            request: raw.text(REQUEST_ID, HEADER_LIMIT)?.unwrap_or_else(new_request_id),
-            task: raw.text(TASK, HEADER_LIMIT)?.unwrap_or_else(|| DEFAULT_TASK.to_owned()),
-            pin_text: raw.text(SESSION_PIN, PIN_LIMIT)?,
+        let session = raw.header_value(SESSION_HEADER, MAX_HEADER_VALUE_BYTES)?;
+        let prefix = prefix_hash(session.as_deref(), &chat);
+        Ok(IncomingRequest {
+            request: raw
+                .header_value(REQUEST_ID_HEADER, MAX_HEADER_VALUE_BYTES)?
+                .unwrap_or_else(new_request_id),
+            task: raw
+                .header_value(TASK_HEADER, MAX_HEADER_VALUE_BYTES)?
+                .unwrap_or_else(|| DEFAULT_TASK.to_owned()),
+            raw_pin: raw.header_value(SESSION_PIN_HEADER, MAX_PIN_BYTES)?,
             pin: None,
             deadline: raw.deadline()?,
             repeatable: raw.repeatable()?,
-            idempotency_key: raw.text(IDEMPOTENCY_KEY, HEADER_LIMIT)?,
+            idempotency_key: raw.header_value(IDEMPOTENCY_KEY_HEADER, MAX_HEADER_VALUE_BYTES)?,
             session,
             prefix,
             version: chat.version,
             prompt_tokens: chat.prompt_tokens,
             streaming: chat.streaming,
-            wants_usage: chat.wants_usage,
+            include_usage: chat.include_usage,
             workspace: raw.workspace,
             service: raw.service,
             content_type: raw.content_type,
@@ -123,7 +127,7 @@
 }
 
 impl RawRequest {
-    fn text(&self, name: &'static str, limit: usize) -> Result<Option<String>, BadRequest> {
+    fn header_value(&self, name: &'static str, limit: usize) -> Result<Option<String>, BadRequest> {
         let value = self.headers.iter().find(|(header, _)| *header == name);
         match value {
             None => Ok(None),
@@ -135,30 +139,30 @@
     }
 
     fn deadline(&self) -> Result<Duration, BadRequest> {
-        let Some(text) = self.text(DEADLINE_MS, HEADER_LIMIT)? else {
+        let Some(text) = self.header_value(DEADLINE_HEADER, MAX_HEADER_VALUE_BYTES)? else {
             return Ok(self.default_deadline);
         };
-        let ms = text.parse().ok().filter(|ms| (1..=LONGEST_DEADLINE_MS).contains(ms));
-        ms.map(Duration::from_millis).ok_or_else(|| BadRequest::Header(DEADLINE_MS.to_owned()))
+        let ms = text.parse().ok().filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
+        ms.map(Duration::from_millis).ok_or_else(|| BadRequest::Header(DEADLINE_HEADER.to_owned()))
     }
 
     fn repeatable(&self) -> Result<bool, BadRequest> {
-        match self.text(REPEATABLE, HEADER_LIMIT)?.as_deref() {
+        match self.header_value(REPEATABLE_HEADER, MAX_HEADER_VALUE_BYTES)?.as_deref() {
             None | Some("true") => Ok(true),
             Some("false") => Ok(false),
-            Some(_) => Err(BadRequest::Header(REPEATABLE.to_owned())),
+            Some(_) => Err(BadRequest::Header(REPEATABLE_HEADER.to_owned())),
         }
     }
 }
 
-/// What the decision needs of a chat's body.
+/// The fields of a chat body that the router needs.
 #[derive(Debug, Default)]
 struct ChatFields {
     version: Option<VersionId>,
     prompt_tokens: u64,
     streaming: bool,
-    wants_usage: bool,
-    /// Text of the system message, which callers of one kind share.
+    include_usage: bool,
+    /// The system message, shared by similar requests.
     system: Option<String>,
 }
 
@@ -176,28 +180,28 @@
             messages.iter().map(|message| message["content"].to_string().len()).sum();
         let system = messages.first().filter(|first| first["role"] == "system");
         Ok(ChatFields {
-            version: version(model)?,
+            version: parse_version(model)?,
             prompt_tokens: length as u64 / BYTES_PER_TOKEN,
             streaming: body.get("stream").and_then(Value::as_bool).unwrap_or(false),
-            wants_usage: body["stream_options"]["include_usage"].as_bool().unwrap_or(false),
+            include_usage: body["stream_options"]["include_usage"].as_bool().unwrap_or(false),
             system: system.map(|first| first["content"].to_string()),
         })
     }
 }
 
-/// `auto` leaves the choice open; otherwise a version must be named in full.
-fn version(model: &str) -> Result<Option<VersionId>, BadRequest> {
+/// Parses the model name: `auto`, or the full name of a version.
+fn parse_version(model: &str) -> Result<Option<VersionId>, BadRequest> {
     if model == ANY_MODEL {
         return Ok(None);
     }
-    if model.contains('/') && model.len() <= HEADER_LIMIT {
+    if model.contains('/') && model.len() <= MAX_HEADER_VALUE_BYTES {
         return Ok(Some(model.to_owned()));
     }
-    Err(BadRequest::UnknownModel(model.chars().take(HEADER_LIMIT).collect()))
+    Err(BadRequest::UnknownModel(model.chars().take(MAX_HEADER_VALUE_BYTES).collect()))
 }
 
-/// The session's turns share their beginning; so do requests with the same system message.
-fn prefix(session: Option<&str>, chat: &ChatFields) -> Option<u64> {
+/// Hashes the session id or the system message: requests that share one share a prefix.
+fn prefix_hash(session: Option<&str>, chat: &ChatFields) -> Option<u64> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let text = session.or(chat.system.as_deref())?;
     let mut hasher = DefaultHasher::new();
--- a/crates/entry/src/instances.rs
+++ b/crates/entry/src/instances.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's list of live and leaving instances.
+//! Client of the platform's list of instances.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
 const LIST_PATH: &str = "/v1/instances";
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which role runs on an instance.
+/// The role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -19,40 +19,40 @@
     Agent,
 }
 
-/// What the platform says of an instance.
+/// The state of an instance, as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It is up.
+    /// The instance is running.
     Live,
-    /// It will be gone soon.
+    /// The instance is draining and will stop soon.
     Leaving,
 }
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Instance {
-    /// Its name; for an agent that of its backend server.
+    /// Name of the instance; for an agent, the name of its backend server.
     pub instance: InstanceId,
-    /// What runs there.
+    /// Its role.
     pub role: Role,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where its pondwalk process listens.
+    /// Address on which its pondwalk process listens.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Whether it is live or draining.
     pub state: InstanceState,
 }
 
-/// Why the list could not be read.
+/// An error while reading the list of instances.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// The call failed.
+    /// The HTTP call failed or returned an invalid list.
     #[error("the instance list cannot be read: {0}")]
     Call(#[from] reqwest::Error),
 }
 
-/// Reads the list.
+/// Reads the list of instances from the platform service at `address`.
 pub async fn read_list(
     client: &reqwest::Client,
     address: SocketAddr,
--- a/crates/entry/src/lease.rs
+++ b/crates/entry/src/lease.rs
@@ -1,61 +1,63 @@
-//! A lease with a fence, and the time for which its holder may rely on it.
+//! A lease with a fencing token and a conservative validity period.
 //!
-//! The time is counted from before a renewal was sent, so the holder stops before the store can
-//! have given the lease to another, also when the answer was slow or the holder was paused.
+//! The validity is counted from the time before a renewal is sent. The holder therefore stops
+//! before the store can grant the lease to another process, even after a slow reply or a pause.
 
 use std::time::Duration;
 
 use pondwalk_store::{Change, Expect, Store, StoreError};
 use tokio::time::Instant;
 
-/// Part of the time to live that the holder does not rely on, for clocks that drift.
-const MARGIN: f64 = 0.2;
+/// Share of the time to live reserved for clock drift.
+const SAFETY_MARGIN: f64 = 0.2;
 
-/// A lease that this process holds, or held.
+/// A lease acquired by this process; it may have expired.
 #[derive(Debug)]
 pub struct FencedLease {
     store: Store,
-    lease: u64,
-    fence: u64,
+    lease_id: u64,
+    fencing_token: u64,
     ttl: Duration,
-    relied_on_until: Instant,
+    valid_until: Instant,
 }
 
 impl FencedLease {
-    /// Takes the lease named by `key`, unless another process holds it.
-    pub async fn take(store: &Store, key: &str, ttl: Duration) -> Result<Self, StoreError> {
+    /// Acquires the lease named `key`.
+    ///
+    /// Fails with [`StoreError::Conflict`] if another process holds it.
+    pub async fn acquire(store: &Store, key: &str, ttl: Duration) -> Result<Self, StoreError> {
         if store.get(key).await?.is_some() {
             return Err(StoreError::Conflict);
         }
         let sent = Instant::now();
-        let lease = store.grant_lease(ttl).await?;
+        let lease_id = store.grant_lease(ttl).await?;
         let change = Change {
             key: key.to_owned(),
             value: Vec::new(),
             expect: Expect::Absent,
-            lease: Some(lease),
+            lease: Some(lease_id),
         };
-        // NB: the store's revision only grows, so a later holder's fence is higher.
-        let fence = store.commit(vec![change]).await?;
-        let relied_on_until = sent + ttl.mul_f64(1.0 - MARGIN);
-        Ok(FencedLease { store: store.clone(), lease, fence, ttl, relied_on_until })
+        // NB: revisions of the store increase, so later holders have higher fencing tokens.
+        let fencing_token = store.commit(vec![change]).await?;
+        let valid_until = sent + ttl.mul_f64(1.0 - SAFETY_MARGIN);
+        Ok(FencedLease { store: store.clone(), lease_id, fencing_token, ttl, valid_until })
     }
 
-    /// Renews the lease.
+    /// Renews the lease; fails with [`StoreError::LeaseLapsed`] if it has expired.
     pub async fn renew(&mut self) -> Result<(), StoreError> {
         let sent = Instant::now();
-        self.store.renew_lease(self.lease).await?;
-        self.relied_on_until = sent + self.ttl.mul_f64(1.0 - MARGIN);
+        self.store.renew_lease(self.lease_id).await?;
+        self.valid_until = sent + self.ttl.mul_f64(1.0 - SAFETY_MARGIN);
         Ok(())
     }
 
-    /// The fence that orders given under the lease carry.
-    pub fn fence(&self) -> u64 {
-        self.fence
+    /// The fencing token of orders sent under the lease.
+    pub fn fencing_token(&self) -> u64 {
+        self.fencing_token
     }
 
-    /// Time for which the lease is surely still held; zero once that is not sure.
+    /// Time for which the lease is certainly held; zero if it may have expired.
     pub fn valid_for(&self) -> Duration {
-        self.relied_on_until.saturating_duration_since(Instant::now())
+        self.valid_until.saturating_duration_since(Instant::now())
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,17 +1,19 @@
-//! The entry: the process that callers reach.
+//! The entry: the process that serves callers.
 //!
-//! It checks who calls, decides which version and backend server answer, hands the work to that
-//! server's agent, streams or holds the answer, and bills it once. Nothing that must last is kept
-//! here: sessions carry their own pins, and bills are held by an agent too until they are durable.
+//! It authenticates callers, routes each request to a version and backend server, runs it through
+//! the server's agent, streams or holds the answer, and bills it once. It keeps no durable state:
+//! sessions carry their own pins, and bills are copied to an agent until they are stored.
 
+mod agent_links;
+mod agent_run;
 mod answer;
 mod bills;
 mod calls;
 mod claim;
-mod conductor;
+mod configuration_watcher;
 mod control;
+mod coordinator;
 mod core;
-mod fleet;
 mod http;
 mod incoming;
 pub mod instances;
@@ -21,20 +23,18 @@
 mod rating;
 mod serve;
 mod spend;
-mod step;
-mod watcher;
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use cadence::StatsdClient;
 use pondwalk_config::EntrySettings;
 use pondwalk_store::Store;
-use pondwalk_threads::{ControlThread, StartError, traffic_threads};
+use pondwalk_threads::{ControlThread, StartError, traffic_runtime};
 use tokio::{runtime::Runtime, sync::oneshot, task::JoinHandle};
 
 use crate::core::Core;
 
-/// A running entry; dropping it stops it at once, as a failure would.
+/// A running entry; dropping it stops it immediately, without draining.
 #[derive(Debug)]
 pub struct RunningEntry {
     address: SocketAddr,
@@ -46,14 +46,14 @@
 }
 
 impl RunningEntry {
-    /// Starts an entry on threads of its own.
+    /// Starts an entry on its own threads.
     pub fn start(
         settings: EntrySettings,
         store: Store,
         metrics: StatsdClient,
     ) -> Result<Self, StartError> {
         let address = settings.listen;
-        let traffic = traffic_threads("entry-traffic", settings.threads)?;
+        let traffic = traffic_runtime("entry-traffic", settings.threads)?;
         let guard = traffic.enter();
         let core = Arc::new(Core::new(settings, store, metrics, traffic.handle().clone()));
         drop(guard);
@@ -74,39 +74,39 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a configuration is in force and some server is connected.
+    /// Whether a configuration is installed, an agent is connected, and the entry is not draining.
     pub fn is_ready(&self) -> bool {
         self.core.is_ready()
     }
 
-    /// Tells the balancer to send no more, finishes what is under way, and stops.
+    /// Reports the entry as not ready, finishes the requests in flight, and stops.
     ///
-    /// Returns whether all of it ended within the settings' limit.
+    /// Returns whether all requests ended and all bills were stored within the drain limit.
     pub async fn drain(mut self) -> bool {
         self.core.begin_drain();
         tokio::time::sleep(self.core.settings.unready_notice).await;
         let limit = self.core.settings.limits.drain;
         if let Some(close) = self.close.take() {
-            // NB: the server may have failed already, and then there is nothing to close.
+            // NB: fails only if the server has already stopped.
             let _ = close.send(());
         }
         let ended = match self.server.take() {
             Some(server) => tokio::time::timeout(limit, server).await.is_ok(),
             None => true,
         };
-        let billed = tokio::time::timeout(limit, self.write_bills()).await.is_ok();
-        let Core { slices, router, store, .. } = &*self.core;
-        slices.give_back_all(router, store).await;
+        let billed = tokio::time::timeout(limit, self.wait_for_bills()).await.is_ok();
+        let Core { spend_slices, router, store, .. } = &*self.core;
+        spend_slices.release_all(router, store).await;
         self.stop();
         ended && billed
     }
 
-    async fn write_bills(&self) {
+    async fn wait_for_bills(&self) {
         const POLL: Duration = Duration::from_millis(20);
         while self.core.bills.backlog() > 0 {
             tokio::time::sleep(POLL).await;
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -1,8 +1,8 @@
-//! The connection to one agent: calls out, frames in.
+//! The connection to one agent: outgoing calls and incoming frames.
 //!
-//! One call for frames is always waiting at the agent. When the connection is lost, runs stay
-//! open while it is made again, and the agent returns every frame that was not acknowledged; only
-//! an agent that was replaced, or cannot be reached for too long, ends them.
+//! One long-polling call for frames is always pending. When the connection is lost, attempts stay
+//! open during the reconnection, and the agent then returns all unacknowledged frames. Attempts
+//! fail only if the agent process was replaced or stays unreachable for too long.
 
 use std::{
     collections::HashMap,
@@ -22,39 +22,39 @@
 use tokio::{sync::mpsc, task::AbortHandle, time::Instant};
 
 use crate::{
-    calls::{call_context, context},
+    calls::{call_context, context_with_timeout},
     core::Core,
 };
 
-/// Longest wait of one call for frames.
-const TAKE_WAIT: Duration = Duration::from_secs(5);
-/// Time on top of that before the connection is taken for lost.
-const TAKE_MARGIN: Duration = Duration::from_secs(2);
-/// Time without a connection after which open runs are given up.
-const LOST_AFTER: Duration = Duration::from_secs(3);
-/// First pause before a connection is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest such pause.
-const RETRY_PAUSE_LIMIT: Duration = Duration::from_secs(2);
-
-/// Where the frames of one attempt go.
+/// Wait of one long-polling call for frames.
+const FETCH_WAIT: Duration = Duration::from_secs(5);
+/// Time added to [`FETCH_WAIT`] after which the call times out.
+const FETCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Time without a connection after which open attempts fail.
+const AGENT_LOST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Initial delay before reconnecting; doubles with each attempt.
+const INITIAL_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay before reconnecting.
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Receiver of the frames of one attempt.
 pub type Frames = mpsc::UnboundedReceiver<FrameKind>;
 
 #[derive(Debug, Default)]
 struct State {
     client: Option<AgentClient>,
-    agent: Incarnation,
+    agent_incarnation: Incarnation,
     acknowledged: u64,
     attempts: HashMap<AttemptId, mpsc::UnboundedSender<FrameKind>>,
-    lost_since: Option<Instant>,
+    disconnected_since: Option<Instant>,
     generation: Generation,
     versions: Vec<VersionId>,
     hosting_changes: u32,
 }
 
-/// A link to one agent.
+/// The connection to one agent.
 #[derive(Debug)]
-pub struct Link {
+pub struct AgentLink {
     server: ServerId,
     address: SocketAddr,
     core: Weak<Core>,
@@ -62,17 +62,17 @@
     task: Mutex<Option<AbortHandle>>,
 }
 
-impl Link {
-    /// Opens a link and keeps it connected until it is closed.
+impl AgentLink {
+    /// Opens a link that reconnects until it is closed.
     pub fn open(core: &Arc<Core>, server: ServerId, address: SocketAddr) -> Arc<Self> {
-        let link = Arc::new(Link {
+        let link = Arc::new(AgentLink {
             server,
             address,
             core: Arc::downgrade(core),
             state: Mutex::default(),
             task: Mutex::default(),
         });
-        let task = core.traffic.spawn(link.clone().keep());
+        let task = core.traffic.spawn(link.clone().maintain_connection());
         *lock(&link.task) = Some(task.abort_handle());
         link
     }
@@ -82,102 +82,102 @@
         self.address
     }
 
-    /// The agent's server.
+    /// The agent's backend server.
     pub fn server(&self) -> &ServerId {
         &self.server
     }
 
-    /// Generation in force at the agent, as last heard.
+    /// Configuration generation of the agent, as last reported.
     pub fn generation(&self) -> Generation {
         lock(&self.state).generation
     }
 
-    /// Versions hosted, as last heard.
+    /// Versions hosted by the server, as last reported.
     pub fn versions(&self) -> Vec<VersionId> {
         lock(&self.state).versions.clone()
     }
 
-    /// Whether calls can be made.
+    /// Whether the link is connected.
     pub fn is_connected(&self) -> bool {
         lock(&self.state).client.is_some()
     }
 
-    /// Whether attempts are open.
-    pub fn is_busy(&self) -> bool {
+    /// Whether any attempt is open.
+    pub fn has_open_attempts(&self) -> bool {
         !lock(&self.state).attempts.is_empty()
     }
 
-    /// Closes the link; open attempts end.
+    /// Closes the link and fails its open attempts.
     pub fn close(&self) {
         if let Some(task) = lock(&self.task).take() {
             task.abort();
         }
-        self.lose_attempts();
+        self.fail_attempts();
         lock(&self.state).client = None;
     }
 
-    /// Expects frames for an attempt.
-    pub fn expect(&self, attempt: AttemptId) -> Frames {
+    /// Registers an attempt and returns the receiver of its frames.
+    pub fn register_attempt(&self, attempt: AttemptId) -> Frames {
         let (sender, frames) = mpsc::unbounded_channel();
         lock(&self.state).attempts.insert(attempt, sender);
         frames
     }
 
-    /// Expects no more frames for an attempt; those that come are late and dropped.
-    pub fn forget(&self, attempt: AttemptId) {
+    /// Unregisters an attempt; frames that arrive later are dropped.
+    pub fn unregister_attempt(&self, attempt: AttemptId) {
         lock(&self.state).attempts.remove(&attempt);
     }
 
     /// Asks the agent to start a run.
     ///
-    /// `None` means that there was no connection, so nothing was sent.
+    /// Returns `None` if the link is not connected, so that nothing was sent.
     pub async fn start(&self, request: StartRequest) -> Option<Result<StartReply, RpcError>> {
         let client = lock(&self.state).client.clone()?;
         let reply = client.start(call_context(), request).await;
         if let Ok(reply) = &reply {
-            self.absorb(&reply.snapshot);
+            self.apply_snapshot(&reply.snapshot);
         }
         Some(reply)
     }
 
-    /// Tells the agent that nobody wants an answer any more.
+    /// Asks the agent to cancel a run.
     pub async fn cancel(&self, run: RunKey) {
         if let Some(client) = self.client() {
-            // NB: an agent that cannot be told finds out by itself when it is not asked for frames.
+            // NB: an unreachable agent cancels the run itself when the entry stops fetching frames.
             let _ = client.cancel(call_context(), run).await;
         }
     }
 
-    /// Hands over a newer configuration; tells whether the agent has it.
+    /// Sends a configuration; returns whether the agent now has it or a newer one.
     pub async fn configure(&self, configuration: Configuration) -> bool {
         let Some(client) = self.client() else {
             return false;
         };
-        let wanted = configuration.generation;
-        let reached = client.configure(call_context(), configuration).await;
-        if let Ok(generation) = reached {
+        let expected = configuration.generation;
+        let installed = client.configure(call_context(), configuration).await;
+        if let Ok(generation) = installed {
             lock(&self.state).generation = generation;
         }
-        reached.is_ok_and(|generation| generation >= wanted)
+        installed.is_ok_and(|generation| generation >= expected)
     }
 
-    /// A client for other calls, if there is a connection.
+    /// A client for other calls, if the link is connected.
     pub fn client(&self) -> Option<AgentClient> {
         lock(&self.state).client.clone()
     }
 
-    async fn keep(self: Arc<Self>) {
-        let mut pause = RETRY_PAUSE;
+    async fn maintain_connection(self: Arc<Self>) {
+        let mut backoff = INITIAL_RECONNECT_BACKOFF;
         loop {
             if let Some(status) = self.connect().await {
-                pause = RETRY_PAUSE;
+                backoff = INITIAL_RECONNECT_BACKOFF;
                 spdlog::info!("agent connected", kv: { server = self.server.as_str() });
-                self.welcome(&status);
+                self.apply_status(&status);
                 self.fetch_frames().await;
             }
-            self.disconnected();
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(RETRY_PAUSE_LIMIT);
+            self.on_disconnected();
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
         }
     }
 
@@ -185,10 +185,11 @@
         let client = connect(self.address).await.ok()?;
         let status = client.status(call_context()).await.ok()?;
         let mut state = lock(&self.state);
-        let replaced = state.agent != 0 && state.agent != status.snapshot.incarnation;
+        let replaced =
+            state.agent_incarnation != 0 && state.agent_incarnation != status.snapshot.incarnation;
         state.client = Some(client);
-        state.lost_since = None;
-        state.agent = status.snapshot.incarnation;
+        state.disconnected_since = None;
+        state.agent_incarnation = status.snapshot.incarnation;
         if replaced {
             state.acknowledged = 0;
             state.attempts.clear();
@@ -196,7 +197,7 @@
         Some(status)
     }
 
-    fn welcome(&self, status: &AgentStatus) {
+    fn apply_status(&self, status: &AgentStatus) {
         let Some(core) = self.core.upgrade() else {
             return;
         };
@@ -214,16 +215,19 @@
         };
         let now = core.now();
         lock(&core.router).update_server(now, &report);
-        self.absorb(&status.snapshot);
+        self.apply_snapshot(&status.snapshot);
     }
 
     async fn fetch_frames(&self) {
-        while let Some((client, request)) = self.next_take() {
-            match client.take(context(TAKE_WAIT + TAKE_MARGIN), request).await {
+        while let Some((client, request)) = self.next_fetch() {
+            match client
+                .take(context_with_timeout(FETCH_WAIT + FETCH_TIMEOUT_MARGIN), request)
+                .await
+            {
                 Ok(batch) => {
                     let changed = self.hosting_changed(&batch.snapshot);
                     self.dispatch(batch);
-                    if changed && !self.ask_hosting(&client).await {
+                    if changed && !self.refresh_status(&client).await {
                         return;
                     }
                 }
@@ -236,20 +240,20 @@
         lock(&self.state).hosting_changes != snapshot.hosting_changes
     }
 
-    /// Asks again what the server hosts; tells whether the agent answered.
-    async fn ask_hosting(&self, client: &AgentClient) -> bool {
+    /// Fetches and applies the status of the agent; returns whether the agent answered.
+    async fn refresh_status(&self, client: &AgentClient) -> bool {
         match client.status(call_context()).await {
-            Ok(status) => self.welcome(&status),
+            Ok(status) => self.apply_status(&status),
             Err(_) => return false,
         }
         true
     }
 
-    fn next_take(&self) -> Option<(AgentClient, FetchFrames)> {
+    fn next_fetch(&self) -> Option<(AgentClient, FetchFrames)> {
         let entry = self.core.upgrade()?.incarnation;
         let state = lock(&self.state);
         let acknowledged = state.acknowledged;
-        Some((state.client.clone()?, FetchFrames { entry, acknowledged, wait: TAKE_WAIT }))
+        Some((state.client.clone()?, FetchFrames { entry, acknowledged, wait: FETCH_WAIT }))
     }
 
     fn dispatch(&self, batch: FrameBatch) {
@@ -267,11 +271,11 @@
         if let Some(core) = self.core.upgrade() {
             (0..late).for_each(|_| core.count("frames.late"));
         }
-        self.absorb(&batch.snapshot);
+        self.apply_snapshot(&batch.snapshot);
     }
 
-    /// Takes in what the agent says of itself.
-    fn absorb(&self, snapshot: &AgentSnapshot) {
+    /// Applies the state that the agent reported about itself.
+    fn apply_snapshot(&self, snapshot: &AgentSnapshot) {
         lock(&self.state).generation = snapshot.generation;
         let Some(core) = self.core.upgrade() else {
             return;
@@ -287,27 +291,27 @@
         }
     }
 
-    fn disconnected(&self) {
+    fn on_disconnected(&self) {
         let lost = {
             let mut state = lock(&self.state);
             if state.client.take().is_some() {
-                spdlog::warn!("agent lost", kv: { server = self.server.as_str() });
+                spdlog::warn!("connection to agent lost", kv: { server = self.server.as_str() });
                 if let Some(core) = self.core.upgrade() {
                     lock(&core.router).deactivate_server(&self.server);
                 }
             }
-            let since = *state.lost_since.get_or_insert_with(Instant::now);
-            since.elapsed() > LOST_AFTER
+            let since = *state.disconnected_since.get_or_insert_with(Instant::now);
+            since.elapsed() > AGENT_LOST_TIMEOUT
         };
         if lost {
-            self.lose_attempts();
+            self.fail_attempts();
         }
     }
 
-    fn lose_attempts(&self) {
+    fn fail_attempts(&self) {
         let lost: Vec<_> = lock(&self.state).attempts.drain().collect();
         for (_, frames) in lost {
-            // NB: an attempt that has ended meanwhile needs no news.
+            // NB: fails only if the attempt has ended.
             let _ = frames.send(FrameKind::Failed(Refusal::ContactLost));
         }
     }
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -1,20 +1,20 @@
-//! Client of the service that rates answers.
+//! Client of the rating service.
 
 use std::{net::SocketAddr, time::Duration};
 
 use pondwalk_types::{TaskId, VersionId};
 use serde::{Deserialize, Serialize};
 
-/// Longest wait for a rating that nobody holds an answer for.
+/// Timeout of ratings of delivered answers.
 pub const RATING_TIMEOUT: Duration = Duration::from_secs(10);
 const RATE_PATH: &str = "/v1/rate";
 
-/// What is to be rated.
+/// A request to rate an answer.
 #[derive(Debug, Clone, Serialize)]
 pub struct RatingRequest {
     /// Kind of work.
     pub task: TaskId,
-    /// The version that answered.
+    /// The version that produced the answer.
     pub version: VersionId,
     /// The caller's request body.
     pub prompt: String,
@@ -41,7 +41,7 @@
         RatingClient { url, client: reqwest::Client::new() }
     }
 
-    /// The rating of an answer from 0 to 1, or `None` if the service gives none within `wait`.
+    /// Rates an answer from 0 to 1; `None` if the service fails or takes longer than `wait`.
     pub async fn rate(&self, request: &RatingRequest, wait: Duration) -> Option<f64> {
         let call = async {
             let reply = self.client.post(&self.url).json(request).send().await.ok()?;
--- a/crates/entry/src/spend.rs
+++ b/crates/entry/src/spend.rs
@@ -1,4 +1,4 @@
-//! This process's slices of the workspaces' spend caps.
+//! Slices of the workspaces' spend caps allocated to this process.
 
 use std::{
     collections::HashMap,
@@ -15,66 +15,67 @@
 
 const SECONDS_PER_DAY: u64 = 86_400;
 
-/// Slices taken, by workspace.
+/// Allocated slices by workspace.
 #[derive(Debug, Default)]
-pub struct Slices {
-    // NB: held over calls to the store, so that one request takes a slice and others wait for it.
-    taken: Mutex<HashMap<WorkspaceId, Taken>>,
+pub struct SpendSlices {
+    // NB: locked during calls to the store, so that concurrent requests allocate only one slice.
+    allocations: Mutex<HashMap<WorkspaceId, Allocation>>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Taken {
+struct Allocation {
     day: u64,
-    /// What this process may have spent since its start.
+    /// Spend limit of this process, counted since its start.
     limit: f64,
-    /// What it had spent when the day began.
+    /// Amount spent before the current day.
     spent_before: f64,
-    /// Whether the day's cap has been given out to the last slice.
-    used_up: bool,
+    /// Whether the cap of the day is fully allocated.
+    exhausted: bool,
 }
 
-impl Slices {
-    /// Takes a further slice for a workspace whose own is more than half used.
-    pub async fn top_up(
+impl SpendSlices {
+    /// Allocates a further slice for a workspace if less than half a slice is left.
+    pub async fn refill(
         &self,
         workspace: &WorkspaceId,
         cap: f64,
         router: &sync::Mutex<Router>,
         store: &Store,
     ) -> Result<(), StoreError> {
-        let enough = || {
-            let left = lock(router).remaining_spend(workspace);
-            left.is_some_and(|left| left >= cap / SLICES / 2.0)
+        let has_enough = || {
+            let remaining = lock(router).remaining_spend(workspace);
+            remaining.is_some_and(|remaining| remaining >= cap / SLICES / 2.0)
         };
-        if enough() {
+        if has_enough() {
             return Ok(());
         }
-        let mut slices = self.taken.lock().await;
-        let taken = slices.entry(workspace.clone()).or_default();
+        let mut allocations = self.allocations.lock().await;
+        let allocation = allocations.entry(workspace.clone()).or_default();
         let day = today();
         let spent = lock(router).spent(workspace);
-        if taken.day != day {
-            *taken = Taken { day, limit: spent, spent_before: spent, used_up: false };
+        if allocation.day != day {
+            *allocation = Allocation { day, limit: spent, spent_before: spent, exhausted: false };
         }
-        if taken.used_up || enough() {
+        if allocation.exhausted || has_enough() {
             return Ok(());
         }
         let slice = allocate_slice(store, workspace, day, cap, rand::random()).await?;
-        taken.used_up = slice == 0.0;
-        taken.limit += slice;
-        lock(router).set_spend_slice(workspace, Some(taken.limit));
+        allocation.exhausted = slice == 0.0;
+        allocation.limit += slice;
+        lock(router).set_spend_slice(workspace, Some(allocation.limit));
         Ok(())
     }
 
-    /// Gives back what this process has not spent, before a planned stop ends.
-    pub async fn give_back_all(&self, router: &sync::Mutex<Router>, store: &Store) {
-        let mut slices = self.taken.lock().await;
-        for (workspace, taken) in slices.drain() {
-            let unspent = taken.limit - lock(router).spent(&workspace).max(taken.spent_before);
-            if unspent > 0.0 && taken.day == today() {
-                // NB: a slice that cannot be given back is lost to its day.
-                let _ =
-                    release_unspent(store, &workspace, taken.day, unspent, rand::random()).await;
+    /// Releases the unspent amounts before a planned stop.
+    pub async fn release_all(&self, router: &sync::Mutex<Router>, store: &Store) {
+        let mut allocations = self.allocations.lock().await;
+        for (workspace, allocation) in allocations.drain() {
+            let unspent =
+                allocation.limit - lock(router).spent(&workspace).max(allocation.spent_before);
+            if unspent > 0.0 && allocation.day == today() {
+                // NB: an amount that cannot be released stays unused for the day.
+                let _ = release_unspent(store, &workspace, allocation.day, unspent, rand::random())
+                    .await;
             }
         }
     }
--- a/crates/entry/tests/leases.rs
+++ b/crates/entry/tests/fenced_lease.rs
@@ -1,4 +1,4 @@
-//! A holder stops relying on its lease before the store can give it to another.
+//! The holder of a lease stops relying on it before the store can grant it to another process.
 
 use std::time::Duration;
 
@@ -14,42 +14,45 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_holds_it_at_a_time() {
+async fn only_one_process_holds_the_lease() {
     let kv = KvStore::default();
-    let first = FencedLease::take(&store(&kv), KEY, TTL).await.expect("free");
+    let first = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease is free");
     assert!(!first.valid_for().is_zero());
-    let second = FencedLease::take(&store(&kv), KEY, TTL).await;
+    let second = FencedLease::acquire(&store(&kv), KEY, TTL).await;
     assert_eq!(second.err(), Some(StoreError::Conflict));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_paused_holder_wakes_to_a_lease_it_does_not_rely_on() {
+async fn paused_holder_does_not_rely_on_an_expired_lease() {
     let kv = KvStore::default();
-    let mut first = FencedLease::take(&store(&kv), KEY, TTL).await.expect("free");
+    let mut first = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease is free");
     tokio::time::advance(Duration::from_millis(8_500)).await;
-    assert!(first.valid_for().is_zero(), "before the store lets go of it");
-    let early = FencedLease::take(&store(&kv), KEY, TTL).await;
+    assert!(first.valid_for().is_zero(), "invalid before the store releases the lease");
+    let early = FencedLease::acquire(&store(&kv), KEY, TTL).await;
     assert_eq!(early.err(), Some(StoreError::Conflict));
     tokio::time::advance(Duration::from_secs(2)).await;
-    let second = FencedLease::take(&store(&kv), KEY, TTL).await.expect("lapsed");
-    assert!(second.fence() > first.fence());
+    let second = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease has lapsed");
+    assert!(second.fencing_token() > first.fencing_token());
     assert_eq!(first.renew().await, Err(StoreError::LeaseLapsed));
     assert!(first.valid_for().is_zero());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_answer_shortens_the_time_and_does_not_lengthen_it() {
+async fn slow_renewal_does_not_extend_the_validity() {
     let kv = KvStore::default();
-    let mut lease = FencedLease::take(&store(&kv), KEY, TTL).await.expect("free");
+    let mut lease = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease is free");
     kv.set_faults(KvFaults { delay: Duration::from_secs(3), ..KvFaults::default() });
-    lease.renew().await.expect("renewed");
-    assert!(lease.valid_for() <= Duration::from_secs(5), "counted from before it was sent");
+    lease.renew().await.expect("the lease is renewed");
+    assert!(
+        lease.valid_for() <= Duration::from_secs(5),
+        "the validity is counted from before the renewal was sent"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_the_time_runs_out() {
+async fn lease_expires_while_the_store_is_unreachable() {
     let kv = KvStore::default();
-    let mut lease = FencedLease::take(&store(&kv), KEY, TTL).await.expect("free");
+    let mut lease = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease is free");
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
     assert_eq!(lease.renew().await, Err(StoreError::Unreachable));
     tokio::time::advance(TTL).await;
--- a/crates/threads/src/lib.rs
+++ b/crates/threads/src/lib.rs
@@ -28,7 +28,7 @@
 }
 
 /// Starts `threads` traffic threads whose names begin with `name`.
-pub fn traffic_threads(name: &str, threads: usize) -> Result<Runtime, StartError> {
+pub fn traffic_runtime(name: &str, threads: usize) -> Result<Runtime, StartError> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
