--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -10,7 +10,7 @@
 
 use pondwalk_types::{MAX_SERVER_BACKOFF, Refusal, WorkspaceId};
 
-use crate::direct::{Granter, PermitBuckets, ServerLimit};
+use crate::direct::{GranterRole, PermitBuckets, RateLimit};
 
 /// A request for a slot.
 #[derive(Debug, Clone, PartialEq)]
@@ -72,7 +72,7 @@
     /// End of the backoff that the server requested.
     backoff_until: Duration,
     /// The rate limit that the server announced, if any.
-    rate_limit: Option<ServerLimit>,
+    rate_limit: Option<RateLimit>,
     permits: PermitBuckets,
 }
 
@@ -143,7 +143,7 @@
     /// Sets or lifts the rate limit that the server announced.
     ///
     /// The agent is the only sender to the server, so the whole limit is available to it.
-    pub fn set_rate_limit(&mut self, limit: Option<ServerLimit>) {
+    pub fn set_rate_limit(&mut self, limit: Option<RateLimit>) {
         self.rate_limit = limit;
     }
 
@@ -151,8 +151,9 @@
     fn take_permit(&mut self, now: Duration) -> Result<(), Duration> {
         /// Key of the only server in the buckets.
         const SERVER_NAME: &str = "";
-        self.rate_limit
-            .map_or(Ok(()), |limit| self.permits.take(SERVER_NAME, limit, Granter::First, now))
+        self.rate_limit.map_or(Ok(()), |limit| {
+            self.permits.take(SERVER_NAME, limit, GranterRole::Primary, now)
+        })
     }
 
     /// Records the end of a running request and dispatches the next one.
--- a/crates/direct/src/http/refuse.rs
+++ b/crates/direct/src/http/refuse.rs
@@ -6,7 +6,9 @@
     Response,
     header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER},
 };
-use pondwalk_decide::direct::{Opening, Shut, Standing, spread_of};
+use pondwalk_decide::direct::{
+    NextAvailability, QuarantineStatus, UnavailableReason, backoff_jitter,
+};
 use rand::Rng;
 use serde::Serialize;
 
@@ -109,19 +111,23 @@
         }
     }
 
-    fn shut(&self, Opening { at, shut }: Opening) -> Refusal {
+    fn shut(&self, NextAvailability { at, reason: shut }: NextAvailability) -> Refusal {
         let available_in = at.saturating_sub(self.core.clock.now());
         match shut {
-            Shut::Cold => Refusal::AllCold { available_in },
-            Shut::Backoff => Refusal::AllBackingOff { available_in: self.spread(available_in) },
-            Shut::Limited => Refusal::AllLimited { available_in: self.spread(available_in) },
+            UnavailableReason::Cold => Refusal::AllCold { available_in },
+            UnavailableReason::Backoff => {
+                Refusal::AllBackingOff { available_in: self.spread(available_in) }
+            }
+            UnavailableReason::Limited => {
+                Refusal::AllLimited { available_in: self.spread(available_in) }
+            }
         }
     }
 
     /// When callers that hear of the same opening come back, one a little later than another.
     fn spread(&self, available_in: Duration) -> Duration {
         let drawn = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
-        available_in + spread_of(available_in.max(LEAST_SPREAD_OVER), drawn)
+        available_in + backoff_jitter(available_in.max(LEAST_SPREAD_OVER), drawn)
     }
 
     pub(super) fn refuse(&self, refusal: Refusal) -> Response<AnswerBody> {
@@ -131,7 +137,7 @@
         } else {
             refusal
         };
-        let is_held = || self.core.quarantine_status(&self.job) != Standing::Free;
+        let is_held = || self.core.quarantine_status(&self.job) != QuarantineStatus::Unrestricted;
         let refusal = match refusal {
             Refusal::OutcomeUnknown if is_held() => Refusal::CrashedServers,
             refusal => refusal,
