--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -195,9 +195,8 @@
 /// otherwise no request would be answered and changes would reach no entry.
 fn stale_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let max_peer_confirmation_age =
-        core.settings.membership.times.max_peer_confirmation_age + state.store_latency;
-    state.freshness.confirmed_at().map(|at| at + max_peer_confirmation_age)
+    let max_age = core.settings.membership.times.max_peer_confirmation_age + state.store_latency;
+    state.freshness.confirmed_at().map(|at| at + max_age)
 }
 
 /// Whether a response now would give the requester anything new.
