--- a/crates/decide/src/direct.rs
+++ b/crates/decide/src/direct.rs
@@ -20,7 +20,7 @@
 //!    shared part. Servers of an evacuated data centre get nothing; cold servers get this entry's
 //!    share of their bound ([`BoundSharing`]); servers that report a rate limit get the requests
 //!    that have a permit ([`PermitBuckets`]). The request gets a rank in the server's queue,
-//!    shortest first ([`queue_rank`]).
+//!    shortest first ([`queue_rank()`]).
 //! 5. **Pass the answer on, or ask a larger model.** [`Cascade::next_model`] compares the value of
 //!    the current answer with that of each larger model's: the probability that it suffices, given
 //!    all confidences so far, less its price, the server time at its current price, and the loss by
--- a/crates/decide/src/direct/cascade.rs
+++ b/crates/decide/src/direct/cascade.rs
@@ -126,7 +126,7 @@
         confidences: &[(RouteModelIndex, u8)],
         costs: &[ModelCost],
     ) -> f64 {
-        let service_model = |number: RouteModelIndex| costs[usize::from(number)].model;
+        let service_model = |index: RouteModelIndex| costs[usize::from(index)].model;
         let expected = confidences.iter().map(|(from, confidence)| {
             f64::from(*confidence) + self.lift(service_model(*from), service_model(model))
         });
--- a/crates/decide/src/direct/fleet.rs
+++ b/crates/decide/src/direct/fleet.rs
@@ -131,7 +131,7 @@
             self.servers.iter_mut().flatten().find(|server| server.info.id == info.id);
         if let Some(server) = known_server {
             let reported = ServerIncarnation::of(&info);
-            let (mark, notice) = match server.incarnation.matches(&reported) {
+            let (incarnation, notice) = match server.incarnation.matches(&reported) {
                 true => (
                     server.incarnation.clone().updated_with(reported),
                     std::mem::take(&mut server.notice),
@@ -144,16 +144,16 @@
             } else {
                 server.apply_info(info);
             }
-            server.incarnation = mark;
+            server.incarnation = incarnation;
             server.notice = notice;
             return;
         }
         self.incarnations += 1;
         let restored = self.restore_notice(&info);
         let mut server = Server::new(info, self.incarnations);
-        if let Some((mark, notice)) = restored {
+        if let Some((incarnation, notice)) = restored {
             self.may_have_rate_limits |= notice.rate_limit().is_some();
-            server.incarnation = mark.updated_with(server.incarnation);
+            server.incarnation = incarnation.updated_with(server.incarnation);
             server.notice = notice;
         }
         match self.servers.iter_mut().find(|slot| slot.is_none()) {
@@ -177,11 +177,11 @@
 
     /// Admits a version again, since it is to be rolled out again.
     pub fn readmit_version(&mut self, version: &str) {
-        self.excluded_versions.retain(|bad| bad != version);
+        self.excluded_versions.retain(|excluded| excluded != version);
     }
 
     fn is_excluded(&self, version: &str) -> bool {
-        self.excluded_versions.iter().any(|bad| bad == version)
+        self.excluded_versions.iter().any(|excluded| excluded == version)
     }
 
     /// Whether a server may get requests under a version rule.
@@ -287,16 +287,15 @@
     ) -> Option<Candidate> {
         let shared = shared_part(request.parts);
         let hashed_part = shared.filter(|_| self.scoring.named_servers);
-        let preferred =
-            hashed_part.and_then(|part_id| self.preferred_server(part_id.id, request, now));
+        let preferred = hashed_part.and_then(|part| self.preferred_server(part.id, request, now));
         let uncached_ms_per_token = PREFERRED_CACHE_PROBABILITY * request.prefill_ms_per_token
             + RECOMPUTE_MS_PER_1000_TOKENS / 1_000.0;
         let mut best: Option<Candidate> = None;
         for (index, server) in self.servers.iter().enumerate() {
             let Some(server) = server else { continue };
-            let open = self.may_serve(server, request.versions, now)
+            let is_available = self.may_serve(server, request.versions, now)
                 && self.has_room(server, permit_rule, now);
-            if !open || !request.allows(&server.info) {
+            if !is_available || !request.allows(&server.info) {
                 continue;
             }
             let prefill_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
@@ -309,7 +308,7 @@
                 cost += tie_breaker();
             }
             if preferred.is_some_and(|preferred| preferred != index) {
-                let tokens = shared.map_or(0, |part_id| part_id.tokens);
+                let tokens = shared.map_or(0, |part| part.tokens);
                 cost += f64::from(tokens) * uncached_ms_per_token;
             }
             if best.as_ref().is_none_or(|best| cost < best.cost) {
@@ -348,7 +347,7 @@
         }
     }
 
-    /// Records an answer of the server; `failed` says whether it was a failure of the server's own.
+    /// Records an answer of the server; `failed` says whether it was a failure of the server itself.
     pub fn record_outcome(&mut self, ticket: &Ticket, failed: bool, now: Duration) {
         if let Some(server) = self.server_of(ticket) {
             server.record_outcome(failed, now);
--- a/crates/decide/src/direct/fleet/availability.rs
+++ b/crates/decide/src/direct/fleet/availability.rs
@@ -27,20 +27,20 @@
 /// Why a server could not be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnreachableReason {
-    /// Nothing listens at its address.
+    /// Nothing listens at the server's address.
     Refused,
-    /// It did not answer in time.
+    /// The server did not answer in time.
     TimedOut,
 }
 
 /// Why a server that is ready can take no request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// It is cold and has received this entry's share of requests.
+    /// The server is cold and has received this entry's share of requests.
     Cold,
-    /// It asked for a backoff, or takes few requests at once right after one.
+    /// The server asked for a backoff, or takes few requests at once right after one.
     Backoff,
-    /// It reports a rate limit, and no permit is available.
+    /// The server reports a rate limit, and no permit is available.
     Limited,
 }
 
--- a/crates/decide/src/direct/fleet/notice.rs
+++ b/crates/decide/src/direct/fleet/notice.rs
@@ -69,16 +69,16 @@
 /// Why a server that is listed as ready gets no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeKind {
-    /// It is draining.
+    /// The server is draining.
     Draining,
-    /// It asked for a backoff.
+    /// The server asked for a backoff.
     Backoff,
 }
 
-/// What one server has asked for.
+/// Active requests of one server to this entry.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Notice {
-    /// When it last reported that it is draining.
+    /// When the server last reported that it is draining.
     draining_at: Option<Duration>,
     /// End of the latest backoff.
     backoff_until: Duration,
@@ -86,7 +86,7 @@
     max_waiting: Option<u32>,
     /// Number of backoffs in a row without an accepted request between them, and when the first
     /// began.
-    refusals: Option<(u32, Duration)>,
+    consecutive_backoffs: Option<(u32, Duration)>,
     /// Number of consecutive failed listen checks since the server began to drain, and when the
     /// first was.
     not_listening: Option<(u32, Duration)>,
@@ -129,8 +129,8 @@
     /// NB: a later, shorter request does not shorten an earlier one; both apply.
     pub fn on_backoff(&mut self, requested: Duration, draw: f64, now: Duration) -> Duration {
         if self.backoff_until(now).is_none() {
-            let (backoffs, since) = self.refusals.unwrap_or((0, now));
-            self.refusals = Some((backoffs.saturating_add(1), since));
+            let (backoffs, since) = self.consecutive_backoffs.unwrap_or((0, now));
+            self.consecutive_backoffs = Some((backoffs.saturating_add(1), since));
         }
         let requested = requested.min(MAX_SERVER_BACKOFF);
         let until = now + requested + backoff_jitter(requested, draw);
@@ -159,7 +159,7 @@
 
     /// Since when the server has refused everything, if it has done so several times in a row.
     pub fn refusing_since(&self, now: Duration) -> Option<Duration> {
-        let (backoffs, since) = self.refusals?;
+        let (backoffs, since) = self.consecutive_backoffs?;
         let is_recent = now < self.backoff_until + REFUSING_TIMEOUT;
         (is_recent && backoffs >= MIN_REFUSING_BACKOFFS).then_some(since)
     }
@@ -178,7 +178,7 @@
         if self.active_notice(now).is_some() {
             return;
         }
-        self.refusals = None;
+        self.consecutive_backoffs = None;
         self.draining_at = None;
         self.max_waiting = self
             .max_waiting
--- a/crates/decide/src/direct/fleet/permit_rule.rs
+++ b/crates/decide/src/direct/fleet/permit_rule.rs
@@ -28,13 +28,13 @@
 /// A permit to be requested.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// The server that it is for.
+    /// The server that the permit is for.
     pub server: ServerId,
     /// Incarnation of the server that reported the limit.
     pub incarnation: ServerIncarnation,
     /// The limit.
     pub limit: RateLimit,
-    /// When it was reported.
+    /// When the limit was reported.
     pub reported_at: Duration,
 }
 
--- a/crates/decide/src/direct/fleet/rate_limit.rs
+++ b/crates/decide/src/direct/fleet/rate_limit.rs
@@ -36,7 +36,7 @@
 /// Why a reported limit is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RateLimitError {
-    /// It is not a decimal number.
+    /// The text is not a decimal number.
     #[error("a rate limit is not a decimal number of requests a second")]
     NotANumber,
 }
@@ -55,11 +55,11 @@
 /// What an answer reports about its server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReportedRateLimit {
-    /// A limit.
+    /// The answer reports a limit.
     Limit(RateLimit),
-    /// No limit, so an earlier one no longer applies.
+    /// The answer reports no limit, so an earlier one no longer applies.
     NoLimit,
-    /// Nothing valid.
+    /// The answer reports nothing valid.
     #[default]
     NotReported,
 }
--- a/crates/decide/src/direct/fleet/server.rs
+++ b/crates/decide/src/direct/fleet/server.rs
@@ -56,40 +56,40 @@
     pub id: ServerId,
     /// Start time in milliseconds of Unix time, if the server reports it.
     pub born_ms: Option<u64>,
-    /// Address at which it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
-    /// Data centre that it runs in.
+    /// Data centre that the server runs in.
     pub data_centre: DataCentreId,
-    /// Version of its software.
+    /// Version of the server software.
     pub version: VersionId,
-    /// Requests that it can run at once.
+    /// Requests that the server can run at once.
     pub slots: u32,
-    /// Whether it accepts new requests.
+    /// Whether the server accepts new requests.
     pub ready: bool,
-    /// End of its reported warm-up, by this entry's clock.
+    /// End of the reported warm-up, by this entry's clock.
     pub cold_until: Duration,
 }
 
 /// One server with the state that this entry keeps of it.
 #[derive(Debug)]
 pub struct Server {
-    /// What the store lists about it.
+    /// What the store lists about the server.
     pub info: ServerInfo,
-    /// Number of its incarnation.
+    /// Number of the incarnation.
     pub incarnation_number: IncarnationNumber,
     /// Warm-up state, and recent sends.
     pub warm_up: WarmUpState,
-    /// Hash of its identity for rendezvous hashing.
+    /// Hash of the identity for rendezvous hashing.
     pub hash: u64,
     /// Distinguishes this incarnation from others.
     pub incarnation: ServerIncarnation,
-    /// What it has asked of this entry.
+    /// What the server has asked of this entry.
     pub notice: Notice,
-    /// Permits for it, if it reports a rate limit.
+    /// Permits for the server, if it reports a rate limit.
     pub permits: ServerPermits,
-    /// Whether another server was seen at its address, whatever the store lists.
+    /// Whether another server was seen at the address, whatever the store lists.
     is_replaced: bool,
-    /// Until when it gets requests though the store no longer lists it.
+    /// Until when the server gets requests though the store no longer lists it.
     lapses_at: Option<Duration>,
     /// Sum of `expected_ms` of the requests whose answers have not begun.
     pub waiting_ms: f64,
@@ -103,7 +103,7 @@
     failure_recorded_at: Duration,
     refusals: u32,
     backoff_until: Duration,
-    /// Mean delay of its answers beyond the expected time, in milliseconds, when last recorded.
+    /// Mean delay of answers beyond the expected time, in milliseconds, when last recorded.
     delay_ms: f64,
     delay_recorded_at: Duration,
     parts: HashMap<(u64, u8), Duration>,
@@ -140,17 +140,17 @@
         }
     }
 
-    /// Whether it accepts new requests.
+    /// Whether the server accepts new requests.
     pub fn is_open(&self, now: Duration) -> bool {
         self.info.ready && !self.is_replaced && !self.notice.is_draining(now) && self.is_listed(now)
     }
 
-    /// Whether it is draining, by its own report or the store's.
+    /// Whether the server is draining, by its own report or the store's.
     pub fn is_draining(&self, now: Duration) -> bool {
         !self.info.ready || self.notice.is_draining(now)
     }
 
-    /// Whether the store lists it, or may have lost it a short time ago.
+    /// Whether the store lists the server, or may have lost it a short time ago.
     pub fn is_listed(&self, now: Duration) -> bool {
         self.lapses_at.is_none_or(|at| now < at)
     }
@@ -172,11 +172,11 @@
     pub fn cost(
         &self,
         request: &PlacementRequest<'_>,
-        begins_ms: f64,
+        first_byte_ms: f64,
         now: Duration,
         local_data_centre: &str,
     ) -> f64 {
-        let mut cost = begins_ms + f64::from(self.running) * RUNNING_MS;
+        let mut cost = first_byte_ms + f64::from(self.running) * RUNNING_MS;
         if self.info.data_centre != local_data_centre {
             cost += REMOTE_MS;
         }
@@ -198,7 +198,7 @@
         (self.failure_share * (-FAILURE_DECAY_PER_S * idle_s).exp()).max(0.0)
     }
 
-    /// Tokens of a prompt that are not in its cache.
+    /// Tokens of a prompt that are not in the server's cache.
     pub fn uncached_tokens(&self, request: &PlacementRequest<'_>, now: Duration) -> f64 {
         let is_cached = |part: &&PromptPart| {
             let used = self.parts.get(&(part.id, request.model));
@@ -226,12 +226,12 @@
         self.lapses_at.get_or_insert(now + LAPSE_GRACE);
     }
 
-    /// Records that another server listens at its address.
+    /// Records that another server listens at the address.
     pub fn mark_replaced(&mut self) {
         self.is_replaced = true;
     }
 
-    /// Records a request sent to it.
+    /// Records a request sent to the server.
     pub fn admit(&mut self, request: &PlacementRequest<'_>, expected_ms: f64, now: Duration) {
         self.waiting_ms += expected_ms;
         self.running += 1;
@@ -261,13 +261,13 @@
         self.delay_recorded_at = now;
     }
 
-    /// Applies the load that it reported with an answer.
+    /// Applies the load that the server reported with an answer.
     pub fn on_load_reported(&mut self, load: ServerLoad, now: Duration) {
         let own_running = self.running.saturating_sub(self.waiting);
         self.peer_load.record(load, own_running, self.waiting, now);
     }
 
-    /// Mean delay of its answers beyond the expected time, in milliseconds; mostly requests that
+    /// Mean delay of answers beyond the expected time, in milliseconds; mostly requests that
     /// other entries have waiting there.
     ///
     /// NB: a time, not a multiple of the expected one. A request of 30 ms that waits for 200 ms
@@ -287,7 +287,7 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Records an answer; `failed` says whether it was a failure of the server's own.
+    /// Records an answer; `failed` says whether it was a failure of the server itself.
     pub fn record_outcome(&mut self, failed: bool, now: Duration) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.failure_share =
--- a/crates/decide/src/direct/fleet/server_notices.rs
+++ b/crates/decide/src/direct/fleet/server_notices.rs
@@ -66,8 +66,8 @@
         if !self.may_have_rate_limits {
             return None;
         }
-        let rate = self.notice_of(ticket)?.rate_limit_state();
-        rate.take_due_publication(now).then(|| (ticket.incarnation.clone(), rate.limit()))
+        let state = self.notice_of(ticket)?.rate_limit_state();
+        state.take_due_publication(now).then(|| (ticket.incarnation.clone(), state.limit()))
     }
 
     /// Applies the rate limit, or its absence, that another entry received at `at` from that
@@ -96,8 +96,8 @@
     ) -> Option<(Option<RateLimit>, Duration)> {
         let server = self.servers.iter_mut().flatten().find(|server| server.info.id == id);
         let server = server.filter(|server| server.incarnation.matches(incarnation))?;
-        let rate = server.notice.rate_limit_state();
-        Some((rate.limit(), rate.reported_at()?))
+        let state = server.notice.rate_limit_state();
+        Some((state.limit(), state.reported_at()?))
     }
 
     /// Number of servers that report a rate limit.
@@ -118,15 +118,16 @@
             return is_same.then_some(&mut server.notice);
         }
         let absent = || (ticket.incarnation.clone(), Notice::default());
-        let (mark, notice) = self.remembered.entry(ticket.server.clone()).or_insert_with(absent);
-        mark.matches(&ticket.incarnation).then_some(notice)
+        let (incarnation, notice) =
+            self.remembered.entry(ticket.server.clone()).or_insert_with(absent);
+        incarnation.matches(&ticket.incarnation).then_some(notice)
     }
 
     /// Servers that reported draining and are still listed, with their addresses.
     pub fn draining_addresses(&self, now: Duration) -> Vec<(ServerId, SocketAddr)> {
         let servers = self.servers.iter().flatten();
-        let leaving = servers.filter(|server| server.info.ready && server.notice.is_draining(now));
-        leaving.map(|server| (server.info.id.clone(), server.info.address)).collect()
+        let draining = servers.filter(|server| server.info.ready && server.notice.is_draining(now));
+        draining.map(|server| (server.info.id.clone(), server.info.address)).collect()
     }
 
     /// Records whether a process listens at the address of a draining server. Returns whether it is
@@ -143,11 +144,11 @@
 
     /// Number of servers that reported draining, and of those that asked for a backoff.
     pub fn count_notices(&self, now: Duration) -> (usize, usize) {
-        let requested =
+        let notices =
             self.servers.iter().flatten().filter_map(|server| server.notice.active_notice(now));
-        requested.fold((0, 0), |(leaving, backing_off), requested| match requested {
-            NoticeKind::Draining => (leaving + 1, backing_off),
-            NoticeKind::Backoff => (leaving, backing_off + 1),
+        notices.fold((0, 0), |(draining, backing_off), notice| match notice {
+            NoticeKind::Draining => (draining + 1, backing_off),
+            NoticeKind::Backoff => (draining, backing_off + 1),
         })
     }
 
@@ -157,6 +158,6 @@
         info: &ServerInfo,
     ) -> Option<(ServerIncarnation, Notice)> {
         let remembered = self.remembered.remove(&info.id);
-        remembered.filter(|(mark, _)| mark.matches(&ServerIncarnation::of(info)))
+        remembered.filter(|(incarnation, _)| incarnation.matches(&ServerIncarnation::of(info)))
     }
 }
--- a/crates/decide/src/direct/quarantine.rs
+++ b/crates/decide/src/direct/quarantine.rs
@@ -59,11 +59,11 @@
 /// Whether a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It may run without restriction.
+    /// The request may run without restriction.
     Unrestricted,
-    /// It may run once if the granting entry allows a probe.
+    /// The request may run once if the granting entry allows a probe.
     ProbeAllowed,
-    /// It must not run before this time.
+    /// The request must not run before this time.
     Quarantined {
         /// When a probe may be requested again.
         until: Duration,
@@ -145,10 +145,11 @@
         if record.cleared_at.is_some_and(|cleared| at <= cleared) {
             return false;
         }
-        if let Some(known) = record.crashes.iter_mut().find(|known| known.is_same_crash(&crash, at))
+        if let Some(existing) =
+            record.crashes.iter_mut().find(|existing| existing.is_same_crash(&crash, at))
         {
-            known.in_common_loss |= crash.in_common_loss;
-            known.on_probe |= crash.on_probe;
+            existing.in_common_loss |= crash.in_common_loss;
+            existing.on_probe |= crash.on_probe;
             return false;
         }
         record.push_crash(Crash {
@@ -273,8 +274,8 @@
 ) -> Vec<(ServerCrash, Duration)> {
     let crash = |crash: &Crash| {
         let Crash { id, server, at, in_common_loss, on_probe } = *crash;
-        let crashes_with_age = ServerCrash { content, id, server, in_common_loss, on_probe };
-        (crashes_with_age, now.saturating_sub(at))
+        let server_crash = ServerCrash { content, id, server, in_common_loss, on_probe };
+        (server_crash, now.saturating_sub(at))
     };
     record.crashes.iter().map(crash).collect()
 }
--- a/crates/decide/src/direct/reporter.rs
+++ b/crates/decide/src/direct/reporter.rs
@@ -118,7 +118,7 @@
 struct StoredRecord {
     record: ReporterRecord,
     revision: u64,
-    /// When this entry received it.
+    /// When this entry received the record.
     received_at: Duration,
 }
 
@@ -136,7 +136,7 @@
     /// Highest token ever received, also from records that are gone.
     highest_token: FencingToken,
     /// Highest token under which the platform refused a call.
-    refused_token: FencingToken,
+    fenced_token: FencingToken,
     /// Until when this entry may report the record that it wrote itself.
     may_call_until: Duration,
     /// When its latest successful write was sent.
@@ -170,7 +170,7 @@
             stored: None,
             newest_record: None,
             highest_token: 0,
-            refused_token: 0,
+            fenced_token: 0,
             may_call_until: Duration::ZERO,
             written_at: None,
             held_previous_era: false,
@@ -275,7 +275,7 @@
                 self.failing_since = None;
             }
             CallOutcome::Fenced => {
-                self.refused_token = self.refused_token.max(record.fencing_token);
+                self.fenced_token = self.fenced_token.max(record.fencing_token);
             }
             CallOutcome::Failed => self.record_failed_call(now),
         }
@@ -293,7 +293,7 @@
     pub fn next_step(
         &mut self,
         windows: DueWindows,
-        order: ReporterDelays,
+        delays: ReporterDelays,
         now: Duration,
         counts: impl FnOnce(WindowId) -> UsageCounts,
     ) -> Option<ReporterStep> {
@@ -317,7 +317,7 @@
             _ => now,
         };
         self.due_since = Some((window, due_since));
-        if !self.may_write(order, due_since, now) {
+        if !self.may_write(delays, due_since, now) {
             return None;
         }
         let token = self.next_token();
@@ -363,18 +363,18 @@
         (is_lost && newest_record.window >= windows.oldest_in_time).then_some(newest_record)
     }
 
-    fn may_write(&self, order: ReporterDelays, due_since: Duration, now: Duration) -> bool {
+    fn may_write(&self, delays: ReporterDelays, due_since: Duration, now: Duration) -> bool {
         let has_waited = |wait: Duration| now >= due_since + wait;
         match &self.stored {
             Some(stored) if stored.record.holder == self.name => true,
             Some(stored) => {
-                has_waited(order.by_order + order.holder_grace)
+                has_waited(delays.by_order + delays.holder_grace)
                     && now >= stored.received_at + self.lease
             }
             None if self.held_previous_era => true,
             // NB: the holder in the previous era may not have received the new era yet.
             None => {
-                has_waited(order.by_order) && (self.era.0 == 0 || now >= self.era.1 + self.lease)
+                has_waited(delays.by_order) && (self.era.0 == 0 || now >= self.era.1 + self.lease)
             }
         }
     }
@@ -385,7 +385,7 @@
 
     /// Whether the record belongs to this incarnation and its token is still valid.
     fn may_continue(&self, record: &ReporterRecord) -> bool {
-        self.is_own(record) && self.is_of_era(record) && record.fencing_token > self.refused_token
+        self.is_own(record) && self.is_of_era(record) && record.fencing_token > self.fenced_token
     }
 
     fn is_own(&self, record: &ReporterRecord) -> bool {
@@ -395,7 +395,7 @@
     fn next_token(&self) -> FencingToken {
         match &self.newest_record {
             Some(record) if self.may_continue(record) => record.fencing_token,
-            _ => self.highest_token.max(self.refused_token).max(self.era.0 * TOKENS_IN_ERA) + 1,
+            _ => self.highest_token.max(self.fenced_token).max(self.era.0 * TOKENS_IN_ERA) + 1,
         }
     }
 
--- a/crates/decide/src/direct/roll_out.rs
+++ b/crates/decide/src/direct/roll_out.rs
@@ -204,8 +204,8 @@
             Some(Stage::Trial) => self.trial_share,
             Some(Stage::Widening) => {
                 let since = self.widening_started_at.unwrap_or(now);
-                let part = now.saturating_sub(since).div_duration_f64(WIDENING_TIME).min(1.0);
-                self.trial_share + (1.0 - self.trial_share) * part
+                let fraction = now.saturating_sub(since).div_duration_f64(WIDENING_TIME).min(1.0);
+                self.trial_share + (1.0 - self.trial_share) * fraction
             }
         }
     }
@@ -245,9 +245,9 @@
         let server = is_target.then_some(evidence.server);
         self.pool
             .record_own(Observation::single(evidence.kind, server, evidence.failed, slow), now);
-        let widening = self.published_stage == Some(Stage::Widening);
+        let is_widening = self.published_stage == Some(Stage::Widening);
         is_target && self.may_trip() && {
-            let is_bad = self.local_evidence.is_bad(evidence.kind, widening);
+            let is_bad = self.local_evidence.is_bad(evidence.kind, is_widening);
             self.trip_if(is_bad)
         }
     }
--- a/crates/decide/src/direct/roll_out/local_evidence.rs
+++ b/crates/decide/src/direct/roll_out/local_evidence.rs
@@ -10,7 +10,7 @@
 const MIN_FAILURES: usize = 4;
 /// Failures of the new version, of all kinds, from which a request that failed there is retried on
 /// the old one.
-const MIN_FAILURES_TO_SPARE: usize = 2;
+const MIN_FAILURES_TO_AVOID: usize = 2;
 /// Share of failures among them from which the version may be rejected.
 const MIN_FAILURE_SHARE: f64 = 0.25;
 /// Ratio of that share to the old version's from which it may be rejected.
@@ -18,7 +18,7 @@
 /// Number of servers that must have failed or been slow.
 const MIN_SERVERS: usize = 2;
 /// Number of the old version's times kept for each kind.
-const OLD_TIMES: usize = 64;
+const MAX_OLD_TIMES: usize = 64;
 /// Number of the old version's times from which an answer can be classified as slow.
 const MIN_OLD_TIMES: usize = 20;
 /// Quantile of the old version's times that a slow answer exceeds.
@@ -116,8 +116,8 @@
     /// Whether an answer is slower than an ordinary one of the old version: of the same kind, or of
     /// all kinds if too few of the kind are known.
     fn is_slower(&self, evidence: &Evidence<'_>) -> Option<bool> {
-        let of_kind = self.old.get(evidence.kind).and_then(Record::ordinary_bound);
-        let bound = of_kind.or_else(|| self.old_of_all_kinds.ordinary_bound())?;
+        let kind_bound = self.old.get(evidence.kind).and_then(Record::ordinary_bound);
+        let bound = kind_bound.or_else(|| self.old_of_all_kinds.ordinary_bound())?;
         Some(!evidence.failed && evidence.slowness > bound)
     }
 
@@ -136,7 +136,7 @@
     /// Whether the new version has failed often enough that requests should not be retried on it.
     pub(super) fn may_be_bad(&self) -> bool {
         let failures = self.new.values().map(|record| record.failed.fault_count()).sum::<usize>();
-        failures >= MIN_FAILURES_TO_SPARE
+        failures >= MIN_FAILURES_TO_AVOID
     }
 }
 
@@ -146,7 +146,7 @@
         if evidence.failed {
             return;
         }
-        if self.slowness.len() == OLD_TIMES {
+        if self.slowness.len() == MAX_OLD_TIMES {
             self.slowness.pop_front();
         }
         self.slowness.push_back(evidence.slowness);
--- a/crates/decide/src/direct/usage.rs
+++ b/crates/decide/src/direct/usage.rs
@@ -116,7 +116,7 @@
         counts: UsageCounts,
     ) {
         let publishers = self.windows.entry(window).or_default();
-        let is_newer = publishers.get(&publisher).is_none_or(|(known, _)| *known < number);
+        let is_newer = publishers.get(&publisher).is_none_or(|(latest, _)| *latest < number);
         if is_newer {
             publishers.insert(publisher, (number, counts));
         }
