--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -236,7 +236,7 @@
     /// Id of the server, which is kept across restarts.
     pub id: ServerId,
     /// Start time in milliseconds since the Unix epoch, if reported.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Service of the server.
     pub service: ServiceId,
     /// Listen address.
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -19,7 +19,7 @@
     membership::{ChangeSource, GossipLog, MIN_GOSSIP_TARGETS, Members, Outbox, root_count},
     metrics::Metrics,
     permits::PermitState,
-    quarantine::{PendingClearances, ReleasedProbes, SeenCrashes},
+    quarantine::{ObservedCrashes, PendingClearances, ReleasedProbes},
     state::State,
     upstream::Connect,
     usage::Usage,
@@ -75,7 +75,7 @@
     /// Number of requests in flight.
     pub in_flight: Cell<usize>,
     /// Crashes observed recently and not yet published.
-    pub seen_crashes: SeenCrashes,
+    pub observed_crashes: ObservedCrashes,
     /// Contents to clear at other entries.
     pub pending_clearances: PendingClearances,
     /// Permits granted for servers with a rate limit.
@@ -119,7 +119,7 @@
             outbox: Outbox::default(),
             state_changed: Notify::new(),
             in_flight: Cell::new(0),
-            seen_crashes: SeenCrashes::default(),
+            observed_crashes: ObservedCrashes::default(),
             pending_clearances: PendingClearances::default(),
             permits: PermitState::default(),
             released_probes: ReleasedProbes::default(),
@@ -203,10 +203,10 @@
         let cold = state.fleets.values().map(|fleet| fleet.count_cold(self.clock.now()));
         let notices = state.fleets.values().map(|fleet| fleet.count_notices(self.clock.now()));
         let limited = state.fleets.values().map(Fleet::count_rate_limited);
-        let (leaving, backing_off) =
+        let (draining, backing_off) =
             notices.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let mut gauges = vec![
-            ("servers_told_leaving", leaving as u64),
+            ("servers_told_leaving", draining as u64),
             ("servers_backing_off", backing_off as u64),
             ("servers_limited", limited.sum::<usize>() as u64),
             ("servers_cold", cold.sum::<usize>() as u64),
--- a/crates/direct/src/draining_servers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -61,8 +61,8 @@
     let now = core.clock.now();
     let state = core.state.borrow();
     let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
-        let leaving = fleet.draining_addresses(now).into_iter();
-        leaving.map(|(server, address)| DrainingServer {
+        let addresses = fleet.draining_addresses(now).into_iter();
+        addresses.map(|(server, address)| DrainingServer {
             service: service.clone(),
             server,
             address,
--- a/crates/direct/src/follow/apply.rs
+++ b/crates/direct/src/follow/apply.rs
@@ -119,7 +119,7 @@
             version: &server.version,
             state: format!("{:?}", server.state),
             cold_ms: server.warm_up_left.as_millis() as u64,
-            born_ms: server.born_ms,
+            born_ms: server.started_at_ms,
         };
         self.core.event_log.record(LogPriority::State, &event);
     }
--- a/crates/direct/src/follow/initial_state.rs
+++ b/crates/direct/src/follow/initial_state.rs
@@ -59,16 +59,16 @@
         false => (StateRequestKind::FirstState, FETCH_TIMEOUT),
     };
     let end = Instant::now() + limit;
-    let mut asking = JoinSet::new();
+    let mut fetches = JoinSet::new();
     let receiving = Rc::default();
     for (place, seed) in seeds.into_iter().enumerate() {
         let (core, receiving) = (Rc::clone(core), Rc::clone(&receiving));
-        asking.spawn_local(async move {
+        fetches.spawn_local(async move {
             sleep(SEED_STAGGER * place as u32).await;
             poll_seed(&core, seed, kind, end, &receiving).await
         });
     }
-    while let Some(received) = asking.join_next().await {
+    while let Some(received) = fetches.join_next().await {
         if let Ok(Some(first)) = received {
             return Some(first);
         }
--- a/crates/direct/src/follow/peers.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -56,9 +56,9 @@
             let (name, address) = &others[self.peer_cursor];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
             let question = self.question(position, StateRequestKind::ChangesNow, until);
-            let asking =
+            let query =
                 self.client.request_state(&self.core.connect, &self.core.clock, *address, question);
-            match asking.await {
+            match query.await {
                 Ok(reply) => {
                     let next = reply.position.max(position);
                     self.apply_peer_reply(reply, next);
@@ -84,12 +84,12 @@
         position: Position,
     ) -> Option<Position> {
         let question = self.question(position, StateRequestKind::Changes, self.reply_deadline());
-        let asking =
+        let query =
             self.client.request_state(&self.core.connect, &self.core.clock, address, question);
         let reply = tokio::select! {
             biased;
             outcome = self.watch_calls.next() => return self.handle_watch_reply(outcome, position),
-            reply = asking => reply,
+            reply = query => reply,
         };
         Some(self.handle_peer_reply(name, reply, position))
     }
--- a/crates/direct/src/http/placing.rs
+++ b/crates/direct/src/http/placing.rs
@@ -36,7 +36,7 @@
 
     /// How surely the request could be sent with a model now, and if it could not, why.
     pub fn outlook(&self, model: RouteModelIndex) -> Result<Placeability, PlacementError> {
-        Placement::certainty(&self.core, &self.job, NextSend { model, ..self.next_send() })
+        Placement::placeability(&self.core, &self.job, NextSend { model, ..self.next_send() })
     }
 
     /// Whether it could be sent once more to a server other than this one, now or after a short wait.
@@ -45,7 +45,7 @@
         avoid.push(besides.server().clone());
         let failed = Some(besides.version.as_str());
         let next = NextSend { model: self.model, avoid: &avoid, failed };
-        match Placement::certainty(&self.core, &self.job, next) {
+        match Placement::placeability(&self.core, &self.job, next) {
             Err(PlacementError::Unavailable(opening))
                 if opening.reason != UnavailableReason::Limited
                     && opening.at < self.wait_until() =>
--- a/crates/direct/src/http/refuse.rs
+++ b/crates/direct/src/http/refuse.rs
@@ -104,7 +104,7 @@
     /// Why a request is refused that servers have turned away: what holds for its next try counts.
     pub(super) fn turned_away(&self) -> Refusal {
         let next = NextSend { model: self.model, avoid: &[], failed: None };
-        match Placement::certainty(&self.core, &self.job, next) {
+        match Placement::placeability(&self.core, &self.job, next) {
             Err(PlacementError::Unavailable(opening)) => self.shut(opening),
             Err(PlacementError::AllDraining) => Refusal::AllDraining,
             Ok(_) | Err(PlacementError::NoServer) => Refusal::TurnedAway,
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -169,10 +169,10 @@
                 PermitReply::Refused { opens_in: UNANSWERED_BACKOFF }
             }
         };
-        self.apply_permit_response(&service, &query, reply);
+        self.apply_permit_reply(&service, &query, reply);
     }
 
-    fn apply_permit_response(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
+    fn apply_permit_reply(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(service) else { return };
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -281,13 +281,13 @@
 
     /// Records a backoff requested by the server; returns the time for which the server gets no
     /// requests.
-    pub fn on_backoff_requested(&self, asked: Duration) -> Option<Duration> {
+    pub fn on_backoff_requested(&self, requested: Duration) -> Option<Duration> {
         let now = self.core.clock.now();
         let mut state = self.core.state.borrow_mut();
         let State { fleets, rng, .. } = &mut *state;
         let fleet = fleets.get_mut(&self.job.service.name)?;
         let until =
-            fleet.on_backoff_requested(&self.ticket, asked, rng.random_range(0.0..1.0), now)?;
+            fleet.on_backoff_requested(&self.ticket, requested, rng.random_range(0.0..1.0), now)?;
         Some(until.saturating_sub(now))
     }
 
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -43,17 +43,17 @@
     /// How certain it is that the request can be sent now, or why it can't.
     ///
     /// Checked before an existing answer is dropped in favour of another one.
-    pub fn certainty(
+    pub fn placeability(
         core: &Core,
         job: &Job,
         next: NextSend<'_>,
     ) -> Result<Placeability, PlacementError> {
         let now = core.clock.now();
         let mut state = core.state.borrow_mut();
-        let certainty = |fleet: &mut Fleet, request: &PlacementRequest<'_>, _: &mut SmallRng| {
+        let placeability = |fleet: &mut Fleet, request: &PlacementRequest<'_>, _: &mut SmallRng| {
             fleet.placeability(request, now)
         };
-        find_with_rule(&mut state, job, next, job.session, now, certainty)
+        find_with_rule(&mut state, job, next, job.session, now, placeability)
     }
 
     /// The permit needed before the request can be sent, if it would go to a server with a rate
--- a/crates/direct/src/quarantine.rs
+++ b/crates/direct/src/quarantine.rs
@@ -18,7 +18,7 @@
 };
 
 pub use clearance::{PendingClearances, publish_clearances};
-pub use crashes::SeenCrashes;
+pub use crashes::ObservedCrashes;
 pub use events::QuarantineEvent;
 pub use probe_lease::{ProbeLease, ReleasedProbes, release_probes};
 pub use stored::{MAX_STORED_CRASHES, QUARANTINE_KEY, StoredQuarantine};
@@ -47,7 +47,7 @@
     /// Whether a request may run.
     pub fn quarantine_status(&self, job: &Job) -> QuarantineStatus {
         let state = self.state.borrow();
-        if state.quarantine.is_empty() || state.good_contents.is_exempt(job.content()) {
+        if state.quarantine.is_empty() || state.successful_contents.is_exempt(job.content()) {
             return QuarantineStatus::Unrestricted;
         }
         state.quarantine.status(job.content(), self.clock.now())
@@ -67,7 +67,7 @@
             let mut state = self.state.borrow_mut();
             let is_new = state.quarantine.record_crash(*crash, at, now);
             if is_new {
-                state.good_contents.record_crash(crash.content);
+                state.successful_contents.record_crash(crash.content);
             }
             drop(state);
             if is_new {
@@ -128,7 +128,7 @@
     fn log_if_quarantined(&self, content: ContentHash) {
         let now = self.clock.now();
         let state = self.state.borrow();
-        if state.good_contents.is_exempt(content) {
+        if state.successful_contents.is_exempt(content) {
             return;
         }
         let QuarantineStatus::Quarantined { until } = state.quarantine.status(content, now) else {
--- a/crates/direct/src/quarantine/clearance.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -44,7 +44,7 @@
         let now = self.clock.now();
         let content = job.content();
         let mut state = self.state.borrow_mut();
-        state.good_contents.record_success(content, now);
+        state.successful_contents.record_success(content, now);
         drop(state);
         self.clear(content);
     }
@@ -61,7 +61,7 @@
         let state = self.state.borrow();
         let is_quarantined =
             state.quarantine.status(content, self.clock.now()) != QuarantineStatus::Unrestricted;
-        is_quarantined && state.good_contents.is_exempt(content)
+        is_quarantined && state.successful_contents.is_exempt(content)
     }
 
     fn clear(&self, content: ContentHash) {
--- a/crates/direct/src/quarantine/crashes.rs
+++ b/crates/direct/src/quarantine/crashes.rs
@@ -48,7 +48,7 @@
 
 /// A crash with the data needed to evaluate it.
 #[derive(Debug)]
-struct SeenCrash {
+struct ObservedCrash {
     content: ContentHash,
     id: CrashId,
     at: Duration,
@@ -78,13 +78,13 @@
 
 /// Crashes observed within [`CORRELATION_WINDOW`] and not published yet.
 #[derive(Debug, Default)]
-pub struct SeenCrashes {
-    crashes: RefCell<Vec<SeenCrash>>,
+pub struct ObservedCrashes {
+    crashes: RefCell<Vec<ObservedCrash>>,
     loss: RefCell<CorrelatedCrashes>,
     abandoned: RefCell<VecDeque<AbandonedRun>>,
 }
 
-impl SeenCrashes {
+impl ObservedCrashes {
     /// Removes and returns the runs abandoned at a server shortly before it crashed.
     fn drain_abandoned(&self, server: &str, now: Duration) -> VecDeque<AbandonedRun> {
         let mut abandoned = self.abandoned.borrow_mut();
@@ -102,7 +102,7 @@
     /// Otherwise a caller that always disconnects early would never be related to a crash.
     pub fn record_abandoned_run(&self, job: &Job, server: &ServerId, on_probe: bool) {
         let at = self.clock.now();
-        let mut abandoned = self.seen_crashes.abandoned.borrow_mut();
+        let mut abandoned = self.observed_crashes.abandoned.borrow_mut();
         if abandoned.len() == MAX_ABANDONED_RUNS {
             abandoned.pop_front();
         }
@@ -115,7 +115,7 @@
     pub fn record_server_crash(self: &Rc<Self>, job: &Job, placement: &Placement, on_probe: bool) {
         let now = self.clock.now();
         self.record_crash(job.content(), &job.id, placement, on_probe);
-        for run in self.seen_crashes.drain_abandoned(placement.server(), now) {
+        for run in self.observed_crashes.drain_abandoned(placement.server(), now) {
             self.record_crash(run.content, &run.request, placement, run.on_probe);
         }
     }
@@ -141,14 +141,14 @@
         let mut state = self.state.borrow_mut();
         let prior_crashes = state.quarantine.crash_count(content);
         if state.quarantine.record_crash(crash, now, now) {
-            state.good_contents.record_crash(content);
+            state.successful_contents.record_crash(content);
         }
-        let has_succeeded = state.good_contents.is_exempt(content);
+        let has_succeeded = state.successful_contents.is_exempt(content);
         drop(state);
         self.log_if_quarantined(content);
         self.queue_clearance(content);
-        self.seen_crashes.loss.borrow_mut().record(content, server);
-        let observed = SeenCrash {
+        self.observed_crashes.loss.borrow_mut().record(content, server);
+        let observed = ObservedCrash {
             content,
             id,
             at: now,
@@ -161,7 +161,7 @@
             prior_crashes,
             has_succeeded,
         };
-        let mut crashes = self.seen_crashes.crashes.borrow_mut();
+        let mut crashes = self.observed_crashes.crashes.borrow_mut();
         crashes.push(observed);
         if crashes.len() == 1 {
             let core = Rc::clone(self);
@@ -174,15 +174,15 @@
 
     /// Evaluates the crashes of one window together and publishes them.
     async fn publish_crashes(&self) {
-        let observed = self.seen_crashes.crashes.take();
-        let loss = self.seen_crashes.loss.take();
+        let observed = self.observed_crashes.crashes.take();
+        let loss = self.observed_crashes.loss.take();
         let mut published: Vec<AgedCrash> =
             Vec::with_capacity(observed.len().min(MAX_PUBLISHED_CRASHES));
         self.record_version_evidence(&observed, &loss);
         for crash in observed {
             let in_common_loss = self.is_common_loss(&loss, &crash).await;
             let now = self.clock.now();
-            let SeenCrash { content, id, at, on_probe, ref server, .. } = crash;
+            let ObservedCrash { content, id, at, on_probe, ref server, .. } = crash;
             let server = server_hash(server);
             let crash = ServerCrash { content, id, server, in_common_loss, on_probe };
             if in_common_loss {
@@ -203,11 +203,11 @@
     /// Excluded are servers that ran a request which has crashed others too: that request is the
     /// likely cause and must not make a good version look bad. Common losses are excluded as well,
     /// since they have another cause.
-    fn record_version_evidence(&self, observed: &[SeenCrash], loss: &CorrelatedCrashes) {
+    fn record_version_evidence(&self, observed: &[ObservedCrash], loss: &CorrelatedCrashes) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let State { roll_outs, fleets, .. } = &mut *state;
-        let mut servers: HashMap<&ServerId, Option<&SeenCrash>> = HashMap::new();
+        let mut servers: HashMap<&ServerId, Option<&ObservedCrash>> = HashMap::new();
         for crash in observed {
             let known = fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
             let has_cause = !crash.has_succeeded && crash.prior_crashes >= MAX_CRASHES_AS_EVIDENCE
@@ -227,7 +227,7 @@
             }
         }
         drop(state);
-        for SeenCrash { request, service, version, .. } in tripped {
+        for ObservedCrash { request, service, version, .. } in tripped {
             let event = QuarantineEvent::VersionTripped { request, service, version };
             self.event_log.record(LogPriority::State, &event);
         }
@@ -235,7 +235,7 @@
 
     /// Whether other servers were lost at the same moment, so that the request need not be the
     /// cause.
-    async fn is_common_loss(&self, loss: &CorrelatedCrashes, crash: &SeenCrash) -> bool {
+    async fn is_common_loss(&self, loss: &CorrelatedCrashes, crash: &ObservedCrash) -> bool {
         let servers =
             self.state.borrow().fleets.get(&crash.service).map_or(0, |fleet| fleet.count());
         if loss.exonerates(crash.content, servers) {
@@ -246,7 +246,7 @@
     }
 
     /// Whether none of a sample of other servers can be reached.
-    async fn are_others_unreachable(&self, crash: &SeenCrash) -> bool {
+    async fn are_others_unreachable(&self, crash: &ObservedCrash) -> bool {
         let others = {
             let mut state = self.state.borrow_mut();
             let State { fleets, rng, .. } = &mut *state;
--- a/crates/direct/src/server_signals.rs
+++ b/crates/direct/src/server_signals.rs
@@ -39,12 +39,12 @@
         }
         // A 429 to a request that ran is addressed to the caller and concerns the caller's own
         // rate.
-        let asks_entry = status == StatusCode::SERVICE_UNAVAILABLE
+        let concerns_entry = status == StatusCode::SERVICE_UNAVAILABLE
             || (not_run && status == StatusCode::TOO_MANY_REQUESTS);
-        let backoff =
-            header_text(headers, &RETRY_AFTER).filter(|_| asks_entry).and_then(parse_retry_after);
-        let is_draining =
-            header_text(headers, &dialect.leaving).is_some_and(|header_text| header_text == "1");
+        let backoff = header_text(headers, &RETRY_AFTER)
+            .filter(|_| concerns_entry)
+            .and_then(parse_retry_after);
+        let is_draining = header_text(headers, &dialect.leaving).is_some_and(|value| value == "1");
         let limit = reported_limit(dialect, headers, status.is_success() && is_authentic);
         ServerSignals { is_draining, backoff, limit }
     }
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -65,7 +65,7 @@
     /// Contents under which servers have crashed.
     pub quarantine: Quarantine,
     /// Contents that have succeeded at this entry.
-    pub good_contents: SuccessfulContents,
+    pub successful_contents: SuccessfulContents,
     /// Random number generator.
     pub rng: SmallRng,
     /// Limits of the retry budgets; `extra` is shared by all entries.
@@ -98,7 +98,7 @@
             engines: HashMap::new(),
             cascades: HashMap::new(),
             quarantine: Quarantine::default(),
-            good_contents: SuccessfulContents::default(),
+            successful_contents: SuccessfulContents::default(),
             rng: SmallRng::seed_from_u64(seed),
             limits: WindowLimits {
                 ratio: retries.ratio,
@@ -206,7 +206,7 @@
         }
         let info = ServerInfo {
             id: server.id.clone(),
-            born_ms: server.born_ms,
+            born_ms: server.started_at_ms,
             address: server.address,
             data_centre: server.data_centre,
             version: server.version,
@@ -231,7 +231,7 @@
         let known =
             self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
         known.is_some_and(|info| {
-            info.born_ms == server.born_ms
+            info.born_ms == server.started_at_ms
                 && info.address == server.address
                 && info.version == server.version
                 && info.ready == (server.state == ServerState::Ready)
@@ -243,7 +243,7 @@
     pub fn is_draining(&self, server: &BackendServer) -> bool {
         let known =
             self.fleets.get(&server.service).and_then(|fleet| fleet.server_info(&server.id));
-        known.is_some_and(|info| !info.ready && info.born_ms == server.born_ms)
+        known.is_some_and(|info| !info.ready && info.born_ms == server.started_at_ms)
     }
 
     /// Marks a backend server as missing from a store that may have lost it during an outage.
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -424,7 +424,7 @@
     };
     Some(BackendServer {
         id: id.to_owned(),
-        born_ms: born_ms.parse().ok(),
+        started_at_ms: born_ms.parse().ok(),
         warm_up_left: Duration::from_millis(cold_ms.parse().ok()?),
         service: service.into(),
         address: address.parse().ok()?,
