--- a/crates/direct/src/coordinator/rejecting_versions.rs
+++ b/crates/direct/src/coordinator/rejecting_versions.rs
@@ -47,11 +47,11 @@
 
     fn find_rejecting_versions(&self, now: Duration) -> RejectingVersions {
         let state = self.core.state.borrow();
-        let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
+        let versions = state.fleets.iter().flat_map(|(service, fleet)| {
             let versions = fleet.versions_refusing_all(MIN_REJECTION_TIME, now).into_iter();
             versions.map(|version| (service.clone(), version))
         });
-        of_fleets.collect()
+        versions.collect()
     }
 
     fn abort_trial(&self, service: &ServiceId, version: &str) {
--- a/crates/direct/src/draining_servers.rs
+++ b/crates/direct/src/draining_servers.rs
@@ -60,7 +60,7 @@
     }
     let now = core.clock.now();
     let state = core.state.borrow();
-    let of_fleets = state.fleets.iter().flat_map(|(service, fleet)| {
+    let servers = state.fleets.iter().flat_map(|(service, fleet)| {
         let addresses = fleet.draining_addresses(now).into_iter();
         addresses.map(|(server, address)| DrainingServer {
             service: service.clone(),
@@ -68,7 +68,7 @@
             address,
         })
     });
-    let mut draining: Vec<DrainingServer> = of_fleets.collect();
+    let mut draining: Vec<DrainingServer> = servers.collect();
     draining.sort_by(|one, other| one.server.cmp(&other.server));
     draining
 }
--- a/crates/direct/src/follow/apply.rs
+++ b/crates/direct/src/follow/apply.rs
@@ -31,7 +31,7 @@
         self.coordinator.apply_revision(&entry.key, Some(entry));
         self.apply_entry_listing(&entry.key, Some(&entry.value));
         match self.port.decode_entry(entry) {
-            Ok(fact) => self.apply_record(fact, entry.revision),
+            Ok(record) => self.apply_record(record, entry.revision),
             Err(error) => {
                 let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
                 self.core.event_log.record(LogPriority::State, &event);
@@ -58,7 +58,7 @@
         self.coordinator.apply_revision(key, None);
         self.apply_entry_listing(key, None);
         match (self.port.decode)(key, None) {
-            Ok(fact) => self.apply_record(fact, 0),
+            Ok(record) => self.apply_record(record, 0),
             Err(error) => {
                 let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
                 self.core.event_log.record(LogPriority::State, &event);
@@ -66,8 +66,8 @@
         }
     }
 
-    fn apply_record(&self, fact: StoreRecord, store_revision: u64) {
-        match fact {
+    fn apply_record(&self, record: StoreRecord, store_revision: u64) {
+        match record {
             StoreRecord::Catalog(catalog) => self.install(*catalog, store_revision),
             StoreRecord::Server(_, Some(server)) => self.apply_server(server),
             StoreRecord::UnreadableServer(id, error) => self.remove_unreadable_server(&id, &error),
--- a/crates/direct/src/follow/peers.rs
+++ b/crates/direct/src/follow/peers.rs
@@ -55,9 +55,13 @@
             self.peer_cursor = (self.peer_cursor + 1) % others.len();
             let (name, address) = &others[self.peer_cursor];
             let until = Instant::now() + self.core.settings.membership.times.exchange;
-            let question = self.question(position, StateRequestKind::ChangesNow, until);
-            let query =
-                self.client.request_state(&self.core.connect, &self.core.clock, *address, question);
+            let state_request = self.state_request(position, StateRequestKind::ChangesNow, until);
+            let query = self.client.request_state(
+                &self.core.connect,
+                &self.core.clock,
+                *address,
+                state_request,
+            );
             match query.await {
                 Ok(reply) => {
                     let next = reply.position.max(position);
@@ -83,9 +87,10 @@
         address: SocketAddr,
         position: Position,
     ) -> Option<Position> {
-        let question = self.question(position, StateRequestKind::Changes, self.reply_deadline());
+        let state_request =
+            self.state_request(position, StateRequestKind::Changes, self.reply_deadline());
         let query =
-            self.client.request_state(&self.core.connect, &self.core.clock, address, question);
+            self.client.request_state(&self.core.connect, &self.core.clock, address, state_request);
         let reply = tokio::select! {
             biased;
             outcome = self.watch_calls.next() => return self.handle_watch_reply(outcome, position),
@@ -135,7 +140,12 @@
         self.core.clock.instant(until)
     }
 
-    fn question(&self, after: Position, kind: StateRequestKind, deadline: Instant) -> StateRequest {
+    fn state_request(
+        &self,
+        after: Position,
+        kind: StateRequestKind,
+        deadline: Instant,
+    ) -> StateRequest {
         StateRequest { store: self.core.settings.store.address, after, kind, deadline }
     }
 
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -267,7 +267,7 @@
         let job = &self.job;
         let objective_ms = job.route.objective.as_millis().max(1) as f64;
         let used = self.after_ms() as f64 / objective_ms;
-        let terms = forecasts::model_terms(&self.core, job, &self.avoid, used);
+        let terms = forecasts::model_costs(&self.core, job, &self.avoid, used);
         let mut state = self.core.state.borrow_mut();
         let cascade = state.cascades.entry(job.service.name.clone()).or_default();
         let answer = (self.model, confidence);
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -162,8 +162,7 @@
         let reply = match self.resolve_permit(&query).await {
             Ok(reply) => reply,
             Err(error) => {
-                let error =
-                    error.map_or("no other entry is known".to_owned(), |one| one.to_string());
+                let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
                 let event = PermitEvent::PermitUnanswered { server: &query.server, error };
                 self.event_log.record(LogPriority::Failure, &event);
                 PermitReply::Refused { opens_in: UNANSWERED_BACKOFF }
--- a/crates/direct/src/quarantine/probe.rs
+++ b/crates/direct/src/quarantine/probe.rs
@@ -80,8 +80,7 @@
                 Err(failed) => error = Some(failed),
             }
         }
-        let error =
-            error.map_or_else(|| "no other entry is known".to_owned(), |one| one.to_string());
+        let error = error.map_or_else(|| "no entry is known".to_owned(), |one| one.to_string());
         let event = QuarantineEvent::ProbeUnanswered {
             request: &job.id,
             content: &content_text(content),
