--- a/crates/direct/src/http/refusals.rs
+++ b/crates/direct/src/http/refusals.rs
@@ -109,7 +109,7 @@
     /// next attempt.
     pub(super) fn rejection_refusal(&self) -> Refusal {
         let next = NextSend { model: self.model, avoid: &[], failed: None };
-        match Placement::certainty(&self.core, &self.job, next) {
+        match Placement::placeability(&self.core, &self.job, next) {
             Err(PlacementError::Unavailable(availability)) => {
                 self.unavailable_refusal(availability)
             }
