--- /dev/null
+++ b/crates/direct/src/follow/apply.rs
@@ -0,0 +1,236 @@
+//! Takes in what was learned: configurations, backend servers, other entries, roll-outs.
+
+use std::{collections::HashSet, time::Duration};
+
+use pondwalk_store::{StoreEntry, StoreEvent};
+use pondwalk_types::DataCentreId;
+
+use super::{Follower, StateSource, events::FollowEvent};
+use crate::{
+    catalog::{BackendServer, Catalog, ServerState},
+    event_log::LogPriority,
+    membership::{ENTRY_PREFIX, Listing},
+    port::{Evacuation, StoreRecord, UnreadableRecord},
+};
+
+/// Unreadable entries of servers that are told apart in the logs.
+const MAX_UNREADABLE_LOGGED: usize = 256;
+/// Time after the store's return in which an entry that is missing may have lapsed only.
+const STORE_RETURN_GRACE: Duration = Duration::from_secs(2);
+
+impl Follower {
+    pub(super) fn apply_event(&self, event: &StoreEvent) {
+        match event {
+            StoreEvent::Written(entry) => self.apply_written(entry),
+            StoreEvent::Removed { key, .. } => self.apply_removed(key),
+        }
+    }
+
+    pub(super) fn apply_written(&self, entry: &StoreEntry) {
+        self.coordinator.apply_revision(&entry.key, Some(entry));
+        self.apply_entry_listing(&entry.key, Some(&entry.value));
+        match self.port.decode_entry(entry) {
+            Ok(fact) => self.apply_record(fact, entry.revision),
+            Err(error) => {
+                let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
+                self.core.event_log.record(LogPriority::State, &event);
+            }
+        }
+    }
+
+    fn apply_entry_listing(&self, key: &str, value: Option<&[u8]>) {
+        let Some(name) = key.strip_prefix(ENTRY_PREFIX) else { return };
+        let listing = match value.map(Listing::try_from).transpose() {
+            Ok(listing) => listing,
+            Err(error) => {
+                let event = FollowEvent::EntryUnreadable { key, reason: &error.to_string() };
+                self.core.event_log.record(LogPriority::State, &event);
+                None
+            }
+        };
+        if self.core.members.update(name, listing) {
+            self.core.update_bound_shares();
+        }
+    }
+
+    fn apply_removed(&self, key: &str) {
+        self.coordinator.apply_revision(key, None);
+        self.apply_entry_listing(key, None);
+        match (self.port.decode)(key, None) {
+            Ok(fact) => self.apply_record(fact, 0),
+            Err(error) => {
+                let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
+                self.core.event_log.record(LogPriority::State, &event);
+            }
+        }
+    }
+
+    fn apply_record(&self, fact: StoreRecord, store_revision: u64) {
+        match fact {
+            StoreRecord::Catalog(catalog) => self.install(*catalog, store_revision),
+            StoreRecord::Server(_, Some(server)) => self.apply_server(server),
+            StoreRecord::UnreadableServer(id, error) => self.remove_unreadable_server(&id, &error),
+            StoreRecord::Evacuation(data_centre, evacuation) => {
+                self.apply_evacuation(&data_centre, evacuation);
+            }
+            StoreRecord::Server(id, None) if self.may_have_lapsed() => {
+                self.core
+                    .event_log
+                    .record(LogPriority::State, &FollowEvent::ServerLapsed { server: &id });
+                self.core.state.borrow_mut().lapse_server(&id, self.core.clock.now());
+            }
+            StoreRecord::Server(id, None) => {
+                self.core
+                    .event_log
+                    .record(LogPriority::State, &FollowEvent::ServerGone { server: &id });
+                self.core.state.borrow_mut().remove_server(&id);
+            }
+            StoreRecord::Order(service, order) => self.coordinator.apply_order(&service, order),
+            StoreRecord::Progress(service, progress) => {
+                self.coordinator.apply_progress(&service, progress.as_ref());
+            }
+            StoreRecord::Unrelated => {}
+        }
+    }
+
+    fn apply_server(&self, mut server: BackendServer) {
+        self.unreadable.borrow_mut().remove(&server.id);
+        // NB: a copy may be older than the word of a server that it leaves, which binds for its life.
+        if self.is_restoring && self.core.state.borrow().is_draining(&server) {
+            server.state = ServerState::Draining;
+        }
+        if !self.core.state.borrow().is_server_known(&server) {
+            self.log_server(&server);
+        }
+        let id = server.id.clone();
+        if self.core.state.borrow_mut().put_server(server, self.core.clock.now()) {
+            self.core
+                .event_log
+                .record(LogPriority::State, &FollowEvent::ServerBornAnew { server: &id });
+        }
+    }
+
+    fn log_server(&self, server: &BackendServer) {
+        let event = FollowEvent::ServerKnown {
+            server: &server.id,
+            service: &server.service,
+            version: &server.version,
+            state: format!("{:?}", server.state),
+            cold_ms: server.warm_up_left.as_millis() as u64,
+            born_ms: server.born_ms,
+        };
+        self.core.event_log.record(LogPriority::State, &event);
+    }
+
+    /// An entry of a server cannot be read: it names no server, whatever it named before.
+    fn remove_unreadable_server(&self, id: &str, error: &UnreadableRecord) {
+        self.core.state.borrow_mut().remove_server(id);
+        let mut unreadable = self.unreadable.borrow_mut();
+        // NB: one line for each, however often it is written.
+        if unreadable.len() < MAX_UNREADABLE_LOGGED && unreadable.insert(id.to_owned()) {
+            let event = FollowEvent::EntryUnreadable { key: &error.key, reason: &error.reason };
+            self.core.event_log.record(LogPriority::State, &event);
+        }
+    }
+
+    fn apply_evacuation(&self, data_centre: &str, evacuation: Evacuation) {
+        let now = self.core.clock.now();
+        self.lost_evacuations.borrow_mut().remove(data_centre);
+        let mut state = self.core.state.borrow_mut();
+        let is_new = match evacuation {
+            Evacuation::Ordered => state.evacuate(data_centre),
+            Evacuation::Cancelled => state.reinstate(data_centre, now),
+        };
+        // NB: none of them means that no server is known there; the order may name another place.
+        let servers = state.fleets.values().map(|fleet| fleet.count_in(data_centre)).sum();
+        drop(state);
+        if is_new {
+            let event = match evacuation {
+                Evacuation::Ordered => FollowEvent::DataCentreEvacuated { data_centre, servers },
+                Evacuation::Cancelled => FollowEvent::DataCentreTakenBack { data_centre, servers },
+            };
+            self.core.event_log.record(LogPriority::State, &event);
+        }
+    }
+
+    /// Whether the store is just back, so that what it does not list may have lapsed meanwhile.
+    fn may_have_lapsed(&self) -> bool {
+        let returned = |at| self.core.clock.now().saturating_sub(at) < STORE_RETURN_GRACE;
+        // NB: what others tell while this entry alone has lost the store has not lapsed.
+        // And one that asks the store after long silence, for the first time, may be the first to
+        // hear from it again.
+        let lost = (self.store_lost || self.core.is_state_outdated(Duration::ZERO))
+            && self.applying_from == StateSource::Store;
+        lost || self.core.state.borrow().store_returned.is_some_and(returned)
+    }
+
+    /// Forgets the servers and evacuations that the store's return did not bring back.
+    pub(super) fn remove_lapsed(&self) {
+        self.expire_lost_evacuations();
+        let lapsed = self.core.state.borrow_mut().remove_lapsed(self.core.clock.now());
+        for id in &lapsed {
+            self.core.event_log.record(LogPriority::State, &FollowEvent::ServerGone { server: id });
+        }
+    }
+
+    fn expire_lost_evacuations(&self) {
+        let now = self.core.clock.now();
+        let over: Vec<DataCentreId> = {
+            let lost = self.lost_evacuations.borrow();
+            let over = lost.iter().filter(|(_, until)| **until <= now);
+            over.map(|(data_centre, _)| data_centre.clone()).collect()
+        };
+        for data_centre in &over {
+            self.apply_evacuation(data_centre, Evacuation::Cancelled);
+        }
+    }
+
+    /// Puts a configuration in force unless a newer one is; within one life none reverts.
+    fn install(&self, catalog: Catalog, store_revision: u64) {
+        let mut state = self.core.state.borrow_mut();
+        let held = state.catalog.as_ref().map_or(0, |catalog| catalog.version);
+        let version = catalog.version;
+        if held > version {
+            drop(state);
+            let event = FollowEvent::OlderConfigurationIgnored { version, held };
+            self.core.event_log.record(LogPriority::State, &event);
+            return;
+        }
+        state.install(catalog);
+        let store_era = state.replica.position().era;
+        drop(state);
+        let event = FollowEvent::ConfigurationInForce { version, store_era, store_revision };
+        self.core.event_log.record(LogPriority::State, &event);
+    }
+
+    /// Forgets the servers and evacuations that a whole reading does not show.
+    pub(super) fn retain_listed(&self, entries: &[StoreEntry]) {
+        let mut shown = HashSet::new();
+        let mut evacuated = HashSet::new();
+        for entry in entries {
+            match self.port.decode_entry(entry) {
+                Ok(StoreRecord::Server(id, _)) => {
+                    shown.insert(id);
+                }
+                Ok(StoreRecord::Evacuation(data_centre, Evacuation::Ordered)) => {
+                    evacuated.insert(data_centre);
+                }
+                _ => {}
+            }
+        }
+        let known = self.core.state.borrow().evacuated.clone();
+        for data_centre in known.iter().filter(|known| !evacuated.contains(*known)) {
+            if self.is_restoring {
+                let until = self.core.clock.now() + STORE_RETURN_GRACE;
+                self.lost_evacuations.borrow_mut().insert(data_centre.clone(), until);
+            } else {
+                self.apply_evacuation(data_centre, Evacuation::Cancelled);
+            }
+        }
+        let known: Vec<String> = self.core.state.borrow().service_of.keys().cloned().collect();
+        for id in known.iter().filter(|id| !shown.contains(*id)) {
+            self.apply_record(StoreRecord::Server(id.clone(), None), 0);
+        }
+        self.coordinator.retain_listed(entries);
+    }
+}
--- a/crates/direct/src/http/in_flight.rs
+++ b/crates/direct/src/http/in_flight.rs
@@ -9,7 +9,8 @@
     header::{ACCEPT_ENCODING, CONTENT_ENCODING, HOST, HeaderName, HeaderValue},
 };
 use pondwalk_decide::direct::{
-    Grant, ModelNumber, RESUMED, ServerLoad, Standing, longest_wait, rank_of,
+    ProbeDecision, QuarantineStatus, RESUMED_RANK, RouteModelIndex, ServerLoad, max_cold_wait,
+    queue_rank,
 };
 use pondwalk_types::{ServerId, VersionId};
 use tokio::time::sleep;
@@ -19,7 +20,7 @@
     metrics::Counter,
     placement::Placement,
     quarantine::ProbeLease,
-    request::{Job, key_still_holds},
+    request::{Job, is_key_valid},
     upstream::{self, Exchange, SendError},
 };
 
@@ -39,14 +40,14 @@
 impl InFlightGuard {
     /// Counts one more request.
     pub fn enter(core: &Rc<Core>) -> Self {
-        core.under_way.set(core.under_way.get() + 1);
+        core.in_flight.set(core.in_flight.get() + 1);
         InFlightGuard { core: Rc::clone(core) }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.under_way.set(self.core.under_way.get() - 1);
+        self.core.in_flight.set(self.core.in_flight.get() - 1);
     }
 }
 
@@ -61,9 +62,9 @@
     /// Servers that are not tried again.
     pub avoid: Vec<ServerId>,
     /// Model of the next send, as an index into the route's models.
-    pub model: ModelNumber,
+    pub model: RouteModelIndex,
     /// Models whose responses were discarded, with their confidences.
-    pub dropped: Vec<(ModelNumber, u8)>,
+    pub dropped: Vec<(RouteModelIndex, u8)>,
     /// Version of the server that last failed the request.
     pub failed_version: Option<VersionId>,
     /// Whether any send may have run.
@@ -81,7 +82,7 @@
     /// Creates the state of a request that has just been read.
     pub fn new(core: &Rc<Core>, job: Job, guard: InFlightGuard) -> Self {
         let now = core.clock.now();
-        core.state.borrow_mut().budget(&job.service.name).note_request(now);
+        core.state.borrow_mut().budget(&job.service.name).record_request(now);
         InFlightRequest {
             core: Rc::clone(core),
             job: Rc::new(job),
@@ -136,11 +137,11 @@
         if self.probe.is_some() {
             return Ok(());
         }
-        let refused = match self.core.standing(&self.job) {
-            Standing::Free => return Ok(()),
-            Standing::Held { until } => return Err(until),
-            Standing::Probed => Grant::Probed,
-            Standing::OnProbe => match self.core.ask_for_probe(&self.job).await {
+        let refused = match self.core.quarantine_status(&self.job) {
+            QuarantineStatus::Unrestricted => return Ok(()),
+            QuarantineStatus::Quarantined { until } => return Err(until),
+            QuarantineStatus::ProbeInProgress => ProbeDecision::InProgress,
+            QuarantineStatus::ProbeAllowed => match self.core.request_probe(&self.job).await {
                 Ok(lease) => {
                     self.probe = Some(Rc::new(lease));
                     return Ok(());
@@ -149,8 +150,8 @@
             },
         };
         match refused {
-            Grant::Refused { until } => Err(until),
-            Grant::Probed | Grant::Given => self.wait_for_probe().await,
+            ProbeDecision::Refused { until } => Err(until),
+            ProbeDecision::InProgress | ProbeDecision::Granted => self.wait_for_probe().await,
         }
     }
 
@@ -158,13 +159,13 @@
     /// succeeds, requests of the same content continue.
     async fn wait_for_probe(&self) -> Result<(), Duration> {
         let started_at = self.core.clock.now();
-        let until = (started_at + longest_wait(self.job.route.objective)).min(self.job.give_up);
+        let until = (started_at + max_cold_wait(self.job.route.objective)).min(self.job.deadline);
         while self.core.clock.now() < until {
             sleep(PROBE_POLL_INTERVAL).await;
-            match self.core.standing(&self.job) {
-                Standing::Free => return Ok(()),
-                Standing::Held { until } => return Err(until),
-                Standing::Probed | Standing::OnProbe => {}
+            match self.core.quarantine_status(&self.job) {
+                QuarantineStatus::Unrestricted => return Ok(()),
+                QuarantineStatus::Quarantined { until } => return Err(until),
+                QuarantineStatus::ProbeInProgress | QuarantineStatus::ProbeAllowed => {}
             }
         }
         Err(self.core.clock.now() + PROBE_RETRY_DELAY)
@@ -172,7 +173,8 @@
 
     /// Whether the local quarantine state lets the request be sent now.
     fn is_sendable(&self) -> bool {
-        self.probe.is_some() || self.core.standing(&self.job) == Standing::Free
+        self.probe.is_some()
+            || self.core.quarantine_status(&self.job) == QuarantineStatus::Unrestricted
     }
 
     /// Sends the request to its placement and waits for the response head.
@@ -189,7 +191,7 @@
         let until = self.core.clock.instant(until);
         let connect = &self.core.connect;
         let sent = upstream::send(connect, placement.address, request, until, || {
-            self.is_key_valid() && self.is_sendable() && placement.may_leave()
+            self.is_key_valid() && self.is_sendable() && placement.may_dispatch()
         });
         let sent = sent.await;
         if matches!(sent, Err(SendError::Withheld)) {
@@ -223,9 +225,8 @@
             return true;
         }
         let state = self.core.state.borrow();
-        let holds =
-            state.catalog.as_ref().is_some_and(|catalog| key_still_holds(&self.job, catalog));
-        holds && state.freshness.honours_keys(self.core.clock.now())
+        let holds = state.catalog.as_ref().is_some_and(|catalog| is_key_valid(&self.job, catalog));
+        holds && state.freshness.accepts_keys(self.core.clock.now())
     }
 
     /// Takes one send from the request's own limit and from the shared budget.
@@ -263,7 +264,7 @@
             set_header(headers, &HOST, &job.route.host);
         }
         let remaining =
-            job.give_up.saturating_sub(self.core.clock.now()).saturating_sub(RESPONSE_MARGIN);
+            job.deadline.saturating_sub(self.core.clock.now()).saturating_sub(RESPONSE_MARGIN);
         set_header(headers, &dialect.deadline_ms, &remaining.as_millis().max(1).to_string());
         set_header(headers, &dialect.expected_server, placement.server());
         if let Some(workspace) = &job.workspace {
@@ -272,7 +273,7 @@
         if let Some(model) = &placement.model {
             set_header(headers, &dialect.model, model);
             let resumed = last_event_id.is_some();
-            let rank = if resumed { RESUMED } else { rank_of(placement.expected_ms()) };
+            let rank = if resumed { RESUMED_RANK } else { queue_rank(placement.expected_ms()) };
             if self.core.settings.policy.ranks {
                 set_header(headers, &dialect.priority, &rank.to_string());
             }
--- a/crates/direct/src/http/placement_wait.rs
+++ b/crates/direct/src/http/placement_wait.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use pondwalk_decide::direct::{Certainty, ModelNumber, Shut, longest_wait};
+use pondwalk_decide::direct::{Placeability, RouteModelIndex, UnavailableReason, max_cold_wait};
 use tokio::{
     task::spawn_local,
     time::{sleep_until, timeout},
@@ -11,8 +11,8 @@
 use super::in_flight::InFlightRequest;
 use crate::{
     metrics::Counter,
-    permits::WaitingForPermit,
-    placement::{NextSend, NoPlace, Placement},
+    permits::PermitWaiter,
+    placement::{NextSend, Placement, PlacementError},
 };
 
 /// Minimum pause of a request that waits for capacity at a cold server.
@@ -35,22 +35,23 @@
     }
 
     /// How certain a placement with this model is now, or why there is none.
-    pub fn certainty_of(&self, model: ModelNumber) -> Result<Certainty, NoPlace> {
-        Placement::outlook(&self.core, &self.job, NextSend { model, ..self.next_send() })
+    pub fn certainty_of(&self, model: RouteModelIndex) -> Result<Placeability, PlacementError> {
+        Placement::certainty(&self.core, &self.job, NextSend { model, ..self.next_send() })
     }
 
     /// Whether the request could be retried on a server other than that of `placement`, now or after
     /// a short wait.
-    pub fn retry_certainty(&self, placement: &Placement) -> Result<Certainty, NoPlace> {
+    pub fn retry_certainty(&self, placement: &Placement) -> Result<Placeability, PlacementError> {
         let mut avoid = self.avoid.clone();
         avoid.push(placement.server().clone());
         let failed = Some(placement.version.as_str());
         let next = NextSend { model: self.model, avoid: &avoid, failed };
-        match Placement::outlook(&self.core, &self.job, next) {
-            Err(NoPlace::Shut(availability))
-                if availability.shut != Shut::Limited && availability.at < self.wait_deadline() =>
+        match Placement::certainty(&self.core, &self.job, next) {
+            Err(PlacementError::Unavailable(availability))
+                if availability.reason != UnavailableReason::Limited
+                    && availability.at < self.wait_deadline() =>
             {
-                Ok(Certainty::Sure)
+                Ok(Placeability::Now)
             }
             outlook => outlook,
         }
@@ -58,14 +59,14 @@
 
     /// Reserves the placement of the next send if it depends on a permit. Returns whether the send
     /// is certain, so that the current response may be discarded.
-    pub async fn reserve(&mut self, certainty: Certainty) -> bool {
-        if certainty == Certainty::Sure {
+    pub async fn reserve(&mut self, certainty: Placeability) -> bool {
+        if certainty == Placeability::Now {
             return true;
         }
         self.request_permits(INITIAL_PERMIT_REQUESTS).await;
         self.reserved = Placement::find(&self.core, &self.job, self.next_send()).ok();
         if let Some(reserved) = &self.reserved {
-            reserved.settle();
+            reserved.mark_finished();
         }
         self.reserved.is_some()
     }
@@ -78,7 +79,7 @@
             let wanted = Placement::wanted_permit(&self.core, &self.job, self.next_send());
             let Some(wanted) = wanted else { return };
             let core = Rc::clone(&self.core);
-            let asking = spawn_local(core.ask_for_permit(self.job.service.name.clone(), wanted));
+            let asking = spawn_local(core.request_permit(self.job.service.name.clone(), wanted));
             // The fleet records the result.
             let _ = timeout(PERMIT_TIMEOUT, asking).await;
         }
@@ -86,23 +87,23 @@
 
     /// Joins the queue for permits, unless more requests wait already than permits are due before
     /// `until`.
-    fn join_permit_queue(&self, until: Duration) -> Option<WaitingForPermit> {
+    fn join_permit_queue(&self, until: Duration) -> Option<PermitWaiter> {
         let limit = Placement::permits_before(&self.core, &self.job, self.next_send(), until);
-        WaitingForPermit::enter(&self.core, &self.job.service.name, limit)
+        PermitWaiter::enter(&self.core, &self.job.service.name, limit)
     }
 
     /// Deadline of the wait for an unavailable server.
     fn wait_deadline(&self) -> Duration {
-        let longest = longest_wait(self.job.route.objective);
-        (self.core.clock.now() + longest).min(self.job.give_up)
+        let longest = max_cold_wait(self.job.route.objective);
+        (self.core.clock.now() + longest).min(self.job.deadline)
     }
 
     /// Finds a placement for the next send. Waits if the possible servers are only temporarily
     /// unavailable: capacity may return within a fraction of a second, while a refusal costs the
     /// caller a new attempt.
-    pub async fn wait_for_placement(&mut self) -> Result<Placement, NoPlace> {
+    pub async fn wait_for_placement(&mut self) -> Result<Placement, PlacementError> {
         if let Some(reserved) = self.reserved.take() {
-            reserved.unsettle();
+            reserved.mark_unfinished();
             return Ok(reserved);
         }
         let until = self.wait_deadline();
@@ -112,21 +113,26 @@
         loop {
             self.request_permits(std::mem::replace(&mut permits, FURTHER_PERMIT_REQUESTS)).await;
             let availability = match Placement::find(&self.core, &self.job, self.next_send()) {
-                Err(NoPlace::Shut(availability)) if availability.at < until => availability,
+                Err(PlacementError::Unavailable(availability)) if availability.at < until => {
+                    availability
+                }
                 found => return found,
             };
-            if availability.shut == Shut::Limited && waiting.is_none() {
+            if availability.reason == UnavailableReason::Limited && waiting.is_none() {
                 waiting = self.join_permit_queue(until);
                 if waiting.is_none() {
-                    return Err(NoPlace::Shut(availability));
+                    return Err(PlacementError::Unavailable(availability));
                 }
             }
             if !std::mem::replace(&mut is_counted, true) {
-                self.core.metrics.count(Counter::HeldForRoom);
+                self.core.metrics.count(Counter::WaitedForCapacity);
             }
             // Other requests may have taken the capacity by then, so the pause has a minimum.
-            let pause =
-                if availability.shut == Shut::Limited { MIN_PERMIT_PAUSE } else { MIN_PAUSE };
+            let pause = if availability.reason == UnavailableReason::Limited {
+                MIN_PERMIT_PAUSE
+            } else {
+                MIN_PAUSE
+            };
             let at = availability.at.max(self.core.clock.now() + pause);
             sleep_until(self.core.clock.instant(at)).await;
         }
--- a/crates/direct/src/http/refusals.rs
+++ b/crates/direct/src/http/refusals.rs
@@ -6,16 +6,18 @@
     Response,
     header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER},
 };
-use pondwalk_decide::direct::{Opening, Shut, Standing, spread_of};
+use pondwalk_decide::direct::{
+    NextAvailability, QuarantineStatus, UnavailableReason, backoff_jitter,
+};
 use rand::Rng;
 use serde::Serialize;
 
 use super::{body::ResponseBody, events::RequestEvent, in_flight::InFlightRequest};
 use crate::{
     core::Core,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::Counter,
-    placement::{NextSend, NoPlace, Placement},
+    placement::{NextSend, Placement, PlacementError},
     request::Refusal,
 };
 
@@ -85,19 +87,21 @@
     /// Refusal of a request whose content is quarantined until `until`.
     pub(super) fn quarantine_refusal(&self, until: Duration) -> Refusal {
         match self.may_have_run {
-            true => Refusal::EndedServers,
-            false => self.core.refusal_until(until),
+            true => Refusal::CrashedServers,
+            false => self.core.crash_refusal(until),
         }
     }
 
-    pub(super) fn placement_refusal(&self, no_place: NoPlace) -> Refusal {
+    pub(super) fn placement_refusal(&self, no_place: PlacementError) -> Refusal {
         match no_place {
             _ if self.may_have_run => Refusal::OutcomeUnknown,
-            NoPlace::Shut(availability) => self.unavailable_refusal(availability),
+            PlacementError::Unavailable(availability) => self.unavailable_refusal(availability),
             _ if !self.avoid.is_empty() => self.rejection_refusal(),
-            NoPlace::Leaving => Refusal::AllLeaving,
-            NoPlace::Closed if self.job.homes.is_some() => Refusal::NoServerAtHome,
-            NoPlace::Closed => Refusal::NoServer,
+            PlacementError::AllDraining => Refusal::AllDraining,
+            PlacementError::NoServer if self.job.allowed_data_centres.is_some() => {
+                Refusal::NoServerInAllowedRegions
+            }
+            PlacementError::NoServer => Refusal::NoServer,
         }
     }
 
@@ -105,27 +109,36 @@
     /// next attempt.
     pub(super) fn rejection_refusal(&self) -> Refusal {
         let next = NextSend { model: self.model, avoid: &[], failed: None };
-        match Placement::outlook(&self.core, &self.job, next) {
-            Err(NoPlace::Shut(availability)) => self.unavailable_refusal(availability),
-            Err(NoPlace::Leaving) => Refusal::AllLeaving,
-            Ok(_) | Err(NoPlace::Closed) => Refusal::TurnedAway,
+        match Placement::certainty(&self.core, &self.job, next) {
+            Err(PlacementError::Unavailable(availability)) => {
+                self.unavailable_refusal(availability)
+            }
+            Err(PlacementError::AllDraining) => Refusal::AllDraining,
+            Ok(_) | Err(PlacementError::NoServer) => Refusal::TurnedAway,
         }
     }
 
-    fn unavailable_refusal(&self, Opening { at, shut }: Opening) -> Refusal {
-        let opens_in = at.saturating_sub(self.core.clock.now());
+    fn unavailable_refusal(
+        &self,
+        NextAvailability { at, reason: shut }: NextAvailability,
+    ) -> Refusal {
+        let available_in = at.saturating_sub(self.core.clock.now());
         match shut {
-            Shut::Cold => Refusal::AllCold { opens_in },
-            Shut::Backoff => Refusal::AllBackingOff { opens_in: self.stagger(opens_in) },
-            Shut::Limited => Refusal::AllLimited { opens_in: self.stagger(opens_in) },
+            UnavailableReason::Cold => Refusal::AllCold { available_in },
+            UnavailableReason::Backoff => {
+                Refusal::AllBackingOff { available_in: self.stagger(available_in) }
+            }
+            UnavailableReason::Limited => {
+                Refusal::AllLimited { available_in: self.stagger(available_in) }
+            }
         }
     }
 
     /// Adds a random delay, so that callers refused for the same reason do not return at the same
     /// moment.
-    fn stagger(&self, opens_in: Duration) -> Duration {
+    fn stagger(&self, available_in: Duration) -> Duration {
         let drawn = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
-        opens_in + spread_of(opens_in.max(MIN_SPREAD), drawn)
+        available_in + backoff_jitter(available_in.max(MIN_SPREAD), drawn)
     }
 
     pub(super) fn refuse(&self, refusal: Refusal) -> Response<ResponseBody> {
@@ -135,9 +148,10 @@
         } else {
             refusal
         };
-        let is_quarantined = || self.core.standing(&self.job) != Standing::Free;
+        let is_quarantined =
+            || self.core.quarantine_status(&self.job) != QuarantineStatus::Unrestricted;
         let refusal = match refusal {
-            Refusal::OutcomeUnknown if is_quarantined() => Refusal::EndedServers,
+            Refusal::OutcomeUnknown if is_quarantined() => Refusal::CrashedServers,
             refusal => refusal,
         };
         let route = Some(self.job.route.name.as_str());
@@ -161,5 +175,5 @@
         after_ms: now.saturating_sub(refused.arrived).as_millis() as u64,
         sends: refused.sends,
     };
-    core.journal.note(Rank::Failure, &event);
+    core.event_log.record(LogPriority::Failure, &event);
 }
--- a/crates/direct/src/http/relay.rs
+++ b/crates/direct/src/http/relay.rs
@@ -12,10 +12,10 @@
     in_flight::InFlightRequest,
 };
 use crate::{
-    events::EventSplitter,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::Counter,
     placement::Placement,
+    sse::EventSplitter,
     upstream::{Connection, Exchange, SendError},
 };
 
@@ -101,7 +101,7 @@
                     let RelayedRequest { in_flight, confidence, head_ms, status } = &self.relayed;
                     in_flight.record_answered(&source.placement, *confidence, *head_ms, *status);
                     if !source.is_resumed {
-                        source.placement.is_whole();
+                        source.placement.on_completed();
                     }
                     return;
                 }
@@ -124,7 +124,7 @@
                     }
                 }
                 StreamEnd::Broken(reason) => {
-                    source.placement.broke();
+                    source.placement.on_connection_broken();
                     let in_flight = &mut self.relayed.in_flight;
                     in_flight.log_failed_send(
                         &source.placement,
@@ -149,7 +149,7 @@
         let job = Rc::clone(&self.relayed.in_flight.job);
         let clock = self.relayed.in_flight.core.clock.clone();
         let max_silence =
-            job.route.event_pause.unwrap_or(DEFAULT_EVENT_PAUSE).mul_f64(SILENCE_FACTOR);
+            job.route.max_event_gap.unwrap_or(DEFAULT_EVENT_PAUSE).mul_f64(SILENCE_FACTOR);
         let mut last_received = clock.now();
         loop {
             // Without an alternative, silence does not end the stream.
@@ -157,21 +157,21 @@
                 && source.may_switch
                 && source.placement.has_alternative
                 // A request that has crashed a server must not run on two servers at once.
-                && self.relayed.in_flight.core.ends_under(&job) == 0
+                && self.relayed.in_flight.core.crash_count(&job) == 0
                 && self.relayed.in_flight.can_send_again();
             let until =
                 if can_switch { last_received + max_silence } else { clock.now() + max_silence };
-            let until = until.min(job.give_up);
+            let until = until.min(job.deadline);
             let frame = select! {
                 biased;
                 () = self.sender.closed() => return StreamEnd::CallerLeft,
                 frame = timeout_at(clock.instant(until), source.body.frame()) => frame,
             };
             match frame {
-                Err(_) if clock.now() >= job.give_up => return StreamEnd::TimedOut,
+                Err(_) if clock.now() >= job.deadline => return StreamEnd::TimedOut,
                 Err(_) if can_switch => return StreamEnd::Silent,
                 Err(_) => {}
-                Ok(None) if source.splitter.has_rest() => {
+                Ok(None) if source.splitter.has_partial_event() => {
                     return StreamEnd::Broken("ended_within_an_event");
                 }
                 Ok(None) => return StreamEnd::Whole,
@@ -189,7 +189,7 @@
     }
 
     async fn deliver(&mut self, splitter: &mut EventSplitter) -> bool {
-        let Some(whole) = splitter.take_whole() else { return true };
+        let Some(whole) = splitter.pop_complete() else { return true };
         if whole.last_id.is_some() {
             self.last_id = whole.last_id;
         }
@@ -201,14 +201,14 @@
         let in_flight = &mut self.relayed.in_flight;
         in_flight.avoid.push(broken.placement.server().clone());
         while in_flight.job.route.kind.may_repeat()
-            && in_flight.core.clock.now() < in_flight.job.give_up
+            && in_flight.core.clock.now() < in_flight.job.deadline
         {
             in_flight.check_quarantine().await.ok()?;
             if !in_flight.try_take_send(0.0) {
                 return None;
             }
             let placement = in_flight.wait_for_placement().await.ok()?;
-            let until = in_flight.job.give_up;
+            let until = in_flight.job.deadline;
             match in_flight.send(&placement, until, self.last_id.as_deref()).await {
                 Ok(exchange) if is_resumable(in_flight, &exchange) => {
                     in_flight.core.metrics.count(Counter::Resumes);
@@ -218,17 +218,17 @@
                         last_event_id: self.last_id.as_deref(),
                         after_ms: in_flight.after_ms(),
                     };
-                    in_flight.core.journal.note(Rank::Failure, &event);
+                    in_flight.core.event_log.record(LogPriority::Failure, &event);
                     return Some(resumed_source(exchange, placement));
                 }
                 Ok(exchange) => {
                     let status = exchange.response.status().to_string();
                     in_flight.log_failed_send(&placement, "not_resumed", status);
                     if in_flight.is_not_run(&exchange.response) {
-                        placement.settle();
+                        placement.mark_finished();
                     }
                     if in_flight.notice(&exchange.response).backoff.is_none() {
-                        placement.refused();
+                        placement.on_rejected();
                     }
                 }
                 Err(error) => {
@@ -253,7 +253,7 @@
             reason,
             after_ms: in_flight.after_ms(),
         };
-        in_flight.core.journal.note(Rank::Failure, &event);
+        in_flight.core.event_log.record(LogPriority::Failure, &event);
         self.sender.cut();
     }
 
@@ -265,7 +265,7 @@
             server: source.placement.server(),
             after_ms: in_flight.after_ms(),
         };
-        in_flight.core.journal.note(Rank::Failure, &event);
+        in_flight.core.event_log.record(LogPriority::Failure, &event);
     }
 }
 
@@ -273,9 +273,9 @@
 /// was unreachable. A withheld request leaves the server unaffected.
 fn record_unsent(placement: &Placement, error: &SendError) {
     match error {
-        SendError::NotSent { why, .. } => placement.unreached(*why),
-        SendError::Withheld => placement.settle(),
-        _ => placement.refused(),
+        SendError::NotSent { why, .. } => placement.on_unreachable(*why),
+        SendError::Withheld => placement.mark_finished(),
+        _ => placement.on_rejected(),
     }
 }
 
@@ -287,6 +287,6 @@
 }
 
 fn resumed_source(exchange: Exchange, mut placement: Placement) -> StreamSource {
-    placement.began();
+    placement.on_response_started();
     StreamSource::new(exchange.response.into_body(), exchange.connection, placement, true)
 }
--- a/crates/direct/src/http/reporting.rs
+++ b/crates/direct/src/http/reporting.rs
@@ -4,23 +4,23 @@
 use std::time::Duration;
 
 use hyper::{Response, StatusCode, body::Incoming};
-use pondwalk_decide::direct::LimitWord;
+use pondwalk_decide::direct::ReportedRateLimit;
 
 use super::{events::RequestEvent, in_flight::InFlightRequest};
 use crate::{
     content::content_text,
-    journal::Rank,
+    event_log::LogPriority,
     metrics::{Counter, Timer},
-    notice::Notice,
     placement::Placement,
+    server_signals::ServerSignals,
 };
 
 impl InFlightRequest {
     /// Parses the notices for this entry in a server's response.
-    pub fn notice(&self, response: &Response<Incoming>) -> Notice {
+    pub fn notice(&self, response: &Response<Incoming>) -> ServerSignals {
         let not_run = self.is_not_run(response);
         let is_authentic = !not_run && self.is_authentic(response);
-        Notice::read(
+        ServerSignals::from_response(
             &self.core.dialect,
             response.status(),
             response.headers(),
@@ -34,17 +34,17 @@
         let notice = self.notice(response);
         let (request, server) = (self.job.id.as_str(), placement.server());
         let (status, after_ms) = (response.status().as_u16(), self.after_ms());
-        if notice.leaves && placement.told_leaving() {
-            self.core.metrics.count(Counter::ToldLeaving);
+        if notice.is_draining && placement.on_draining() {
+            self.core.metrics.count(Counter::ServersDraining);
             let event = RequestEvent::ServerToldLeaving { request, server, status, after_ms };
-            self.core.journal.note(Rank::Failure, &event);
+            self.core.event_log.record(LogPriority::Failure, &event);
         }
-        if placement.told_limit(notice.limit) {
+        if placement.on_limit_reported(notice.limit) {
             self.record_limit(placement, notice.limit, status);
         }
         if let Some(backoff) = notice.backoff {
-            self.core.metrics.count(Counter::AskedBackoff);
-            let applied = placement.asked_backoff(backoff);
+            self.core.metrics.count(Counter::BackoffsRequested);
+            let applied = placement.on_backoff_requested(backoff);
             let event = RequestEvent::ServerAskedBackoff {
                 request,
                 server,
@@ -53,25 +53,25 @@
                 kept_ms: applied.map(|applied| applied.as_millis() as u64),
                 after_ms,
             };
-            self.core.journal.note(Rank::Failure, &event);
+            self.core.event_log.record(LogPriority::Failure, &event);
         }
     }
 
     /// Counts and logs a change of a server's rate limit.
-    fn record_limit(&self, placement: &Placement, reported: LimitWord, status: u16) {
+    fn record_limit(&self, placement: &Placement, reported: ReportedRateLimit, status: u16) {
         self.core.metrics.count(Counter::LimitsChanged);
         let (request, server) = (self.job.id.as_str(), placement.server());
         let after_ms = self.after_ms();
         let event = match reported {
-            LimitWord::Named(limit) => {
+            ReportedRateLimit::Limit(limit) => {
                 let per_s = limit.per_s();
                 RequestEvent::ServerNamedLimit { request, server, status, per_s, after_ms }
             }
-            LimitWord::Unnamed | LimitWord::Unsaid => {
+            ReportedRateLimit::NoLimit | ReportedRateLimit::NotReported => {
                 RequestEvent::ServerLiftedLimit { request, server, status, after_ms }
             }
         };
-        self.core.journal.note(Rank::Failure, &event);
+        self.core.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Logs a send without a response that can be passed on.
@@ -86,7 +86,7 @@
             detail,
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Failure, &event);
+        self.core.event_log.record(LogPriority::Failure, &event);
     }
 
     /// Records that the connection broke while the request was at a server, which may have crashed
@@ -94,17 +94,17 @@
     ///
     /// A caller's retries have different ids; only the content identifies them as the same request.
     pub fn record_broken_connection(&mut self, placement: &Placement) {
-        self.core.metrics.count(Counter::Broke);
+        self.core.metrics.count(Counter::ConnectionsBroken);
         let event = RequestEvent::ServerBroke {
             request: &self.job.id,
             server: placement.server(),
             content: &content_text(self.job.content()),
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Failure, &event);
-        placement.settle();
+        self.core.event_log.record(LogPriority::Failure, &event);
+        placement.mark_finished();
         let on_probe = self.probe.take().is_some();
-        self.core.note_server_end(&self.job, placement, on_probe);
+        self.core.record_server_crash(&self.job, placement, on_probe);
     }
 
     /// Logs that the response to this request tripped a version.
@@ -114,7 +114,7 @@
             service: &self.job.service.name,
             version: &placement.version,
         };
-        self.core.journal.note(Rank::State, &event);
+        self.core.event_log.record(LogPriority::State, &event);
     }
 
     /// Counts and logs a response that was passed on.
@@ -126,8 +126,8 @@
         status: StatusCode,
     ) {
         let after_ms = self.after_ms();
-        placement.settle();
-        self.core.note_good_end(&self.job);
+        placement.mark_finished();
+        self.core.record_success(&self.job);
         self.core.metrics.count(Counter::Answered);
         self.core.metrics.time(Timer::WholeAnswer, Duration::from_millis(after_ms));
         let event = RequestEvent::RequestAnswered {
@@ -144,6 +144,6 @@
             expected_ms: placement.expected_ms() as u64,
             after_ms,
         };
-        self.core.journal.note(Rank::Success, &event);
+        self.core.event_log.record(LogPriority::Success, &event);
     }
 }
--- a/crates/direct/src/http/request_reader.rs
+++ b/crates/direct/src/http/request_reader.rs
@@ -16,9 +16,9 @@
 
 use crate::{
     catalog::{Catalog, Route, Service, Workspace},
-    core::{Core, Stopping},
+    core::{Core, ShutdownPhase},
     metrics::Timer,
-    request::{Job, Prompt, Refusal, homes_of, strip_connection_headers},
+    request::{Job, Prompt, Refusal, allowed_data_centres_of, strip_hop_by_hop_headers},
 };
 
 /// Maximum wait of a request for the first configuration. A starting entry receives it within 50 ms
@@ -40,10 +40,12 @@
     let body = read_body(body, checked.catalog.limits.max_body_bytes).await?;
     let job = build_job(core, parts, body, checked, arrived);
     let late_calls = core.settings.policy.late_calls;
-    match core.stopping.get() {
+    match core.shutdown.get() {
         // The duration of a stream cannot be predicted, and its caller cannot recover one that is
         // cut.
-        Stopping::Closing { end } if job.give_up > end || !late_calls => Err(Refusal::Closing),
+        ShutdownPhase::Closing { end } if job.deadline > end || !late_calls => {
+            Err(Refusal::Closing)
+        }
         _ => Ok(job),
     }
 }
@@ -52,9 +54,9 @@
 async fn wait_for_initial_state(core: &Core) {
     let end = core.clock.instant(core.clock.now() + INITIAL_STATE_TIMEOUT);
     loop {
-        let something_new = core.something_new.notified();
+        let state_changed = core.state_changed.notified();
         let is_configured = core.state.borrow().catalog.is_some();
-        if is_configured || core.outage().is_some() || timeout_at(end, something_new).await.is_err()
+        if is_configured || core.outage().is_some() || timeout_at(end, state_changed).await.is_err()
         {
             return;
         }
@@ -77,14 +79,14 @@
     if let Some(age) = state.freshness.age(arrived) {
         core.metrics.time(Timer::ConfigurationAge, age);
     }
-    let is_fresh = state.freshness.holds(arrived);
+    let is_fresh = state.freshness.is_current(arrived);
     let id = header_text(&parts.headers, &core.dialect.request_id).ok_or(Refusal::Malformed)?;
     let host = host_of(&parts.uri, &parts.headers).ok_or(Refusal::Malformed)?;
     // A permanent refusal must not be based on a stale configuration.
     let no_route = if is_fresh { Refusal::NoRoute } else { Refusal::Stale };
     let route = catalog.route(&host, parts.uri.path()).cloned().ok_or(no_route)?;
-    let requires_key = catalog.asks_for_keys() && !route.anonymous;
-    if requires_key && !state.freshness.honours_keys(arrived) {
+    let requires_key = catalog.requires_keys() && !route.anonymous;
+    if requires_key && !state.freshness.accepts_keys(arrived) {
         return Err(Refusal::Stale);
     }
     let key = bearer_key(core, &parts.headers);
@@ -148,19 +150,23 @@
     let requested = header_text(headers, &dialect.deadline_ms)
         .and_then(|header_text| header_text.trim().parse().ok());
     let requested = requested.map_or(checked.route.timeout, Duration::from_millis);
-    let give_up = arrived + requested.min(checked.route.timeout);
+    let deadline = arrived + requested.min(checked.route.timeout);
     let chooses_model = !checked.route.models.is_empty()
         && header_text(headers, &dialect.model) == Some(dialect.any_model);
     let session = session_key_of(core, headers, &prompt);
     let last_event_id = header_text(headers, &dialect.last_event_id).map(str::to_owned);
-    strip_connection_headers(&mut parts.headers);
+    strip_hop_by_hop_headers(&mut parts.headers);
     for name in &dialect.reserved {
         parts.headers.remove(name);
     }
     if checked.key.is_some() {
         parts.headers.remove(header::AUTHORIZATION);
     }
-    let homes = homes_of(&checked.route, checked.workspace.as_deref(), &core.settings.regions);
+    let allowed_data_centres = allowed_data_centres_of(
+        &checked.route,
+        checked.workspace.as_deref(),
+        &core.settings.regions,
+    );
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     Job {
         id: checked.id,
@@ -173,14 +179,14 @@
         workspace: checked.workspace,
         key: checked.key,
         arrived,
-        give_up,
+        deadline,
         chooses_model,
         prompt,
         session,
-        homes,
+        allowed_data_centres,
         last_event_id,
         catalog_version: checked.catalog.version,
-        known_content: OnceCell::new(),
+        content_cell: OnceCell::new(),
     }
 }
 
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -4,7 +4,7 @@
 
 use http_body_util::BodyExt;
 use hyper::{Request, Response, StatusCode, body::Incoming, http::response::Parts};
-use pondwalk_decide::direct::ModelNumber;
+use pondwalk_decide::direct::RouteModelIndex;
 use tokio::time::timeout_at;
 
 use super::{
@@ -16,11 +16,11 @@
 };
 use crate::{
     core::Core,
-    foresight,
-    journal::Rank,
+    event_log::LogPriority,
+    forecasts,
     metrics::{Counter, Timer},
     placement::Placement,
-    request::{Refusal, strip_connection_headers},
+    request::{Refusal, strip_hop_by_hop_headers},
     upstream::{Exchange, SendError},
 };
 
@@ -61,7 +61,7 @@
 impl InFlightRequest {
     async fn process(mut self) -> Response<ResponseBody> {
         loop {
-            if self.core.clock.now() >= self.job.give_up {
+            if self.core.clock.now() >= self.job.deadline {
                 let refusal =
                     if self.may_have_run { Refusal::TimedOut } else { Refusal::ExpiredUnsent };
                 return self.refuse(refusal);
@@ -87,13 +87,13 @@
         match self.send(&placement, until, job.last_event_id.as_deref()).await {
             Ok(exchange) => self.handle_response(exchange, placement).await,
             Err(SendError::NotSent { why, detail }) => {
-                placement.unreached(why);
+                placement.on_unreachable(why);
                 self.log_failed_send(&placement, "not_sent", detail);
                 self.avoid.push(placement.server().clone());
                 AttemptResult::Retry
             }
             Err(SendError::Withheld) => {
-                placement.settle();
+                placement.mark_finished();
                 self.log_failed_send(&placement, "withheld", String::new());
                 if self.is_key_valid() {
                     AttemptResult::Retry
@@ -105,14 +105,14 @@
                 self.record_broken_connection(&placement);
                 self.handle_loss(&placement, "broken", detail)
             }
-            Err(SendError::NoHead) if until >= self.job.give_up => {
-                placement.broke();
+            Err(SendError::NoResponse) if until >= self.job.deadline => {
+                placement.on_connection_broken();
                 self.may_have_run = true;
                 self.log_failed_send(&placement, "no_answer", String::new());
                 AttemptResult::Refuse(Refusal::TimedOut)
             }
-            Err(SendError::NoHead) => {
-                if placement.was_silent() {
+            Err(SendError::NoResponse) => {
+                if placement.on_response_timeout() {
                     self.log_tripped(&placement);
                 }
                 self.handle_loss(&placement, "silent", String::new())
@@ -127,14 +127,14 @@
         let has_alternative =
             self.core.settings.policy.tries_elsewhere && placement.has_alternative;
         if !may_retry || !has_alternative {
-            return job.give_up;
+            return job.deadline;
         }
         let min_timeout =
             if job.route.kind.is_stream() { MIN_STREAM_HEAD_TIMEOUT } else { Duration::ZERO };
         let expected = Duration::from_secs_f64(placement.expected_ms() / 1_000.0);
         let timeout = job.route.objective.mul_f64(HEAD_TIMEOUT_SHARE);
         let timeout = timeout.max(expected.mul_f64(EXPECTED_TIME_FACTOR)).max(min_timeout);
-        (self.core.clock.now() + timeout).min(job.give_up)
+        (self.core.clock.now() + timeout).min(job.deadline)
     }
 
     /// Handles a request that may have run, but has no response that can be passed on.
@@ -144,7 +144,7 @@
         outcome: &'static str,
         detail: String,
     ) -> AttemptResult {
-        placement.broke();
+        placement.on_connection_broken();
         self.may_have_run = true;
         self.log_failed_send(placement, outcome, detail);
         self.avoid.push(placement.server().clone());
@@ -168,20 +168,20 @@
         if !self.is_authentic(&exchange.response) {
             return self.handle_loss(&placement, "not_its_answer", status.to_string());
         }
-        placement.began();
+        placement.on_response_started();
         self.record_begun();
         if let Some(load) = self.reported_load(exchange.response.headers()) {
-            placement.tells_load(load);
+            placement.record_load(load);
         }
         let failed = status.is_server_error();
-        if placement.answered(failed) {
+        if placement.on_response(failed) {
             self.log_tripped(&placement);
         }
         let may_retry = failed && self.job.route.kind.may_repeat();
         // A server's failure is still a response; the caller gets it if there is no alternative.
         if may_retry && self.retry_after_failure(&placement).await {
             self.may_have_run = true;
-            placement.settle();
+            placement.mark_finished();
             self.log_failed_send(&placement, "failed", status.to_string());
             return AttemptResult::Retry;
         }
@@ -221,11 +221,11 @@
         self.set_probe_reached(false);
         // The request did not run, so it must not count as involved if the server crashes shortly
         // after.
-        placement.settle();
+        placement.mark_finished();
         if status == StatusCode::MISDIRECTED_REQUEST {
-            placement.is_replaced();
+            placement.on_server_replaced();
         } else if !requested_backoff {
-            placement.refused();
+            placement.on_rejected();
         }
         self.log_failed_send(placement, "not_run", status.to_string());
         // A server that requested a backoff may be tried again after it, also by this request.
@@ -270,17 +270,17 @@
             confidence: Some(confidence),
             after_ms: self.after_ms(),
         };
-        self.core.journal.note(Rank::Success, &event);
+        self.core.event_log.record(LogPriority::Success, &event);
         true
     }
 
     /// Updates the cascade with the confidence of a response, and returns the model to try next, if
     /// any.
-    fn next_model(&self, confidence: u8, placement: &Placement) -> Option<ModelNumber> {
+    fn next_model(&self, confidence: u8, placement: &Placement) -> Option<RouteModelIndex> {
         let job = &self.job;
         let objective_ms = job.route.objective.as_millis().max(1) as f64;
         let elapsed_share = self.after_ms() as f64 / objective_ms;
-        let terms = foresight::terms(&self.core, job, &self.avoid, elapsed_share);
+        let terms = forecasts::model_terms(&self.core, job, &self.avoid, elapsed_share);
         let mut state = self.core.state.borrow_mut();
         let cascade = state.cascades.entry(job.service.name.clone()).or_default();
         let response = (self.model, confidence);
@@ -290,7 +290,7 @@
             cascade.learn(named(*dropped), named(response));
         }
         if policy.time_price {
-            cascade.note_strain(placement.queued_ms() / objective_ms);
+            cascade.record_strain(placement.queued_ms() / objective_ms);
         }
         let responses: Vec<_> = self.dropped.iter().copied().chain([response]).collect();
         cascade.next_model(&responses, &terms)
@@ -320,7 +320,7 @@
     async fn forward_whole(&mut self, exchange: Exchange, placement: Placement) -> AttemptResult {
         let (parts, body) = exchange.response.into_parts();
         let head_ms = self.after_ms();
-        let until = self.core.clock.instant(self.job.give_up);
+        let until = self.core.clock.instant(self.job.deadline);
         let body = match timeout_at(until, body.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
@@ -343,7 +343,7 @@
         let mut response = Response::new(body);
         *response.status_mut() = parts.status;
         *response.headers_mut() = parts.headers;
-        strip_connection_headers(response.headers_mut());
+        strip_hop_by_hop_headers(response.headers_mut());
         response
     }
 }
--- a/crates/direct/src/membership/client.rs
+++ b/crates/direct/src/membership/client.rs
@@ -327,7 +327,7 @@
 ) -> Result<A, PeerError> {
     let store = core.settings.store.address;
     let query = to_message(store, query)?;
-    core.metrics.count_many(Counter::PeerBytesTold, query.len());
+    core.metrics.count_many(Counter::PeerBytesSent, query.len());
     let response = PeerClient::post(&core.connect, address, path, query).await?;
     Ok(from_message(&response, store)?)
 }
--- a/crates/direct/src/membership/forward.rs
+++ b/crates/direct/src/membership/forward.rs
@@ -6,7 +6,7 @@
 use tokio::{sync::Notify, task::spawn_local, time::sleep};
 
 use super::{Gossip, GossipItem, PeerClient, message};
-use crate::{core::Core, journal::Rank, metrics::Counter};
+use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
 /// Time for which gossip is gathered into one batch, so that simultaneous observations of a hundred
 /// entries travel in a few messages.
@@ -57,8 +57,8 @@
 
     /// Wraps an observation of this entry in a new, numbered item.
     pub fn new_gossip_item(&self, news: Gossip) -> GossipItem {
-        let number = self.news_told.get();
-        self.news_told.set(number + 1);
+        let number = self.gossip_sent.get();
+        self.gossip_sent.set(number + 1);
         GossipItem {
             origin: self.settings.name.clone(),
             incarnation: self.incarnation,
@@ -83,7 +83,8 @@
     fn apply_new(&self, items: Vec<GossipItem>) -> Vec<GossipItem> {
         let now = self.clock.now();
         let is_new = |item: &GossipItem| {
-            let log = if item.is_for_roots_only() { &self.news_for_above } else { &self.news };
+            let log =
+                if item.is_for_roots_only() { &self.gossip_for_parents } else { &self.gossip };
             log.borrow_mut().add(item.clone(), now)
         };
         let new: Vec<GossipItem> = items.into_iter().filter(is_new).collect();
@@ -92,14 +93,14 @@
             self.apply(item);
         }
         if new.iter().any(|item| !item.is_for_roots_only()) {
-            self.something_new.notify_waiters();
+            self.state_changed.notify_waiters();
         }
         new
     }
 
     /// Applies all logged gossip about a service again, after a roll-out of it has been received.
     pub fn reapply_gossip_of(&self, service: &str) {
-        let news = self.news.borrow();
+        let news = self.gossip.borrow();
         let items = news.all(self.clock.now()).map(|(_, item)| item);
         items.filter(|item| item.service() == Some(service)).for_each(|item| self.apply(item));
     }
@@ -120,21 +121,21 @@
         };
         let (service, target) = (item.service(), item.target());
         let event = GossipEvent::NewsHeard { from: &item.origin, service, target, what };
-        self.journal.note(Rank::State, &event);
+        self.event_log.record(LogPriority::State, &event);
     }
 
     fn apply(&self, item: &GossipItem) {
         match &item.news {
             Gossip::Used { window, counts, unix_ms } => {
-                return self.hear_used(item, *window, counts, *unix_ms);
+                return self.receive_usage_counts(item, *window, counts, *unix_ms);
             }
             Gossip::Unreached { fleet, server } => {
                 return self.apply_unreached(fleet, server, item);
             }
-            Gossip::Limited { .. } => return self.hear_limit(item),
-            Gossip::Ended { ends } => return self.hear_ends(ends, item.age),
+            Gossip::Limited { .. } => return self.receive_limit(item),
+            Gossip::Ended { ends } => return self.receive_crashes(ends, item.age),
             Gossip::Cleared { content } => {
-                return self.hear_cleared(*content, &item.origin, item.age);
+                return self.receive_clearance(*content, &item.origin, item.age);
             }
             _ => {}
         }
@@ -144,14 +145,14 @@
         let Some(roll_out) = roll_out.filter(|one| one.target() == target) else { return };
         let is_own = item.origin == self.settings.name && item.incarnation == self.incarnation;
         match &item.news {
-            Gossip::Kept { sessions, .. } => roll_out.learn_kept(sessions.iter().copied()),
+            Gossip::Kept { sessions, .. } => roll_out.add_kept_sessions(sessions.iter().copied()),
             // The entry's own observations are counted already.
             Gossip::Seen { .. } if is_own => {}
             Gossip::Seen { seen, .. } => {
-                roll_out.learn_seen(seen.clone(), item.age, self.clock.now());
+                roll_out.apply_observations(seen.clone(), item.age, self.clock.now());
             }
-            Gossip::Stage { stage, .. } => roll_out.learn_stage((*stage).into(), self.clock.now()),
-            Gossip::Bad { .. } => roll_out.learn_bad(),
+            Gossip::Stage { stage, .. } => roll_out.apply_stage((*stage).into(), self.clock.now()),
+            Gossip::Bad { .. } => roll_out.trip_from_peer(),
             Gossip::Unreached { .. }
             | Gossip::Limited { .. }
             | Gossip::Ended { .. }
@@ -167,11 +168,11 @@
         let at = now.saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet);
-        let is_new = fleet.is_some_and(|fleet| fleet.is_told_unreached(server, at, now));
+        let is_new = fleet.is_some_and(|fleet| fleet.apply_peer_unreachable(server, at, now));
         drop(state);
         if is_new {
             let event = GossipEvent::ServerDoubted { server, from: &item.origin };
-            self.journal.note(Rank::State, &event);
+            self.event_log.record(LogPriority::State, &event);
         }
     }
 }
@@ -229,7 +230,7 @@
     for _ in 0..MAX_ATTEMPTS {
         failed = None;
         // The targets are evaluated at each attempt, since a peer may have gone meanwhile.
-        for address in core.above() {
+        for address in core.parents() {
             if sent.contains(&address) {
                 continue;
             }
@@ -247,14 +248,14 @@
     if let Some((to, error)) = failed {
         let to = to.to_string();
         let event = GossipEvent::NewsNotPassedOn { to, items: items.len(), error };
-        core.journal.note(Rank::State, &event);
+        core.event_log.record(LogPriority::State, &event);
     }
 }
 
 async fn send_to(core: &Core, address: SocketAddr, items: &[GossipItem]) -> Result<(), String> {
     let store = core.settings.store.address;
     let bytes = message::to_message(store, &items).map_err(|error| error.to_string())?;
-    core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
+    core.metrics.count_many(Counter::PeerBytesSent, bytes.len());
     let sent = PeerClient::send_gossip(&core.connect, address, bytes).await;
     sent.map_err(|error| error.to_string())
 }
--- a/crates/direct/src/membership/gossip.rs
+++ b/crates/direct/src/membership/gossip.rs
@@ -10,7 +10,8 @@
 };
 
 use pondwalk_decide::direct::{
-    Content, LifeMark, Seen, ServerEnd, ServerLimit, SessionKey, Stage, UsageCounts, WindowId,
+    ContentHash, Observation, RateLimit, ServerCrash, ServerIncarnation, SessionKey, Stage,
+    UsageCounts, WindowId,
 };
 use pondwalk_types::ServerId;
 use serde::{Deserialize, Serialize};
@@ -48,7 +49,7 @@
         /// Version on trial.
         target: String,
         /// The responses.
-        seen: Vec<Seen>,
+        seen: Vec<Observation>,
     },
     /// The entry has written to the store that a roll-out has reached this stage.
     Stage {
@@ -80,20 +81,20 @@
         /// The server.
         server: ServerId,
         /// Incarnation of the server that reported the limit.
-        life: LifeMark,
+        life: ServerIncarnation,
         /// The limit; `None` if it was lifted.
-        limit: Option<ServerLimit>,
+        limit: Option<RateLimit>,
     },
     /// Servers crashed while running requests of these contents. Each crash carries its age at the
     /// time of publication.
     Ended {
         /// The crashes with their ages.
-        ends: Vec<(ServerEnd, Duration)>,
+        ends: Vec<(ServerCrash, Duration)>,
     },
     /// A request of this content succeeded.
     Cleared {
         /// The content.
-        content: Content,
+        content: ContentHash,
     },
     /// Total number of requests that this entry has seen begin to run in a window. Goes only to the
     /// roots.
--- a/crates/direct/src/membership/replica.rs
+++ b/crates/direct/src/membership/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use pondwalk_store::{Fetched, Position, StoreEvent};
+use pondwalk_store::{Position, StoreEntry, StoreEvent};
 
 use super::{KeyChange, MessageError, message};
 
@@ -33,7 +33,7 @@
 
 impl Replica {
     /// Replaces the contents with all keys as read at `position`.
-    pub fn reset(&mut self, entries: &[Fetched], position: Position) {
+    pub fn reset(&mut self, entries: &[StoreEntry], position: Position) {
         *self = Replica { start: position.revision, position, ..Replica::default() };
         entries.iter().for_each(|entry| self.insert(entry));
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    fn insert(&mut self, entry: &Fetched) {
+    fn insert(&mut self, entry: &StoreEntry) {
         let value = Bytes::copy_from_slice(&entry.value);
         self.keys.insert(entry.key.clone(), Versioned { value, revision: entry.revision });
     }
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -19,7 +19,7 @@
     FORMAT, GossipItem, MessageError, NEWS_PATH, PERMIT_PATH, PROBE_PATH, STATE_PATH, StateHead,
     StateMessage, StateRequestKind, message::from_message,
 };
-use crate::{core::Core, journal::Rank, metrics::Counter};
+use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
 /// Maximum size of a posted message: three times the sessions that a hundred entries keep.
 const MAX_POST_BYTES: usize = 1024 * 1024;
@@ -98,9 +98,10 @@
                 STATE_PATH => send_state(&core, &request).await,
                 NEWS_PATH => receive_gossip(&core, request).await,
                 PROBE_PATH => {
-                    answer_query(&core, request, async |core, body| core.answer_probe(body)).await
+                    answer_query(&core, request, async |core, body| core.handle_probe_request(body))
+                        .await
                 }
-                PERMIT_PATH => answer_query(&core, request, Core::answer_permit).await,
+                PERMIT_PATH => answer_query(&core, request, Core::handle_permit_request).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
@@ -123,7 +124,8 @@
             with_status(StatusCode::OK, Bytes::new())
         }
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -143,7 +145,8 @@
     match answer {
         Ok(bytes) => with_status(StatusCode::OK, bytes),
         Err(error) => {
-            core.journal.note(Rank::State, &ServeEvent::NewsRefused { error: error.to_string() });
+            core.event_log
+                .record(LogPriority::State, &ServeEvent::NewsRefused { error: error.to_string() });
             with_status(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -156,7 +159,7 @@
     match wait_for_state(core, parsed).await {
         Some(Ok(bytes)) => {
             core.metrics.count(Counter::QuestionsAnswered);
-            core.metrics.count_many(Counter::PeerBytesTold, bytes.len());
+            core.metrics.count_many(Counter::PeerBytesSent, bytes.len());
             with_status(StatusCode::OK, bytes)
         }
         Some(Err(_)) => with_status(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
@@ -170,7 +173,7 @@
     let times = &core.settings.membership.times;
     let received_at = core.clock.now();
     loop {
-        let state_changed = core.something_new.notified();
+        let state_changed = core.state_changed.notified();
         if has_update(core, parsed) {
             return Some(encode_state(core, parsed));
         }
@@ -179,7 +182,7 @@
         }
         let stale_at = stale_at(core);
         // An entry that has lost its parent may be about to find another.
-        let give_up = stale_at.unwrap_or_default().max(received_at + times.hold_while_old);
+        let give_up = stale_at.unwrap_or_default().max(received_at + times.stale_hold_time);
         if timeout_at(core.clock.instant(give_up), state_changed).await.is_err() {
             return None;
         }
@@ -192,8 +195,8 @@
 /// otherwise no request would be answered and changes would reach no entry.
 fn stale_at(core: &Core) -> Option<Duration> {
     let state = core.state.borrow();
-    let max_age = core.settings.membership.times.oldest_told + state.store_takes;
-    state.freshness.confirmed().map(|at| at + max_age)
+    let max_age = core.settings.membership.times.max_peer_confirmation_age + state.store_latency;
+    state.freshness.confirmed_at().map(|at| at + max_age)
 }
 
 /// Whether a response now would give the requester anything new.
@@ -204,7 +207,9 @@
     let last = parsed.last.filter(|last| last.incarnation == core.incarnation);
     let has_changes = state.replica.position() > parsed.after;
     let (is_reconfirmed, has_gossip) = match last {
-        Some(last) => (state.turn != last.turn, core.news.borrow().end() > last.news_end),
+        Some(last) => {
+            (state.confirmation_count != last.turn, core.gossip.borrow().end() > last.news_end)
+        }
         None => (true, false),
     };
     match parsed.kind {
@@ -217,7 +222,7 @@
 }
 
 fn encode_state(core: &Core, parsed: ParsedRequest) -> Result<Bytes, MessageError> {
-    let summary = core.summary_of_ends();
+    let summary = core.crash_summary();
     let mut state = core.state.borrow_mut();
     let changes = match parsed.kind {
         StateRequestKind::Changes | StateRequestKind::ChangesNow => {
@@ -233,7 +238,7 @@
     let last = parsed.last.filter(|last| last.incarnation == core.incarnation);
     let summary =
         if last.is_none() { summary.map(|gossip| core.new_gossip_item(gossip)) } else { None };
-    let gossip = core.news.borrow();
+    let gossip = core.gossip.borrow();
     let mut unsent = gossip.items_from(last.map_or(0, |last| last.news_end), core.clock.now());
     unsent.extend(summary);
     let head = StateHead {
@@ -242,10 +247,10 @@
         incarnation: core.incarnation,
         now: core.clock.now(),
         // A state without a confirmation is not sent.
-        confirmed: state.freshness.confirmed().unwrap_or(Duration::ZERO),
+        confirmed: state.freshness.confirmed_at().unwrap_or(Duration::ZERO),
         store_returned: state.store_returned,
-        store_takes: state.store_takes,
-        turn: state.turn,
+        store_takes: state.store_latency,
+        turn: state.confirmation_count,
         position: state.replica.position(),
         whole,
         // Set when the message is encoded.
--- a/crates/direct/src/quarantine/lease.rs
+++ b/crates/direct/src/quarantine/probe_lease.rs
@@ -6,17 +6,17 @@
     rc::Rc,
 };
 
-use pondwalk_decide::direct::Content;
+use pondwalk_decide::direct::ContentHash;
 use tokio::sync::Notify;
 
-use super::ask::ProbeQuestion;
+use super::probe::ProbeRequest;
 use crate::core::Core;
 
 /// Leave that was given and is to be given back.
 #[derive(Debug, Default)]
-pub struct GivenBack {
-    probes: RefCell<Vec<(Content, Option<SocketAddr>)>>,
-    filled: Notify,
+pub struct ReleasedProbes {
+    probes: RefCell<Vec<(ContentHash, Option<SocketAddr>)>>,
+    changed: Notify,
 }
 
 /// Leave to run a content once. It is given back when dropped, unless a server was reached.
@@ -25,7 +25,7 @@
 /// up all its probes.
 pub struct ProbeLease {
     core: Rc<Core>,
-    content: Content,
+    content: ContentHash,
     /// Entry that granted it, if that was another.
     granted_by: Option<SocketAddr>,
     has_reached: Cell<bool>,
@@ -33,7 +33,7 @@
 
 impl ProbeLease {
     /// Leave to run a content, granted by the entry at this address, or by this one.
-    pub fn new(core: &Rc<Core>, content: Content, granted_by: Option<SocketAddr>) -> Self {
+    pub fn new(core: &Rc<Core>, content: ContentHash, granted_by: Option<SocketAddr>) -> Self {
         ProbeLease { core: Rc::clone(core), content, granted_by, has_reached: Cell::new(false) }
     }
 
@@ -46,23 +46,23 @@
 impl Drop for ProbeLease {
     fn drop(&mut self) {
         if !self.has_reached.get() {
-            let given_back = &self.core.given_back;
-            given_back.probes.borrow_mut().push((self.content, self.granted_by));
-            given_back.filled.notify_one();
+            let released_probes = &self.core.released_probes;
+            released_probes.probes.borrow_mut().push((self.content, self.granted_by));
+            released_probes.changed.notify_one();
         }
     }
 }
 
 /// Gives leave back to the entries that granted it, for as long as the process runs.
-pub async fn give_back_probes(core: Rc<Core>) {
+pub async fn release_probes(core: Rc<Core>) {
     loop {
-        core.given_back.filled.notified().await;
-        for (content, granted_by) in core.given_back.probes.take() {
+        core.released_probes.changed.notified().await;
+        for (content, granted_by) in core.released_probes.probes.take() {
             match granted_by {
-                None => core.state.borrow_mut().quarantine.give_back(content),
+                None => core.state.borrow_mut().quarantine.release_probe(content),
                 // NB: one that cannot be told takes the probe for used up.
                 Some(address) => {
-                    core.tell_given_back(address, ProbeQuestion::GiveBack(content)).await
+                    core.send_probe_release(address, ProbeRequest::GiveBack(content)).await
                 }
             }
         }
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -14,9 +14,9 @@
 use pondwalk_direct::{
     Entry,
     membership::{FORMAT, Replica, StateHead, StateMessage},
-    upstream::{BoxedDuplex, Connect, Opening},
+    upstream::{BoxedDuplex, Connect, Connecting},
 };
-use pondwalk_store::{Fetched, Position};
+use pondwalk_store::{Position, StoreEntry};
 use tokio::{
     io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf, duplex},
     task::spawn_local,
@@ -32,7 +32,7 @@
 
 /// Full state with these keys, all changed at `revision`, as another entry sends it.
 pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> StateMessage {
-    let entry = |(key, value): &(&str, &str)| Fetched {
+    let entry = |(key, value): &(&str, &str)| StoreEntry {
         key: (*key).to_owned(),
         value: value.as_bytes().to_vec(),
         revision,
@@ -152,7 +152,7 @@
                 let opened_at = silence_count.get();
                 Ok(Box::new(Silenceable { inner: near, opened_at, silence_count }) as BoxedDuplex)
             };
-            Box::pin(opening) as Opening
+            Box::pin(opening) as Connecting
         })
     }
 
--- a/crates/direct/tests/crashing_requests.rs
+++ b/crates/direct/tests/crashing_requests.rs
@@ -196,7 +196,7 @@
         let entries = start(&world, &net, &repeatable(), 1).await;
         world.call_at(&entries[0], crashing(&repeatable(), 1)).await;
         world.call_at(&entries[0], crashing(&repeatable(), 2)).await;
-        let text = entries[0].gathered_lines();
+        let text = entries[0].buffered_log_lines();
         let lines = text.lines().filter(|line| line.contains("\"server_broke\""));
         let read = |line| serde_json::from_str::<serde_json::Value>(line).expect("JSON");
         let lines: Vec<serde_json::Value> = lines.map(read).collect();
--- a/crates/direct/tests/crashing_requests_many_entries.rs
+++ b/crates/direct/tests/crashing_requests_many_entries.rs
@@ -234,7 +234,7 @@
         }
         for e in &entries {
             for l in e
-                .gathered_lines()
+                .buffered_log_lines()
                 .lines()
                 .filter(|l| l.contains("content") || l.contains("news_not"))
             {
--- a/crates/direct/tests/draining_servers.rs
+++ b/crates/direct/tests/draining_servers.rs
@@ -305,7 +305,7 @@
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
             spawn_local(async move {
                 sleep(Duration::from_secs(3)).await;
-                world.entry.pretend_suspended(Duration::from_secs(60));
+                world.entry.simulate_suspension(Duration::from_secs(60));
             });
         })
     });
--- a/crates/direct/tests/initial_state.rs
+++ b/crates/direct/tests/initial_state.rs
@@ -52,6 +52,10 @@
         sleep(Duration::from_millis(290)).await;
         assert_eq!(requests.get(), 1);
         sleep(Duration::from_millis(60)).await;
-        assert!(entry.gathered_lines().contains("first_state"), "{}", entry.gathered_lines());
+        assert!(
+            entry.buffered_log_lines().contains("first_state"),
+            "{}",
+            entry.buffered_log_lines()
+        );
     });
 }
--- a/crates/direct/tests/log_limits.rs
+++ b/crates/direct/tests/log_limits.rs
@@ -9,7 +9,7 @@
 };
 
 use common::{catalog, request, run_test};
-use pondwalk_direct::journal::{Journal, Rank};
+use pondwalk_direct::event_log::{EventLog, LogPriority};
 use pondwalk_standin::backends::Act;
 use spdlog::{
     Record,
@@ -22,28 +22,28 @@
     event: &'static str,
 }
 
-fn lines(journal: &Journal, event: &str) -> usize {
-    journal.gathered().lines().filter(|line| line.contains(event)).count()
+fn lines(event_log: &EventLog, event: &str) -> usize {
+    event_log.buffered().lines().filter(|line| line.contains(event)).count()
 }
 
 #[tokio::test(start_paused = true)]
 async fn log_lines_stay_within_limit_under_tenfold_load() {
-    let journal = Journal::silent("e1", 100);
+    let event_log = EventLog::in_memory("e1", 100);
     for _ in 0..1_000 {
-        journal.note(Rank::Success, &Line { event: "good" });
+        event_log.record(LogPriority::Success, &Line { event: "good" });
     }
     for _ in 0..1_000 {
-        journal.note(Rank::Failure, &Line { event: "bad" });
+        event_log.record(LogPriority::Failure, &Line { event: "bad" });
     }
-    journal.note(Rank::State, &Line { event: "changed" });
-    assert_eq!(lines(&journal, "good"), 50, "successes leave half of the lines to failures");
-    assert_eq!(lines(&journal, "bad"), 50);
-    assert_eq!(lines(&journal, "changed"), 1, "changes of state are always written");
+    event_log.record(LogPriority::State, &Line { event: "changed" });
+    assert_eq!(lines(&event_log, "good"), 50, "successes leave half of the lines to failures");
+    assert_eq!(lines(&event_log, "bad"), 50);
+    assert_eq!(lines(&event_log, "changed"), 1, "changes of state are always written");
     sleep(Duration::from_secs(1)).await;
-    journal.note(Rank::Success, &Line { event: "good" });
-    journal.flush();
-    assert_eq!(lines(&journal, "good"), 51, "a second later lines are available again");
-    let text = journal.gathered();
+    event_log.record(LogPriority::Success, &Line { event: "good" });
+    event_log.flush();
+    assert_eq!(lines(&event_log, "good"), 51, "a second later lines are available again");
+    let text = event_log.buffered();
     let dropped = text.lines().find(|line| line.contains("lines_dropped")).expect("a line");
     assert!(dropped.contains("\"lines\":1900"), "{dropped}");
 }
@@ -56,7 +56,7 @@
         world.start().await;
         world.call(request("/once/", "r1")).await;
         world.call(request("/nowhere/", "r2")).await;
-        let text = world.entry.gathered_lines();
+        let text = world.entry.buffered_log_lines();
         let read = |line| serde_json::from_str::<serde_json::Value>(line).expect("JSON");
         let events: Vec<serde_json::Value> = text.lines().map(read).collect();
         assert!(events.iter().all(|event| event["at_ms"].is_u64() && event["event"].is_string()));
@@ -117,13 +117,13 @@
 #[test]
 fn blocked_output_does_not_stall_and_lost_lines_are_counted() {
     let output = Arc::new(HeldOutput::default());
-    let journal = Journal::to(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
-    let journal = journal.expect("a journal");
+    let event_log = EventLog::to_sink(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
+    let event_log = event_log.expect("a journal");
     let guard = output.written.lock().expect("the lock is not poisoned");
     // More batches than the queue holds; with a blocking log this would never end.
     for _ in 0..30 {
-        journal.note(Rank::State, &Line { event: "changed" });
-        journal.flush();
+        event_log.record(LogPriority::State, &Line { event: "changed" });
+        event_log.flush();
     }
     drop(guard);
     let reported =
@@ -133,7 +133,7 @@
             return;
         }
         std::thread::sleep(Duration::from_millis(1));
-        journal.flush();
+        event_log.flush();
     }
     panic!("lost lines are never reported");
 }
--- a/crates/direct/tests/server_rate_limits_many_entries.rs
+++ b/crates/direct/tests/server_rate_limits_many_entries.rs
@@ -10,7 +10,7 @@
     net::{Impostor, Net, peer_address},
     run_test, stream, total,
 };
-use pondwalk_decide::direct::{granting_order, server_hash};
+use pondwalk_decide::direct::{granter_order, server_hash};
 use pondwalk_direct::Entry;
 use pondwalk_standin::backends::Act;
 use tokio::{
@@ -184,7 +184,7 @@
         let net = Net::default();
         let entries = start(&world, &net, (1, "s", ok_response()), 6).await;
         let mut names: Vec<String> = entries.iter().map(|entry| entry.name().to_owned()).collect();
-        granting_order(u128::from(server_hash("s1")), &mut names);
+        granter_order(u128::from(server_hash("s1")), &mut names);
         let granter =
             entries.iter().position(|entry| entry.name() == names[0]).expect("it is used");
         let stands_still: Impostor = Rc::new(|io| {
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -67,7 +67,7 @@
         set_up(&world, 60);
         let entries = net.start_many(&world, 60, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         let mut rng = SmallRng::seed_from_u64(4);
         // Single changes at any point of a wait, and bursts, as when several servers drain at once.
         for _ in 0..120 {
@@ -142,7 +142,7 @@
         set_up(&world, 3);
         let entries = net.start_many(&world, 40, "");
         sleep(Duration::from_secs(5)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         for late_ms in (10..450).step_by(10) {
             world.list_server(1, "s", "v1", "ready");
             let seen = oldest_within(&entries, Duration::from_millis(late_ms)).await;
@@ -271,7 +271,7 @@
             let entry = net.start_with(&world, 9, &seeds);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, &entry, "k1").await, 200, "it reads the store");
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("source_failed") && lines.contains("refused"), "{lines}");
         });
     }
@@ -293,7 +293,7 @@
         }
         sleep(Duration::from_secs(1)).await;
         let seen = oldest_within(&entries, Duration::from_secs(5)).await;
-        assert!(seen <= world.entry_times().oldest_in_calm(), "{seen:?}");
+        assert!(seen <= world.entry_times().normal_confirmation_age(), "{seen:?}");
     });
 }
 
@@ -392,14 +392,14 @@
         world.store.set_weather(Weather::Refused);
         let finder = entries.last().expect("some");
         let mut number = 0;
-        while !finder.gathered_lines().contains("version_tripped") && number < 400 {
+        while !finder.buffered_log_lines().contains("version_tripped") && number < 400 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
             world.call_at(finder, sent).await;
             number += 1;
         }
         sleep(Duration::from_millis(700)).await;
-        let has_received = |entry: &&Entry| entry.gathered_lines().contains("\"what\":\"bad\"");
+        let has_received = |entry: &&Entry| entry.buffered_log_lines().contains("\"what\":\"bad\"");
         assert_eq!(entries.iter().filter(has_received).count(), entries.len());
     });
 }
@@ -466,7 +466,7 @@
         world.store.remove("server/s1");
         sleep(Duration::from_millis(1_000)).await;
         for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != root) {
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             assert!(lines.contains("server_gone"), "entry {n}: {lines}");
             assert!(!lines.contains("server_lapsed"), "entry {n}: the store was never down");
         }
@@ -507,7 +507,11 @@
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(status(&world, &entry, "k1").await, 200, "the local state is kept");
-        assert!(entry.gathered_lines().contains("revision 40"), "{}", entry.gathered_lines());
+        assert!(
+            entry.buffered_log_lines().contains("revision 40"),
+            "{}",
+            entry.buffered_log_lines()
+        );
     });
 }
 
@@ -525,7 +529,7 @@
         net.cut.borrow_mut().extend((0..12).map(peer_address));
         net.silence_open_connections();
         sleep(Duration::from_secs(3)).await;
-        assert!(entries[isolated].gathered_lines().contains("store_lost"));
+        assert!(entries[isolated].buffered_log_lines().contains("store_lost"));
         net.cut.borrow_mut().clear();
         let is_fresh_again = || entries[isolated].state_age() < Some(Duration::from_millis(700));
         let mut waited = 0;
@@ -536,7 +540,7 @@
         assert!(is_fresh_again(), "other entries have published it again");
         world.store.remove("server/s1");
         sleep(Duration::from_millis(900)).await;
-        let lines = entries[isolated].gathered_lines();
+        let lines = entries[isolated].buffered_log_lines();
         assert!(lines.contains("server_gone") && !lines.contains("server_lapsed"), "{lines}");
     });
 }
--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -268,7 +268,7 @@
         sleep(Duration::from_secs(6)).await;
         let answer = world.call(request("/once/", "r-17")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        let lines = world.entry.gathered_lines();
+        let lines = world.entry.buffered_log_lines();
         let line = lines.lines().find(|line| line.contains("r-17")).expect("a line");
         for part in ["request_refused", "\"stale\"", "\"freshness_ms\":", "\"configuration\":1"] {
             assert!(line.contains(part), "{part} in {line}");
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -506,7 +506,7 @@
         sleep(SETTLED).await;
         assert_eq!(total(&entries, "pondwalk_store_era"), 4);
         for entry in &entries {
-            let lines = entry.gathered_lines();
+            let lines = entry.buffered_log_lines();
             let expected = "\"event\":\"store_restored\",\"before\":{\"era\":0,";
             assert!(lines.contains(expected), "{lines}");
         }
--- a/crates/direct/tests/suspended_machine.rs
+++ b/crates/direct/tests/suspended_machine.rs
@@ -32,7 +32,7 @@
         // The store does not respond until the first request has arrived.
         world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
         world.configure(catalog_with_keys(2, &["k1"]));
-        world.entry.pretend_suspended(SUSPENSION);
+        world.entry.simulate_suspension(SUSPENSION);
         assert_eq!(status(&world, &world.entry, "k2").await, 503);
         assert_eq!(world.backends.runs(), 1);
         assert!(
@@ -57,7 +57,7 @@
         let resuming = async {
             sleep(Duration::from_millis(300)).await;
             world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
-            world.entry.pretend_suspended(Duration::from_secs(5));
+            world.entry.simulate_suspension(Duration::from_secs(5));
         };
         let (answer, ()) = tokio::join!(asking, resuming);
         assert!(answer.status.is_server_error());
@@ -74,12 +74,12 @@
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
-            entry.pretend_suspended(SUSPENSION);
+            entry.simulate_suspension(SUSPENSION);
             let age = entry.state_age().expect("a state");
             assert!(age >= SUSPENSION, "{age:?}");
         }
         sleep(Duration::from_secs(3)).await;
-        let bound = world.entry_times().oldest_in_calm();
+        let bound = world.entry_times().normal_confirmation_age();
         for entry in &entries {
             let age = entry.state_age().expect("a state");
             assert!(age <= bound, "{age:?} is older than {bound:?}");
@@ -95,7 +95,7 @@
         let entries = start(&world, &net, &repeatable(), 5).await;
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(3)).await;
         for entry in &entries {
-            entry.pretend_suspended(SUSPENSION);
+            entry.simulate_suspension(SUSPENSION);
         }
         sleep(Duration::from_secs(2)).await;
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(20)).await;
--- a/crates/direct/tests/usage_reports.rs
+++ b/crates/direct/tests/usage_reports.rs
@@ -40,7 +40,7 @@
         }
         let started = Instant::now();
         let entries = net.start_many(world, count, USAGE);
-        entries.iter().for_each(|entry| entry.pretend_unix_ms(START_MS));
+        entries.iter().for_each(|entry| entry.simulate_unix_ms(START_MS));
         let deployment = Deployment { world, net, entries, started, served: BTreeMap::new() };
         sleep(Duration::from_secs(10)).await;
         deployment
@@ -248,14 +248,14 @@
         all.ask_for(Duration::from_secs(12), 40).await;
         // The holder's own clock jumps, and other entries restart with wrong clocks.
         let holder = all.holder();
-        all.entries[holder].pretend_unix_ms(START_MS + 20_000);
+        all.entries[holder].simulate_unix_ms(START_MS + 20_000);
         for n in 0..3 {
             let later = all.net.start_with(
                 &world,
                 100 + n,
                 &format!("[membership]\nseeds={}\n{USAGE}", common::net::peer_address(0)),
             );
-            later.pretend_unix_ms(START_MS + 8_000);
+            later.simulate_unix_ms(START_MS + 8_000);
         }
         all.ask_for(Duration::from_secs(25), 40).await;
         all.wait_until_due().await;
@@ -278,7 +278,7 @@
         all.net.cut.borrow_mut().clear();
         let at_start = START_MS + all.started.elapsed().as_millis() as u64;
         all.entries = all.net.start_many(&world, 3, USAGE);
-        all.entries.iter().for_each(|entry| entry.pretend_unix_ms(at_start));
+        all.entries.iter().for_each(|entry| entry.simulate_unix_ms(at_start));
         all.served.clear();
         sleep(Duration::from_millis(WINDOW_MS)).await;
         all.ask_for(Duration::from_secs(15), 40).await;
@@ -299,7 +299,7 @@
         all.ask_for(Duration::from_secs(10), 20).await;
         all.wait_until_due().await;
         assert_eq!(world.usage_sink.calls(), 0);
-        let logged = |entry: &Entry| entry.gathered_lines().contains("usage_record_unreadable");
+        let logged = |entry: &Entry| entry.buffered_log_lines().contains("usage_record_unreadable");
         assert!(total(&all.entries, "pondwalk_requests_total") > 0);
         assert!(all.entries.iter().any(logged));
     });
@@ -368,7 +368,7 @@
             restore(&world, &copy).await;
             all.entries = (10..14).map(|n| all.net.start_with(&world, n, USAGE)).collect();
             let now_ms = START_MS + all.started.elapsed().as_millis() as u64;
-            all.entries.iter().for_each(|entry| entry.pretend_unix_ms(now_ms));
+            all.entries.iter().for_each(|entry| entry.simulate_unix_ms(now_ms));
             sleep(Duration::from_secs(10)).await;
             all.ask_for(Duration::from_secs(15), 20).await;
             all.wait_until_due().await;
--- a/crates/replay/src/simulation/changes.rs
+++ b/crates/replay/src/simulation/changes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondwalk_types::{Ran, Refusal, RollOut, VersionId, VersionState};
+use pondwalk_types::{Executed, Refusal, RollOut, VersionId, VersionState};
 
 use super::{Simulation, book::Run};
 use crate::events::RunIx;
@@ -28,7 +28,7 @@
         for server in 0..self.fleet.len() {
             let runs = &self.runs;
             let queue = &mut self.fleet.get_mut(server).queue;
-            for run in queue.withdraw_where(|run| runs[*run].version == *version) {
+            for run in queue.cancel_where(|run| runs[*run].version == *version) {
                 self.refused(now, run, Refusal::VersionWithdrawn(version.clone()));
             }
         }
@@ -40,7 +40,7 @@
         }
         let name = self.fleet.get_mut(server).name.clone();
         self.driver.server_leaving(&name);
-        for run in self.fleet.get_mut(server).queue.withdraw_where(|_| true) {
+        for run in self.fleet.get_mut(server).queue.cancel_where(|_| true) {
             self.refused(now, run, Refusal::Draining);
         }
     }
@@ -55,7 +55,7 @@
         let cut: Vec<RunIx> = (0..self.runs.len()).filter(|run| there(&self.runs[*run])).collect();
         for run in cut {
             let spent = self.close_run(now, run);
-            self.failed(now, run, Ran::Unknown, spent, Refusal::ContactLost);
+            self.failed(now, run, Executed::Unknown, spent, Refusal::ContactLost);
         }
     }
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The transport over HTTP.
+//! HTTP transport.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     gateway::WATCH_PATH,
 };
 
-/// Builds a transport that posts to the gateway at `address`.
+/// Creates a transport that posts requests to the gateway at `address`.
 pub fn http_transport(address: SocketAddr) -> Transport {
     let client = reqwest::Client::new();
     Arc::new(move |path, body, wait| {
@@ -33,17 +33,17 @@
         if path == WATCH_PATH {
             return first_events(reply).await;
         }
-        reply.text().await.map_err(|_| StoreError::AnswerLost)
+        reply.text().await.map_err(|_| StoreError::ResponseLost)
     };
-    tokio::time::timeout(wait, exchange).await.unwrap_or(Err(StoreError::AnswerLost))
+    tokio::time::timeout(wait, exchange).await.unwrap_or(Err(StoreError::ResponseLost))
 }
 
-/// Reads a watch's stream up to the first line that carries a change.
+/// Reads the response stream of a watch up to the first line with a change.
 async fn first_events(reply: reqwest::Response) -> Result<String, StoreError> {
     let mut stream = reply.bytes_stream();
     let mut pending = Vec::new();
     while let Some(chunk) = stream.next().await {
-        pending.extend_from_slice(&chunk.map_err(|_| StoreError::AnswerLost)?);
+        pending.extend_from_slice(&chunk.map_err(|_| StoreError::ResponseLost)?);
         while let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = pending.drain(..=end).collect();
             let line = String::from_utf8(line).map_err(|_| StoreError::Malformed)?;
@@ -52,14 +52,14 @@
             }
         }
     }
-    Err(StoreError::AnswerLost)
+    Err(StoreError::ResponseLost)
 }
 
 fn classify(error: reqwest::Error) -> StoreError {
-    // NB: any other status may come after the write took effect.
+    // NB: every other status may be sent after the write took effect.
     let unavailable = error.status() == Some(reqwest::StatusCode::SERVICE_UNAVAILABLE);
     if error.is_connect() || unavailable {
         return StoreError::Unreachable;
     }
-    StoreError::AnswerLost
+    StoreError::ResponseLost
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! A narrow client of the platform's key-value service.
+//! Client of the platform's key-value store.
 //!
-//! [`Store`] speaks the JSON gateway of the etcd v3 API; its transport is a closure, so that
-//! tests put a fake in its place. [`StorePort`] is the same service as a set of closures, for
-//! roles that run on stores of other wire forms.
+//! [`Store`] uses the JSON gateway of the etcd v3 API; its transport is a closure that tests can
+//! replace. [`StorePort`] is an interface to the same operations as a set of closures, for
+//! roles that run on stores with other protocols.
 
 mod client;
 #[cfg(feature = "gateway")]
@@ -13,10 +13,10 @@
 mod http;
 mod port;
 
-pub use client::{Change, Expect, Fetched, Store, StoreError, Transport, Watched};
+pub use client::{Change, Expect, Store, StoreEntry, StoreError, Transport, WatchOutcome};
 #[cfg(feature = "gateway")]
 pub use http::http_transport;
 pub use port::{
-    CommitCall, Era, ListCall, Listing, PortCall, PortFuture, Position, Progress, StoreEvent,
+    CommitCall, Era, ListCall, Listing, PortCall, PortFuture, Position, ReadProgress, StoreEvent,
     StorePort, WatchCall, WatchReply,
 };
