--- a/crates/direct/src/http/in_flight.rs
+++ b/crates/direct/src/http/in_flight.rs
@@ -64,7 +64,7 @@
     /// Model of the next send, as an index into the route's models.
     pub model: RouteModelIndex,
     /// Models whose responses were discarded, with their confidences.
-    pub dropped: Vec<(RouteModelIndex, u8)>,
+    pub discarded: Vec<(RouteModelIndex, u8)>,
     /// Version of the server that last failed the request.
     pub failed_version: Option<VersionId>,
     /// Whether any send may have run.
@@ -89,7 +89,7 @@
             sends: 0,
             avoid: Vec::new(),
             model: 0,
-            dropped: Vec::new(),
+            discarded: Vec::new(),
             failed_version: None,
             may_have_run: false,
             is_counted: false,
@@ -107,7 +107,7 @@
             sends: self.sends,
             avoid: self.avoid.clone(),
             model: self.model,
-            dropped: Vec::new(),
+            discarded: Vec::new(),
             failed_version: self.failed_version.clone(),
             may_have_run: true,
             is_counted: self.is_counted,
@@ -137,7 +137,7 @@
         if self.probe.is_some() {
             return Ok(());
         }
-        let refused = match self.core.quarantine_status(&self.job) {
+        let decision = match self.core.quarantine_status(&self.job) {
             QuarantineStatus::Unrestricted => return Ok(()),
             QuarantineStatus::Quarantined { until } => return Err(until),
             QuarantineStatus::ProbeInProgress => ProbeDecision::InProgress,
@@ -146,10 +146,10 @@
                     self.probe = Some(Rc::new(lease));
                     return Ok(());
                 }
-                Err(refused) => refused,
+                Err(decision) => decision,
             },
         };
-        match refused {
+        match decision {
             ProbeDecision::Refused { until } => Err(until),
             ProbeDecision::InProgress | ProbeDecision::Granted => self.wait_for_probe().await,
         }
@@ -206,7 +206,7 @@
             }
         }
         if let Ok(exchange) = &sent {
-            self.apply_notice(placement, &exchange.response);
+            self.apply_signals(placement, &exchange.response);
         }
         sent
     }
@@ -225,8 +225,9 @@
             return true;
         }
         let state = self.core.state.borrow();
-        let holds = state.catalog.as_ref().is_some_and(|catalog| is_key_valid(&self.job, catalog));
-        holds && state.freshness.accepts_keys(self.core.clock.now())
+        let is_known =
+            state.catalog.as_ref().is_some_and(|catalog| is_key_valid(&self.job, catalog));
+        is_known && state.freshness.accepts_keys(self.core.clock.now())
     }
 
     /// Takes one send from the request's own limit and from the shared budget.
--- a/crates/direct/src/http/refusals.rs
+++ b/crates/direct/src/http/refusals.rs
@@ -75,8 +75,8 @@
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(pause) = refusal.retry_after(core.outage())
-        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", pause.as_secs_f64()))
+    if let Some(retry_after) = refusal.retry_after(core.outage())
+        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
     {
         headers.insert(RETRY_AFTER, value);
     }
@@ -92,8 +92,8 @@
         }
     }
 
-    pub(super) fn placement_refusal(&self, no_place: PlacementError) -> Refusal {
-        match no_place {
+    pub(super) fn placement_refusal(&self, error: PlacementError) -> Refusal {
+        match error {
             _ if self.may_have_run => Refusal::OutcomeUnknown,
             PlacementError::Unavailable(availability) => self.unavailable_refusal(availability),
             _ if !self.avoid.is_empty() => self.rejection_refusal(),
@@ -118,12 +118,9 @@
         }
     }
 
-    fn unavailable_refusal(
-        &self,
-        NextAvailability { at, reason: shut }: NextAvailability,
-    ) -> Refusal {
+    fn unavailable_refusal(&self, NextAvailability { at, reason }: NextAvailability) -> Refusal {
         let available_in = at.saturating_sub(self.core.clock.now());
-        match shut {
+        match reason {
             UnavailableReason::Cold => Refusal::AllCold { available_in },
             UnavailableReason::Backoff => {
                 Refusal::AllBackingOff { available_in: self.stagger(available_in) }
@@ -137,8 +134,8 @@
     /// Adds a random delay, so that callers refused for the same reason do not return at the same
     /// moment.
     fn stagger(&self, available_in: Duration) -> Duration {
-        let drawn = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
-        available_in + backoff_jitter(available_in.max(MIN_SPREAD), drawn)
+        let draw = self.core.state.borrow_mut().rng.random_range(0.0..1.0);
+        available_in + backoff_jitter(available_in.max(MIN_SPREAD), draw)
     }
 
     pub(super) fn refuse(&self, refusal: Refusal) -> Response<ResponseBody> {
--- a/crates/direct/src/http/relay.rs
+++ b/crates/direct/src/http/relay.rs
@@ -227,7 +227,7 @@
                     if in_flight.is_not_run(&exchange.response) {
                         placement.mark_finished();
                     }
-                    if in_flight.notice(&exchange.response).backoff.is_none() {
+                    if in_flight.signals(&exchange.response).backoff.is_none() {
                         placement.on_rejected();
                     }
                 }
--- a/crates/direct/src/http/reporting.rs
+++ b/crates/direct/src/http/reporting.rs
@@ -1,4 +1,4 @@
-//! Evaluates the notices in backend responses, and records the progress of a request in metrics and
+//! Evaluates the signals in backend responses, and records the progress of a request in metrics and
 //! log.
 
 use std::time::Duration;
@@ -16,8 +16,8 @@
 };
 
 impl InFlightRequest {
-    /// Parses the notices for this entry in a server's response.
-    pub fn notice(&self, response: &Response<Incoming>) -> ServerSignals {
+    /// Parses the signals in a server's response.
+    pub fn signals(&self, response: &Response<Incoming>) -> ServerSignals {
         let not_run = self.is_not_run(response);
         let is_authentic = !not_run && self.is_authentic(response);
         ServerSignals::from_response(
@@ -29,20 +29,20 @@
         )
     }
 
-    /// Applies the notices in a response, whatever the outcome of the request.
-    pub(super) fn apply_notice(&self, placement: &Placement, response: &Response<Incoming>) {
-        let notice = self.notice(response);
+    /// Applies the signals in a response, whatever the outcome of the request.
+    pub(super) fn apply_signals(&self, placement: &Placement, response: &Response<Incoming>) {
+        let signals = self.signals(response);
         let (request, server) = (self.job.id.as_str(), placement.server());
         let (status, after_ms) = (response.status().as_u16(), self.after_ms());
-        if notice.is_draining && placement.on_draining() {
+        if signals.is_draining && placement.on_draining() {
             self.core.metrics.count(Counter::ServersDraining);
             let event = RequestEvent::ServerToldLeaving { request, server, status, after_ms };
             self.core.event_log.record(LogPriority::Failure, &event);
         }
-        if placement.on_limit_reported(notice.limit) {
-            self.record_limit(placement, notice.limit, status);
+        if placement.on_limit_reported(signals.limit) {
+            self.record_limit(placement, signals.limit, status);
         }
-        if let Some(backoff) = notice.backoff {
+        if let Some(backoff) = signals.backoff {
             self.core.metrics.count(Counter::BackoffsRequested);
             let applied = placement.on_backoff_requested(backoff);
             let event = RequestEvent::ServerAskedBackoff {
--- a/crates/direct/src/http/request_reader.rs
+++ b/crates/direct/src/http/request_reader.rs
@@ -147,8 +147,8 @@
         header_text(headers, &dialect.prompt_parts),
         header_text(headers, &dialect.token_usage),
     );
-    let requested = header_text(headers, &dialect.deadline_ms)
-        .and_then(|header_text| header_text.trim().parse().ok());
+    let requested =
+        header_text(headers, &dialect.deadline_ms).and_then(|text| text.trim().parse().ok());
     let requested = requested.map_or(checked.route.timeout, Duration::from_millis);
     let deadline = arrived + requested.min(checked.route.timeout);
     let chooses_model = !checked.route.models.is_empty()
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -71,7 +71,7 @@
             }
             let placement = match self.wait_for_placement().await {
                 Ok(placement) => placement,
-                Err(no_place) => return self.refuse(self.placement_refusal(no_place)),
+                Err(error) => return self.refuse(self.placement_refusal(error)),
             };
             match self.attempt(placement).await {
                 AttemptResult::Respond(response) => return response,
@@ -162,7 +162,7 @@
     ) -> AttemptResult {
         let status = exchange.response.status();
         if self.is_not_run(&exchange.response) {
-            let requested_backoff = self.notice(&exchange.response).backoff.is_some();
+            let requested_backoff = self.signals(&exchange.response).backoff.is_some();
             return self.handle_not_run(status, &placement, requested_backoff);
         }
         if !self.is_authentic(&exchange.response) {
@@ -254,18 +254,18 @@
         if !self.try_take_send(RETRY_RESERVE_SHARE) {
             return false;
         }
-        let dropped = std::mem::replace(&mut self.model, next);
+        let discarded = std::mem::replace(&mut self.model, next);
         if !self.reserve(certainty).await {
-            self.model = dropped;
+            self.model = discarded;
             return false;
         }
         self.may_have_run = true;
-        self.dropped.push((dropped, confidence));
+        self.discarded.push((discarded, confidence));
         self.core.metrics.count(Counter::Escalations);
         let event = RequestEvent::Escalated {
             request: &self.job.id,
             server: placement.server(),
-            from_model: dropped,
+            from_model: discarded,
             to_model: next,
             confidence: Some(confidence),
             after_ms: self.after_ms(),
@@ -286,13 +286,13 @@
         let response = (self.model, confidence);
         let named = |(model, confidence)| (job.service_model(model), confidence);
         let policy = &self.core.settings.policy;
-        if let Some(dropped) = self.dropped.last().filter(|_| policy.learned_lifts) {
-            cascade.learn(named(*dropped), named(response));
+        if let Some(discarded) = self.discarded.last().filter(|_| policy.learned_lifts) {
+            cascade.learn(named(*discarded), named(response));
         }
         if policy.time_price {
             cascade.record_strain(placement.queued_ms() / objective_ms);
         }
-        let responses: Vec<_> = self.dropped.iter().copied().chain([response]).collect();
+        let responses: Vec<_> = self.discarded.iter().copied().chain([response]).collect();
         cascade.next_model(&responses, &terms)
     }
 
--- a/crates/direct/src/membership/forward.rs
+++ b/crates/direct/src/membership/forward.rs
@@ -100,8 +100,8 @@
 
     /// Applies all logged gossip about a service again, after a roll-out of it has been received.
     pub fn reapply_gossip_of(&self, service: &str) {
-        let news = self.gossip.borrow();
-        let items = news.all(self.clock.now()).map(|(_, item)| item);
+        let gossip = self.gossip.borrow();
+        let items = gossip.all(self.clock.now()).map(|(_, item)| item);
         items.filter(|item| item.service() == Some(service)).for_each(|item| self.apply(item));
     }
 
@@ -142,7 +142,9 @@
         let mut state = self.state.borrow_mut();
         let (Some(service), Some(target)) = (item.service(), item.target()) else { return };
         let roll_out = state.roll_outs.get_mut(service);
-        let Some(roll_out) = roll_out.filter(|one| one.target() == target) else { return };
+        let Some(roll_out) = roll_out.filter(|trial| trial.target() == target) else {
+            return;
+        };
         let is_own = item.origin == self.settings.name && item.incarnation == self.incarnation;
         match &item.news {
             Gossip::Kept { sessions, .. } => roll_out.add_kept_sessions(sessions.iter().copied()),
--- a/crates/direct/tests/draining_servers.rs
+++ b/crates/direct/tests/draining_servers.rs
@@ -18,7 +18,7 @@
     time::{Instant, sleep},
 };
 
-/// Time for which requests may still reach a server after its notice.
+/// Time for which requests may still reach a server after its signal.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Interval between two requests.
 const GAP: Duration = Duration::from_millis(40);
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Requests at a server that were sent too long after its notice.
-    fn count_late(&self, world: &World, n: u16, notice_at: Instant) -> usize {
+    /// Requests at a server that were sent too long after its signal.
+    fn count_late(&self, world: &World, n: u16, signalled_at: Instant) -> usize {
         let seen = world.backends.seen(address(n));
         let sent = seen.iter().filter_map(|seen| self.at.get(&seen.headers["x-request-id"]));
-        sent.filter(|at| **at > notice_at + DRAIN_TIME).count()
+        sent.filter(|at| **at > signalled_at + DRAIN_TIME).count()
     }
 }
 
@@ -86,10 +86,10 @@
     sent.send(&world, path, Duration::from_secs(1)).await;
     assert!(!world.backends.seen(address(1)).is_empty(), "it is used before");
     report_draining(&world, 1);
-    let notice_at = Instant::now();
+    let signalled_at = Instant::now();
     event(Rc::clone(&world)).await;
     sent.send(&world, path, Duration::from_secs(12)).await;
-    assert_eq!(sent.count_late(&world, 1, notice_at), 0, "{path}");
+    assert_eq!(sent.count_late(&world, 1, signalled_at), 0, "{path}");
     let served = sent.answers.iter().filter(|answer| answer.status == 200 && answer.whole);
     assert_eq!(served.count(), sent.answers.len(), "the other servers serve all requests");
 }
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn drain_notice_in_discarded_response_is_applied() {
+fn drain_signal_in_discarded_response_is_applied() {
     run_test(|world| check_draining_during(world, "/models/x", stream(3, Some(5)), no_event));
 }
 
 #[test]
-fn drain_notice_survives_store_outage() {
+fn drain_signal_survives_store_outage() {
     run_test(|world| {
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
             world.store.set_weather(Weather::Refused);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn drain_notice_survives_ready_listing() {
+fn drain_signal_survives_ready_listing() {
     run_test(|world| {
         check_draining_during(world, "/again/x", ok_response(), |world| async move {
             spawn_local(async move {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn drain_notice_survives_relisting() {
+fn drain_signal_survives_relisting() {
     run_test(|world| {
         check_draining_during(world, "/again/x", ok_response(), |world| async move {
             spawn_local(async move {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn drain_notice_survives_outage_with_lost_history() {
+fn drain_signal_survives_outage_with_lost_history() {
     run_test(|world| {
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
             spawn_local(async move {
@@ -163,9 +163,9 @@
     });
 }
 
-/// One request gets the notice in a response of the given kind; none of the following requests goes
+/// One request gets the signal in a response of the given kind; none of the following requests goes
 /// there.
-fn check_notice_in(path: &'static str, act: Act) {
+fn check_signal_in(path: &'static str, act: Act) {
     run_test(move |world| async move {
         four_servers(&world, "s", &act);
         (1..=4).for_each(|n| report_draining(&world, n));
@@ -180,20 +180,20 @@
 }
 
 #[test]
-fn drain_notice_applies_in_every_kind_of_response() {
-    check_notice_in("/once/x", Act::Answer(200, "made".into()));
-    check_notice_in("/once/x", Act::Answer(500, "failed".into()));
-    check_notice_in("/again/x", Act::Answer(500, "failed".into()));
-    check_notice_in("/again/x", Act::NotRun(503));
-    check_notice_in("/once/x", Act::NotRun(429));
+fn drain_signal_applies_in_every_kind_of_response() {
+    check_signal_in("/once/x", Act::Answer(200, "made".into()));
+    check_signal_in("/once/x", Act::Answer(500, "failed".into()));
+    check_signal_in("/again/x", Act::Answer(500, "failed".into()));
+    check_signal_in("/again/x", Act::NotRun(503));
+    check_signal_in("/once/x", Act::NotRun(429));
     let cut = || Act::Stream {
         last: 9,
         gap: Duration::from_millis(10),
         confidence: None,
         cut_in: Some(2),
     };
-    check_notice_in("/stream/x", cut());
-    check_notice_in("/fixed/x", cut());
+    check_signal_in("/stream/x", cut());
+    check_signal_in("/fixed/x", cut());
 }
 
 #[test]
@@ -204,7 +204,7 @@
         (1..=4).for_each(|n| report_draining(&world, n));
         world.start().await;
         let mut sent = Sent::default();
-        let notice_at = Instant::now();
+        let signalled_at = Instant::now();
         sent.send(&world, "/again/x", Duration::from_secs(1)).await;
         let before = Instant::now();
         let refused = world.call(request("/again/x", "late")).await;
@@ -216,7 +216,7 @@
         // A server that starts has reported it by then, and not earlier.
         assert!((0.5..=5.0).contains(&retry_after), "{retry_after}");
         sent.send(&world, "/again/x", Duration::from_secs(6)).await;
-        let late: usize = (1..=4).map(|n| sent.count_late(&world, n, notice_at)).sum();
+        let late: usize = (1..=4).map(|n| sent.count_late(&world, n, signalled_at)).sum();
         assert_eq!(late, 0);
     });
 }
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn drain_notice_survives_suspension() {
+fn drain_signal_survives_suspension() {
     run_test(|world| {
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
             spawn_local(async move {
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn each_entry_applies_its_first_drain_notice_during_outage() {
+fn each_entry_applies_its_first_drain_signal_during_outage() {
     run_test(|world| async move {
         let net = Net::default();
         four_servers(&world, "s", &ok_response());
--- a/crates/direct/tests/server_backoff.rs
+++ b/crates/direct/tests/server_backoff.rs
@@ -20,10 +20,10 @@
     time::{Instant, sleep},
 };
 
-/// Requests that may reach a server between half a second after its notice and the end of the
+/// Requests that may reach a server between half a second after its signal and the end of the
 /// backoff.
 const MAX_REQUESTS: usize = 2;
-/// Time after a notice in which requests sent before it may still arrive.
+/// Time after a signal in which requests sent before it may still arrive.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
 
 fn ok_response() -> Act {
@@ -88,7 +88,7 @@
     let gap = Duration::from_millis(40);
     let first = send_for(&world, path, gap, IN_TRANSIT).await;
     let before: Vec<usize> = (1..=4).map(|n| seen(&world, n)).collect();
-    assert!(before.iter().all(|count| *count > 0), "each has sent its notice");
+    assert!(before.iter().all(|count| *count > 0), "each has sent its signal");
     let rest = Duration::from_secs_f64(seconds) - IN_TRANSIT - Duration::from_millis(100);
     let pending = send_for(&world, path, gap, rest).await;
     for n in 1..=4 {
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn caller_rate_limit_is_not_a_backoff_notice() {
+fn caller_rate_limit_is_not_a_backoff_signal() {
     for status in [200, 404, 429] {
         run_test(move |world| async move {
             let act = Act::Answer(status, "for the caller".into());
--- a/crates/direct/tests/notice_logging.rs
+++ b/crates/direct/tests/signal_logging.rs
@@ -1,4 +1,4 @@
-//! Logging of notices: the logs and metrics alone show when a backend server reported something to
+//! Logging of server signals: the logs and metrics alone show when a backend server reported something to
 //! an entry, and in which response.
 
 mod common;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn invalid_notices_are_ignored() {
+fn invalid_signals_are_ignored() {
     for value in ["-3", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", "NaN", "", "0", "-inf", "3s"] {
         run_test(move |world| async move {
             world.configure(catalog(1));
