--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -98,10 +98,10 @@
                 STATE_PATH => send_state(&core, &request).await,
                 NEWS_PATH => receive_gossip(&core, request).await,
                 PROBE_PATH => {
-                    answer_query(&core, request, async |core, body| core.handle_probe_request(body))
+                    answer_query(&core, request, async |core, body| core.handle_probe_query(body))
                         .await
                 }
-                PERMIT_PATH => answer_query(&core, request, Core::handle_permit_request).await,
+                PERMIT_PATH => answer_query(&core, request, Core::handle_permit_query).await,
                 _ => with_status(StatusCode::NOT_FOUND, Bytes::new()),
             };
             Ok::<_, Infallible>(response)
