--- a/crates/direct/src/http/refusals.rs
+++ b/crates/direct/src/http/refusals.rs
@@ -118,10 +118,7 @@
         }
     }
 
-    fn unavailable_refusal(
-        &self,
-        NextAvailability { at, reason }: NextAvailability,
-    ) -> Refusal {
+    fn unavailable_refusal(&self, NextAvailability { at, reason }: NextAvailability) -> Refusal {
         let available_in = at.saturating_sub(self.core.clock.now());
         match reason {
             UnavailableReason::Cold => Refusal::AllCold { available_in },
