--- a/crates/generations/src/edits.rs
+++ b/crates/generations/src/edits.rs
@@ -1,12 +1,12 @@
-//! The edits that operators, and tripped trials, make.
+//! Edits of the policy, made by operators and by tripped trials.
 
 use pondwalk_types::{Policy, RollOut, VersionId, VersionState};
 use thiserror::Error;
 
-/// Why an edit does not fit the configuration.
+/// Why an edit cannot be applied to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EditError {
-    /// The version is not defined and its model has no price.
+    /// The version is not defined, or its model has no price.
     #[error("version {0} is not defined")]
     UnknownVersion(VersionId),
     /// The version is withdrawn.
@@ -14,29 +14,34 @@
     Withdrawn(VersionId),
 }
 
-/// Replaces the whole policy by one from version control.
+/// Replaces the whole policy with one from a file.
 ///
-/// Withdrawals and roll-outs that were ordered meanwhile stay in force, since a file that knows
-/// nothing of them must not undo them; `reinstate` names the versions that it may bring back.
+/// Withdrawals and roll-outs ordered after the file was written stay in force; a file without them must
+/// not undo them. `reinstate` lists the versions whose withdrawal the file may undo.
 pub fn replace_policy(current: &Policy, file: &Policy, reinstate: &[VersionId]) -> Policy {
     let mut next = file.clone();
     for (version, spec) in &current.versions {
-        if let Some(named) = next.versions.get_mut(version)
+        if let Some(replacement) = next.versions.get_mut(version)
             && !reinstate.contains(version)
         {
-            named.state = stricter(named.state, spec.state);
+            replacement.state = stricter(replacement.state, spec.state);
         }
     }
     for roll_out in &current.roll_outs {
-        let named = next.roll_outs.iter().any(|known| known.version == roll_out.version);
-        if !named && next.add_version(&roll_out.version) && next.add_version(&roll_out.replaces) {
+        let is_listed = next.roll_outs.iter().any(|known| known.version == roll_out.version);
+        if !is_listed && next.add_version(&roll_out.version) && next.add_version(&roll_out.replaces)
+        {
             next.roll_outs.push(roll_out.clone());
         }
     }
     next
 }
 
-/// Withdraws a version: it takes no new work at all.
+/// Withdraws a version, so that it accepts no new requests, and ends its roll-out.
+///
+/// # Errors
+///
+/// `UnknownVersion` if the version is not defined.
 pub fn withdraw(current: &Policy, version: &VersionId) -> Result<Policy, EditError> {
     let mut next = current.clone();
     let spec = next.versions.get_mut(version);
@@ -46,7 +51,11 @@
     Ok(next)
 }
 
-/// Starts a roll-out; workspaces that may use the old version may use the new one.
+/// Starts a roll-out, and allows the new version for all workspaces that may use the old one.
+///
+/// # Errors
+///
+/// `UnknownVersion` if a version is not defined and has no price; `Withdrawn` if the new version is withdrawn.
 pub fn add_roll_out(current: &Policy, roll_out: &RollOut) -> Result<Policy, EditError> {
     let mut next = current.clone();
     for version in [&roll_out.version, &roll_out.replaces] {
@@ -63,7 +72,7 @@
             workspace.allowed_versions.insert(roll_out.version.clone());
         }
     }
-    next.roll_outs.retain(|known| known.version != roll_out.version);
+    next.roll_outs.retain(|existing| existing.version != roll_out.version);
     next.roll_outs.push(roll_out.clone());
     Ok(next)
 }
--- a/crates/generations/src/lib.rs
+++ b/crates/generations/src/lib.rs
@@ -1,8 +1,7 @@
-//! The sequence of accepted configurations: one head record, moved on by compare-and-swap.
+//! The sequence of accepted configurations: one head record, updated by compare-and-swap.
 //!
-//! A generation is made only by a write that is conditional on the one before, so generations
-//! form one line and none comes twice. A write whose answer was lost is recognised by the change's
-//! own id.
+//! Each generation is written on condition that the previous one is still in force, so generations are
+//! consecutive and unique. A write whose response was lost is recognised by its change id.
 
 mod edits;
 
@@ -13,12 +12,12 @@
 
 pub use edits::{EditError, add_roll_out, replace_policy, withdraw};
 
-/// What to do when another operator's change comes first.
+/// What to do if another operator's change is accepted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnConflict {
-    /// Make the same edit on top of the other change.
+    /// Apply the edit to the other change's result.
     Retry,
-    /// Give up and say so.
+    /// Return [`ChangeError::Conflict`].
     Abort,
 }
 
@@ -28,62 +27,70 @@
     /// The store failed; `Unreachable` means that nothing was written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The record in the store cannot be read.
-    #[error("the configuration in the store cannot be read")]
+    /// The record in the store cannot be decoded.
+    #[error("the configuration in the store cannot be decoded")]
     Unreadable,
-    /// Another change was accepted meanwhile; nothing of this one was.
+    /// Another change was accepted first; this change was not accepted.
     #[error("another operator's change was accepted first, as generation {generation}")]
     Conflict {
-        /// The other change's generation.
+        /// Generation of the other change.
         generation: Generation,
     },
-    /// The edit does not fit the configuration.
+    /// The edit cannot be applied to the configuration.
     #[error(transparent)]
     Edit(#[from] EditError),
 }
 
-/// The head as read, with the revision to compare with.
+/// The head record and its revision in the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Head {
-    /// The configuration in force; generation zero if none was ever accepted.
+    /// The configuration in force; generation zero if no configuration was ever accepted.
     pub record: PolicyRecord,
-    /// Revision of the store's record, if there is one.
+    /// Revision of the record; `None` if the store has no record.
     pub revision: Option<u64>,
 }
 
 /// Reads the configuration in force.
+///
+/// # Errors
+///
+/// Returns an error if the store fails or the record cannot be decoded.
 pub async fn read_head(store: &Store) -> Result<Head, ChangeError> {
-    let Some(fetched) = store.get(HEAD_KEY).await? else {
+    let Some(entry) = store.get(HEAD_KEY).await? else {
         return Ok(Head::default());
     };
-    let record = serde_json::from_slice(&fetched.value).map_err(|_| ChangeError::Unreadable)?;
-    Ok(Head { record, revision: Some(fetched.revision) })
+    let record = serde_json::from_slice(&entry.value).map_err(|_| ChangeError::Unreadable)?;
+    Ok(Head { record, revision: Some(entry.revision) })
 }
 
-/// Makes an edit the next generation; returns the record accepted.
+/// Applies an edit to the configuration in force and commits the result as the next generation; returns the
+/// accepted record.
+///
+/// `change_id` must be a new random number for each change.
+///
+/// # Errors
 ///
-/// `change_id` must be drawn anew for each change. An error other than a lost answer means that
-/// nothing was accepted.
+/// After a lost response the outcome is unknown; any other error means that the change was not accepted.
 pub async fn commit_edit(
     store: &Store,
     change_id: u64,
-    on_race: OnConflict,
+    on_conflict: OnConflict,
     edit: impl Fn(&Policy) -> Result<Policy, EditError>,
 ) -> Result<PolicyRecord, ChangeError> {
     const TRIES: u32 = 8;
     let mut last = ChangeError::Store(StoreError::ResponseLost);
-    let mut decided_on: Option<Generation> = None;
+    let mut previous: Option<Generation> = None;
     for _ in 0..TRIES {
         let head = read_head(store).await?;
         if head.record.change_id == change_id && head.revision.is_some() {
             return Ok(head.record);
         }
         let generation = head.record.generation;
-        let raced = decided_on.is_some_and(|before| before != generation);
-        if raced && on_race == OnConflict::Abort {
+        let has_conflict = previous.is_some_and(|before| before != generation);
+        if has_conflict && on_conflict == OnConflict::Abort {
             return Err(ChangeError::Conflict { generation });
         }
-        decided_on = Some(generation);
+        previous = Some(generation);
         let policy = edit(&head.record.policy)?;
         let next = PolicyRecord { generation: generation + 1, change_id, policy };
         match write(store, &head, &next).await {
--- a/crates/generations/tests/survives_store_faults.rs
+++ b/crates/generations/tests/survives_store_faults.rs
@@ -1,4 +1,4 @@
-//! One line of generations, whatever the store does and whoever races.
+//! Generations are consecutive and unique despite failures of the store and concurrent changes.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn generations_follow_each_other() {
+async fn generations_are_consecutive() {
     let kv = KvStore::default();
     let store = store(&kv);
     for expected in 1..=5 {
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_makes_one_generation_and_not_two() {
+async fn a_lost_response_creates_only_one_generation() {
     let kv = KvStore::default();
     let store = store(&kv);
     kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_down_accepts_nothing() {
+async fn no_change_is_accepted_while_the_store_is_unavailable() {
     let kv = KvStore::default();
     let store = store(&kv);
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
@@ -57,31 +57,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_operators_one_is_told_of_the_race() {
+async fn one_of_two_concurrent_changes_reports_a_conflict() {
     let kv = KvStore::default();
     let slow = KvFaults { delay: Duration::from_millis(50), ..KvFaults::default() };
     kv.set_faults(slow);
     let store = store(&kv);
-    let (one, other) = (policy(&["m/1"]), policy(&["m/2"]));
-    let (a, b) = tokio::join!(apply(&store, 1, &one), apply(&store, 2, &other));
-    let raced = Err(ChangeError::Conflict { generation: 1 });
-    assert!((a == Ok(1) && b == raced) || (b == Ok(1) && a == raced), "{a:?} {b:?}");
+    let (first, second) = (policy(&["m/1"]), policy(&["m/2"]));
+    let (a, b) = tokio::join!(apply(&store, 1, &first), apply(&store, 2, &second));
+    let conflict = Err(ChangeError::Conflict { generation: 1 });
+    assert!((a == Ok(1) && b == conflict) || (b == Ok(1) && a == conflict), "{a:?} {b:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn withdrawals_that_race_both_take_effect() {
+async fn concurrent_withdrawals_both_take_effect() {
     let kv = KvStore::default();
     let store = store(&kv);
     apply(&store, 1, &policy(&["m/1", "m/2"])).await.expect("accepted");
     kv.set_faults(KvFaults { delay: Duration::from_millis(50), ..KvFaults::default() });
-    let take = |id, version: &'static str| {
+    let withdraw_version = |id, version: &'static str| {
         let store = store.clone();
         async move {
             let edit = |policy: &Policy| withdraw(policy, &version.to_owned());
             commit_edit(&store, id, OnConflict::Retry, edit).await.map(|record| record.generation)
         }
     };
-    let (a, b) = tokio::join!(take(2, "m/1"), take(3, "m/2"));
+    let (a, b) = tokio::join!(withdraw_version(2, "m/1"), withdraw_version(3, "m/2"));
     let mut generations = [a.expect("accepted"), b.expect("accepted")];
     generations.sort_unstable();
     assert_eq!(generations, [2, 3]);
@@ -90,17 +90,17 @@
 }
 
 #[test]
-fn a_file_does_not_undo_a_withdrawal_unless_told() {
+fn a_policy_file_undoes_a_withdrawal_only_with_reinstate() {
     let file = policy(&["m/1", "m/2"]);
     let withdrawn = withdraw(&file, &"m/1".to_owned()).expect("known");
     let kept = replace_policy(&withdrawn, &file, &[]);
     assert_eq!(kept.versions["m/1"].state, VersionState::Withdrawn);
-    let back = replace_policy(&withdrawn, &file, &["m/1".to_owned()]);
-    assert_eq!(back.versions["m/1"].state, VersionState::Live);
+    let reinstated = replace_policy(&withdrawn, &file, &["m/1".to_owned()]);
+    assert_eq!(reinstated.versions["m/1"].state, VersionState::Live);
 }
 
 #[test]
-fn a_roll_out_reaches_the_workspaces_of_the_old_version_only() {
+fn a_roll_out_allows_the_new_version_only_where_the_old_one_is_allowed() {
     let mut policy = policy(&["m/1", "m/2"]);
     let mut user = WorkspacePolicy::default();
     user.allowed_versions.insert("m/1".to_owned());
@@ -110,7 +110,7 @@
     let next = add_roll_out(&policy, &roll_out).expect("accepted");
     assert!(next.workspaces["user"].allowed_versions.contains("m/2"));
     assert!(next.workspaces["stranger"].allowed_versions.is_empty());
-    let gone = withdraw(&next, &"m/2".to_owned()).expect("known");
-    let again = add_roll_out(&gone, &roll_out);
+    let withdrawn = withdraw(&next, &"m/2".to_owned()).expect("known");
+    let again = add_roll_out(&withdrawn, &roll_out);
     assert_eq!(again, Err(EditError::Withdrawn("m/2".to_owned())));
 }
--- a/crates/ledger/src/bills.rs
+++ b/crates/ledger/src/bills.rs
@@ -1,4 +1,4 @@
-//! Bills: gathered in memory, written in batches, merged by request id when read.
+//! Bills, which are buffered in memory, written in batches, and merged by request id when read.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,43 +8,43 @@
 
 use crate::commit::create_once;
 
-/// Prefix of all batches.
+/// Key prefix of all batches.
 pub const BILLS_PREFIX: &str = "pondwalk/bills/";
-/// Largest batch, in bytes; the store takes values up to a megabyte.
-const BATCH_LIMIT_BYTES: usize = 900_000;
+/// Largest batch, in bytes; the store accepts values up to a megabyte.
+const MAX_BATCH_BYTES: usize = 900_000;
 
-/// One run that a bill charges for.
+/// One billed run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BillItem {
     /// The version, or service, that ran.
     pub version: VersionId,
-    /// Tokens read.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output_tokens: u64,
-    /// What the run costs.
+    /// Cost of the run, in the currency of the prices.
     pub cost: f64,
 }
 
-/// The bill of one request: the runs behind the answer that was delivered.
+/// The bill of one request: all runs that contributed to the delivered answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Bill {
-    /// The request, which is billed once however often its bill is written.
+    /// Id of the request, which is billed only once even if the bill is written several times.
     pub request: RequestId,
-    /// Who pays.
+    /// Workspace that is billed.
     pub workspace: WorkspaceId,
-    /// The runs.
+    /// Billed runs.
     pub items: Vec<BillItem>,
 }
 
 impl Bill {
-    /// What the whole request costs.
+    /// Total cost of the request.
     pub fn cost(&self) -> f64 {
         self.items.iter().map(|item| item.cost).sum()
     }
 }
 
-/// A batch whose write has been tried; it never changes after that.
+/// A batch whose write was attempted; its content is fixed from then on.
 #[derive(Debug)]
 struct Batch {
     key: String,
@@ -52,19 +52,19 @@
     requests: Vec<RequestId>,
 }
 
-/// Bills that one process still has to write.
+/// Bills that a process has not yet written durably.
 #[derive(Debug)]
 pub struct BillBuffer {
     writer: Incarnation,
-    next_batch: u64,
+    next_batch_number: u64,
     pending: VecDeque<Bill>,
-    in_doubt: Option<Batch>,
+    unconfirmed: Option<Batch>,
 }
 
 impl BillBuffer {
-    /// An empty book of the process with this incarnation.
+    /// Creates an empty buffer for the process with this incarnation.
     pub fn new(writer: Incarnation) -> Self {
-        BillBuffer { writer, next_batch: 0, pending: VecDeque::new(), in_doubt: None }
+        BillBuffer { writer, next_batch_number: 0, pending: VecDeque::new(), unconfirmed: None }
     }
 
     /// Adds a bill.
@@ -72,54 +72,59 @@
         self.pending.push_back(bill);
     }
 
-    /// Bills not known to be durable.
+    /// Number of bills not known to be durable.
     pub fn backlog(&self) -> usize {
-        self.pending.len() + self.in_doubt.as_ref().map_or(0, |batch| batch.requests.len())
+        self.pending.len() + self.unconfirmed.as_ref().map_or(0, |batch| batch.requests.len())
     }
 
-    /// The batch to write next, if there is anything to write.
-    fn batch(&mut self) -> Option<&Batch> {
-        if self.in_doubt.is_none() && !self.pending.is_empty() {
-            let batch = self.cut_batch();
-            self.in_doubt = Some(batch);
+    /// The batch to write next: the unconfirmed one or else a new one; `None` if there are no bills.
+    fn next_batch(&mut self) -> Option<&Batch> {
+        if self.unconfirmed.is_none() && !self.pending.is_empty() {
+            let batch = self.build_batch();
+            self.unconfirmed = Some(batch);
         }
-        self.in_doubt.as_ref()
+        self.unconfirmed.as_ref()
     }
 
-    fn cut_batch(&mut self) -> Batch {
+    fn build_batch(&mut self) -> Batch {
         let mut value = Vec::new();
         let mut requests = Vec::new();
         while let Some(bill) = self.pending.front() {
-            // NB: a bill is a plain tree of numbers and texts, which always has a JSON form.
+            // NB: a bill has only numbers and strings, so serialization cannot fail.
             let line = serde_json::to_vec(bill).unwrap_or_default();
-            if !value.is_empty() && value.len() + line.len() >= BATCH_LIMIT_BYTES {
+            if !value.is_empty() && value.len() + line.len() >= MAX_BATCH_BYTES {
                 break;
             }
             value.extend_from_slice(&line);
             value.push(b'\n');
             requests.extend(self.pending.pop_front().map(|bill| bill.request));
         }
-        let key = format!("{BILLS_PREFIX}{:016x}/{:010}", self.writer, self.next_batch);
-        self.next_batch += 1;
+        let key = format!("{BILLS_PREFIX}{:016x}/{:010}", self.writer, self.next_batch_number);
+        self.next_batch_number += 1;
         Batch { key, value, requests }
     }
 }
 
-/// Writes one batch of a shared book; returns the requests whose bills are durable now.
+/// Writes one batch of a shared buffer; returns the requests whose bills are now durable.
 ///
-/// The book is locked only before and after the write, so bills can be added meanwhile.
+/// The buffer is locked only before and after the write, so bills can be added during the write.
+///
+/// # Errors
+///
+/// Returns the store's error; the batch stays in the buffer and is written again by the next call.
 pub async fn flush(
-    book: &std::sync::Mutex<BillBuffer>,
+    buffer: &std::sync::Mutex<BillBuffer>,
     store: &Store,
 ) -> Result<Vec<RequestId>, StoreError> {
-    let lock = || book.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let Some((key, value)) = lock().batch().map(|batch| (batch.key.clone(), batch.value.clone()))
+    let lock = || buffer.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let Some((key, value)) =
+        lock().next_batch().map(|batch| (batch.key.clone(), batch.value.clone()))
     else {
         return Ok(Vec::new());
     };
-    // NB: only this process writes under its incarnation, so whatever stands there is ours.
+    // NB: only this process writes keys with its incarnation, so an existing value is its own.
     create_once(store, &key, &value, None).await?;
-    let written = lock().in_doubt.take();
+    let written = lock().unconfirmed.take();
     Ok(written.map(|batch| batch.requests).unwrap_or_default())
 }
 
@@ -128,9 +133,9 @@
 pub struct Ledger {
     /// Bills by request.
     pub bills: BTreeMap<RequestId, Bill>,
-    /// Bills that stood more than once and were counted once.
+    /// Number of duplicate bills, which are not counted.
     pub repeats: u64,
-    /// Lines that could not be read.
+    /// Number of lines that could not be decoded.
     pub unreadable: u64,
 }
 
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Cost by workspace and version, each with the number of runs.
+    /// Number of runs and total cost, by workspace and version.
     pub fn totals(&self) -> BTreeMap<(WorkspaceId, VersionId), (u64, f64)> {
         let mut totals = BTreeMap::new();
         for bill in self.bills.values() {
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -1,20 +1,24 @@
-//! Creating a key exactly once although answers may be lost.
+//! Creation of a key exactly once, even if responses are lost.
 
 use pondwalk_store::{Change, Expect, Store, StoreEntry, StoreError};
 
-/// What became of an attempt to create a key.
+/// Outcome of the creation of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CreateOutcome {
-    /// The key now holds our value, from this attempt or an earlier one; with its revision.
-    Ours(u64),
-    /// The key holds another value.
-    Others(StoreEntry),
+    /// The key has the given value, from this attempt or an earlier one; contains its revision.
+    OwnValue(u64),
+    /// The key has another value.
+    OtherValue(StoreEntry),
 }
 
-/// Creates a key with a value that nobody else would write, or finds out who did.
+/// Creates a key with a value that no other process writes, or returns the existing entry.
 ///
-/// A lost answer is settled by trying again: the key's absence is the condition, so a second
-/// write can only meet the first one. An error means that the outcome is still open.
+/// After a lost response the write is retried: its precondition is that the key does not exist, so if the
+/// first write took effect, the second one fails and the existing value shows whose it is.
+///
+/// # Errors
+///
+/// Returns the last error of the store; the outcome is then unknown.
 pub async fn create_once(
     store: &Store,
     key: &str,
@@ -27,19 +31,23 @@
         let change =
             Change { key: key.to_owned(), value: value.to_vec(), expect: Expect::Absent, lease };
         match store.commit(vec![change]).await {
-            Ok(revision) => return Ok(CreateOutcome::Ours(revision)),
-            Err(StoreError::Conflict) => return who_holds(store, key, value).await,
+            Ok(revision) => return Ok(CreateOutcome::OwnValue(revision)),
+            Err(StoreError::Conflict) => return compare_existing(store, key, value).await,
             Err(error) => last = error,
         }
     }
     Err(last)
 }
 
-async fn who_holds(store: &Store, key: &str, value: &[u8]) -> Result<CreateOutcome, StoreError> {
+async fn compare_existing(
+    store: &Store,
+    key: &str,
+    value: &[u8],
+) -> Result<CreateOutcome, StoreError> {
     match store.get(key).await? {
-        Some(fetched) if fetched.value == value => Ok(CreateOutcome::Ours(fetched.revision)),
-        Some(fetched) => Ok(CreateOutcome::Others(fetched)),
-        // NB: the key went away between the two calls, as when its lease lapsed.
+        Some(entry) if entry.value == value => Ok(CreateOutcome::OwnValue(entry.revision)),
+        Some(entry) => Ok(CreateOutcome::OtherValue(entry)),
+        // NB: the key was removed between the two calls, for example because its lease expired.
         None => Err(StoreError::LeaseLapsed),
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,5 +1,5 @@
-//! What must be counted exactly once, over a store that may be down or lose its answers: bills,
-//! and claims on idempotency keys.
+//! Bills, claims on idempotency keys and spend caps, counted exactly once even if the store is unavailable
+//! or its responses are lost.
 
 pub mod bills;
 pub mod claims;
--- a/crates/ledger/tests/counts_once.rs
+++ b/crates/ledger/tests/counts_once.rs
@@ -1,4 +1,4 @@
-//! Bills and claims count once, whatever the store does.
+//! Bills and claims are counted exactly once despite failures of the store.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -19,47 +19,47 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_does_not_bill_twice() {
+async fn a_lost_response_does_not_bill_twice() {
     let kv = KvStore::default();
     let store = store(&kv);
-    let book = Mutex::new(BillBuffer::new(1));
+    let buffer = Mutex::new(BillBuffer::new(1));
     for request in 0..10 {
-        book.lock().expect("sound").add(bill(request));
+        buffer.lock().expect("sound").add(bill(request));
         kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
-        flush(&book, &store).await.expect("settled by reading back");
+        flush(&buffer, &store).await.expect("resolved by reading back");
     }
     let ledger = read_ledger(&store).await.expect("readable");
     assert_eq!((ledger.bills.len(), ledger.repeats), (10, 0));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_hour_without_the_store_loses_no_bill() {
+async fn an_outage_of_an_hour_loses_no_bill() {
     let kv = KvStore::default();
     let store = store(&kv);
-    let book = Mutex::new(BillBuffer::new(1));
+    let buffer = Mutex::new(BillBuffer::new(1));
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
     for minute in 0..60 {
-        (0..100).for_each(|n| book.lock().expect("sound").add(bill(minute * 100 + n)));
-        assert_eq!(flush(&book, &store).await, Err(StoreError::Unreachable));
+        (0..100).for_each(|n| buffer.lock().expect("sound").add(bill(minute * 100 + n)));
+        assert_eq!(flush(&buffer, &store).await, Err(StoreError::Unreachable));
         tokio::time::advance(Duration::from_secs(60)).await;
     }
     kv.set_faults(KvFaults::default());
     let mut durable = 0;
-    while book.lock().expect("sound").backlog() > 0 {
-        durable += flush(&book, &store).await.expect("the store is back").len();
+    while buffer.lock().expect("sound").backlog() > 0 {
+        durable += flush(&buffer, &store).await.expect("the store is back").len();
     }
     assert_eq!(durable, 6_000);
     assert_eq!(read_ledger(&store).await.expect("readable").bills.len(), 6_000);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bill_written_by_two_processes_counts_once() {
+async fn a_bill_written_by_two_processes_is_counted_once() {
     let kv = KvStore::default();
     let store = store(&kv);
     for writer in [1, 2] {
-        let book = Mutex::new(BillBuffer::new(writer));
-        book.lock().expect("sound").add(bill(1));
-        flush(&book, &store).await.expect("written");
+        let buffer = Mutex::new(BillBuffer::new(writer));
+        buffer.lock().expect("sound").add(bill(1));
+        flush(&buffer, &store).await.expect("written");
     }
     let ledger = read_ledger(&store).await.expect("readable");
     assert_eq!((ledger.bills.len(), ledger.repeats), (1, 1));
@@ -68,36 +68,36 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_is_claimed_by_one_of_many() {
+async fn only_one_of_many_concurrent_claims_on_a_key_succeeds() {
     let kv = KvStore::default();
-    let (here, there) = (Claims::spawn(store(&kv)), Claims::spawn(store(&kv)));
+    let (first, second) = (Claims::spawn(store(&kv)), Claims::spawn(store(&kv)));
     let attempts = (0..20_u64).map(|n| {
-        let claims = if n % 2 == 0 { &here } else { &there };
+        let claims = if n % 2 == 0 { &first } else { &second };
         claims.claim("w", "key", "request", n)
     });
     let attempts: Vec<_> = attempts.collect();
-    let mut won = 0;
+    let mut succeeded = 0;
     for outcome in join_all(attempts).await {
         match outcome {
-            Ok(_) => won += 1,
+            Ok(_) => succeeded += 1,
             Err(refusal) => assert_eq!(refusal, Refusal::DuplicateKey),
         }
     }
-    assert_eq!(won, 1);
+    assert_eq!(succeeded, 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_whose_answer_was_lost_is_still_ours() {
+async fn a_claim_succeeds_although_its_response_was_lost() {
     let kv = KvStore::default();
     let claims = Claims::spawn(store(&kv));
-    claims.claim("w", "warm-up", "r", 0).await.expect("takes out the lease");
+    claims.claim("w", "warm-up", "r", 0).await.expect("creates the lease");
     kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
     assert!(claims.claim("w", "key", "r", 1).await.is_ok());
     assert_eq!(claims.claim("w", "key", "r", 2).await, Err(Refusal::DuplicateKey));
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_a_claim_is_refused() {
+async fn a_claim_is_refused_while_the_store_is_unavailable() {
     let kv = KvStore::default();
     let claims = Claims::spawn(store(&kv));
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
@@ -105,12 +105,12 @@
     kv.set_faults(KvFaults::default());
     assert!(
         claims.claim("w", "key", "r", 2).await.is_ok(),
-        "nothing ran, so it may be tried again"
+        "nothing ran, so the request may be retried"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_released_key_can_be_claimed_again_once() {
+async fn a_released_key_can_be_claimed_once_more() {
     let kv = KvStore::default();
     let claims = Claims::spawn(store(&kv));
     let ticket = claims.claim("w", "key", "r", 1).await.expect("claimed");
@@ -118,14 +118,14 @@
     assert!(claims.claim("w", "key", "r", 2).await.is_ok());
     assert_eq!(claims.claim("w", "key", "r", 3).await, Err(Refusal::DuplicateKey));
     let stale = claims.release(ticket).await;
-    assert_eq!(stale, Err(StoreError::Conflict), "a former holder releases nothing");
+    assert_eq!(stale, Err(StoreError::Conflict), "a ticket can be released only once");
 }
 
 #[tokio::test(start_paused = true)]
-async fn claims_that_come_together_share_a_write() {
+async fn concurrent_claims_share_a_write() {
     let kv = KvStore::default();
     let claims = Claims::spawn(store(&kv));
-    claims.claim("w", "warm-up", "r", 0).await.expect("takes out the lease");
+    claims.claim("w", "warm-up", "r", 0).await.expect("creates the lease");
     let before = kv.counts().writes;
     let keys: Vec<String> = (0..50).map(|n| format!("key{n}")).collect();
     let attempts: Vec<_> = keys.iter().map(|key| claims.claim("w", key, "r", 1)).collect();
--- a/crates/ledger/tests/keeps_spend_caps.rs
+++ b/crates/ledger/tests/keeps_spend_caps.rs
@@ -1,4 +1,4 @@
-//! A cap holds over many processes, lost answers and an outage.
+//! Spend caps are kept across many processes, lost responses and an outage of the store.
 
 use std::time::Duration;
 
@@ -14,26 +14,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slices_of_many_processes_add_up_to_the_cap() {
+async fn slices_of_many_processes_sum_to_the_cap() {
     let kv = KvStore::default();
     let workspace = "w".to_owned();
     let mut total = 0.0;
     for round in 0..30_u64 {
-        let takers = (0..4).map(|n| {
+        let allocations = (0..4).map(|n| {
             let (store, workspace) = (store(&kv), workspace.clone());
             async move { allocate_slice(&store, &workspace, 1, CAP, round * 10 + n + 1).await }
         });
-        total += join_all(takers).await.into_iter().flatten().sum::<f64>();
+        total += join_all(allocations).await.into_iter().flatten().sum::<f64>();
     }
     assert!((total - CAP).abs() < 1e-6, "{total}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_takes_one_slice() {
+async fn a_lost_response_allocates_only_one_slice() {
     let kv = KvStore::default();
     let (store, workspace) = (store(&kv), "w".to_owned());
     kv.set_faults(KvFaults { lost_answers: 1, ..KvFaults::default() });
-    let slice = allocate_slice(&store, &workspace, 1, CAP, 7).await.expect("settled");
+    let slice =
+        allocate_slice(&store, &workspace, 1, CAP, 7).await.expect("resolved by reading back");
     assert!((slice - CAP / 40.0).abs() < 1e-9);
     let mut rest = 0.0;
     for id in 100..200 {
@@ -43,7 +44,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_given_back_can_be_taken_again() {
+async fn a_released_amount_can_be_allocated_again() {
     let kv = KvStore::default();
     let (store, workspace) = (store(&kv), "w".to_owned());
     for id in 1..=40 {
@@ -57,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_there_is_no_slice() {
+async fn no_slice_is_allocated_while_the_store_is_unavailable() {
     let kv = KvStore::default();
     kv.set_faults(KvFaults { down: true, ..KvFaults::default() });
     let slice = allocate_slice(&store(&kv), &"w".to_owned(), 1, CAP, 1).await;
