--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections between entry and agent.
+//! Connections between entries and agents.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -11,14 +11,13 @@
 
 use crate::{AgentClient, AgentRequest, AgentResponse};
 
-/// Largest message, in bytes; bodies are limited well below it.
-const MESSAGE_LIMIT_BYTES: usize = 64 << 20;
-/// Longest time to open a connection.
+/// Largest message, in bytes; the limits on request bodies are much lower.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Calls under way on one connection.
-const CALLS_IN_FLIGHT: usize = 10_000;
+/// Maximum number of calls in flight per connection.
+const MAX_CALLS_IN_FLIGHT: usize = 10_000;
 
-/// What an agent receives and sends on one connection.
 type Received = ClientMessage<AgentRequest>;
 type Sent = Response<AgentResponse>;
 /// The agent's end of a connection.
@@ -29,18 +28,26 @@
 >;
 
 /// Opens a connection to an agent.
+///
+/// # Errors
+///
+/// Returns an error if the connection cannot be opened within one second.
 pub async fn connect(address: SocketAddr) -> io::Result<AgentClient> {
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let framed = codec().new_framed(stream);
     let transport = tarpc::serde_transport::new(framed, Bincode::default());
     let mut config = client::Config::default();
-    config.max_in_flight_requests = CALLS_IN_FLIGHT;
-    config.pending_request_buffer = CALLS_IN_FLIGHT;
+    config.max_in_flight_requests = MAX_CALLS_IN_FLIGHT;
+    config.pending_request_buffer = MAX_CALLS_IN_FLIGHT;
     Ok(AgentClient::new(config, transport).spawn())
 }
 
-/// The agent's end of an accepted connection, ready to execute calls.
+/// Wraps an accepted connection in a channel that can execute calls.
+///
+/// # Errors
+///
+/// Returns an error if `TCP_NODELAY` cannot be set.
 pub fn channel(stream: TcpStream) -> io::Result<AgentChannel> {
     stream.set_nodelay(true)?;
     let framed = codec().new_framed(stream);
@@ -50,6 +57,6 @@
 
 fn codec() -> tokio_util::codec::length_delimited::Builder {
     let mut builder = LengthDelimitedCodec::builder();
-    builder.max_frame_length(MESSAGE_LIMIT_BYTES);
+    builder.max_frame_length(MAX_MESSAGE_BYTES);
     builder
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages between entry and agent, over tarpc.
+//! Protocol between entries and agents, over tarpc.
 //!
-//! The entry is always the client. An answer does not come back as the reply of the call that
-//! started it: the agent keeps its frames in an outbox for each entry, and the entry has one
-//! [`Agent::take`] waiting at each agent that returns all frames there are. A lost connection
-//! loses no frame, since those not acknowledged are returned again.
+//! The entry is always the client. The response to a run is not the reply to the call that started the
+//! run: the agent puts its frames into an outbox for each entry, and the entry keeps one pending call of
+//! [`Agent::take`] at each agent, which returns all available frames. No frame is lost with a connection,
+//! since frames that were not acknowledged are returned again.
 
 use std::time::Duration;
 
@@ -17,37 +17,37 @@
 
 pub use connect::{AgentChannel, channel, connect};
 
-/// Names a run among all runs of an agent.
+/// Identifies a run among all runs of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunKey {
-    /// The entry process that started it.
+    /// Incarnation of the entry that started the run.
     pub entry: Incarnation,
-    /// Number of the attempt within that process.
+    /// Number of the attempt within that incarnation.
     pub attempt: AttemptId,
 }
 
-/// Asks an agent to run something.
+/// Request to start a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// The run's name.
+    /// Key of the run.
     pub run: RunKey,
-    /// The request it is for.
+    /// Id of the caller's request.
     pub request: RequestId,
     /// Generation of the configuration that the decision used.
     pub generation: Generation,
-    /// Whose request it is.
+    /// Workspace of the request.
     pub workspace: WorkspaceId,
-    /// Kind of work.
+    /// Task of the request.
     pub task: TaskId,
-    /// What is to run.
+    /// Work to run.
     pub work: Work,
-    /// Whether it belongs to a session that has had an answer from this version.
+    /// Whether the request belongs to a session that already had an answer from this version.
     pub old_session: bool,
-    /// Time left until the answer is due.
+    /// Time left until the deadline.
     pub deadline_left: Duration,
-    /// Deadline as the caller stated it.
+    /// The caller's original deadline.
     pub stated_deadline: Duration,
-    /// Size of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
     /// Content type of the body.
     pub content_type: String,
@@ -55,38 +55,38 @@
     pub body: Vec<u8>,
 }
 
-/// Answer to a start.
+/// Reply to a [`StartRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartReply {
-    /// `None` if the run was admitted; otherwise why not, and it has truly not run.
+    /// `None` if the run was admitted; otherwise the reason why it was not run.
     pub refusal: Option<Refusal>,
-    /// What the agent says of itself.
+    /// Current state of the agent.
     pub snapshot: AgentSnapshot,
 }
 
-/// What an agent says of itself with every reply.
+/// State of an agent, reported with every reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgentSnapshot {
-    /// The agent process.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Generation in force there.
+    /// Generation in force at the agent.
     pub generation: Generation,
-    /// Requests running and waiting.
+    /// Number of running and queued requests.
     pub load: u32,
-    /// Changes so far of the versions hosted; tells when to ask for them again.
+    /// Number of changes of the hosted versions; an increase means that they must be queried again.
     pub hosting_changes: u32,
-    /// Whether it takes no new work because it is stopping.
+    /// Whether the agent refuses new runs because it is stopping.
     pub draining: bool,
-    /// Versions that its own tests have stopped.
+    /// Versions whose trial tripped at this agent.
     pub tripped: Vec<VersionId>,
 }
 
-/// Asks for the frames after `acknowledged`.
+/// Request for the frames after `acknowledged`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchFrames {
-    /// The entry that asks.
+    /// Incarnation of the requesting entry.
     pub entry: Incarnation,
-    /// Highest sequence number received; frames up to it are forgotten.
+    /// Highest sequence number received; the agent discards frames up to it.
     pub acknowledged: u64,
     /// Longest wait for a frame.
     pub wait: Duration,
@@ -95,157 +95,157 @@
 /// Frames for one entry, in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FrameBatch {
-    /// What the agent says of itself.
+    /// Current state of the agent.
     pub snapshot: AgentSnapshot,
     /// Frames with consecutive sequence numbers.
     pub frames: Vec<Frame>,
 }
 
-/// One piece of news about one run.
+/// One event of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Place in the outbox of this entry.
+    /// Sequence number within the outbox for this entry.
     pub sequence: u64,
-    /// The attempt it is about.
+    /// Attempt that the event belongs to.
     pub attempt: AttemptId,
-    /// What happened.
+    /// The event.
     pub kind: FrameKind,
 }
 
-/// What a frame says.
+/// Events of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FrameKind {
-    /// The backend server may have the request from now on.
+    /// From now on the request may have reached the backend server.
     Began,
-    /// The run was given up in the queue; it has truly not run.
+    /// The run was abandoned in the queue and not executed.
     NotRun(Refusal),
-    /// Head of a plain service's answer.
+    /// Head of a plain service's response.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: String,
     },
-    /// For a chat one event's JSON text; for a service a piece of the body.
+    /// JSON text of one event of a chat, or a chunk of a service's response body.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The response is complete.
     Ended {
-        /// Tokens used.
+        /// Token usage.
         usage: TokenUsage,
-        /// Time the backend server worked on it.
+        /// Service time of the backend server.
         service: Duration,
     },
-    /// The answer broke off or never came; it may have run.
+    /// The response was aborted or never began; the request may have been executed.
     Failed(Refusal),
 }
 
-/// What an agent is and has in force.
+/// Status of an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// Its backend server.
+    /// Id of the agent's backend server.
     pub server: ServerId,
-    /// Where it is.
+    /// Data centre that the agent runs in.
     pub data_centre: DataCentreId,
-    /// Versions, or the service, hosted now.
+    /// Versions, or the single service, currently hosted.
     pub versions: Vec<VersionId>,
-    /// Requests run at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Load and generation.
+    /// Current state of the agent.
     pub snapshot: AgentSnapshot,
 }
 
-/// One accepted configuration on its way between processes.
+/// An accepted configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its generation.
+    /// Generation of the configuration.
     pub generation: Generation,
-    /// Its content.
+    /// The policy.
     pub policy: Policy,
 }
 
-/// A rating on its way to the agent whose backend server gave the answer.
+/// A rating, reported to the agent whose backend server generated the answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RatingReport {
-    /// The version that answered.
+    /// Version that generated the answer.
     pub version: VersionId,
-    /// Kind of work.
+    /// Task of the request.
     pub task: TaskId,
     /// Quality from 0 to 1.
     pub quality: f64,
 }
 
-/// What a backend server is told to do.
+/// Action that an order requests of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Host a version as well.
+    /// Load a version.
     Load(VersionId),
-    /// Host a version no more.
+    /// Unload a version.
     Unload(VersionId),
 }
 
-/// An order with the right to give it.
+/// An order with proof of the sender's authority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fence of the lease under which it is given; a later holder's is higher.
+    /// Fencing token of the sender's lease; increases with each holder.
     pub fence: u64,
-    /// Time for which the giver surely still holds the lease.
+    /// Time for which the sender's lease is guaranteed to be valid.
     pub valid_for: Duration,
-    /// What is to be done.
+    /// The requested action.
     pub kind: OrderKind,
 }
 
-/// Why an order was not carried out.
+/// Why an order was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum OrderRefusal {
-    /// An order with a higher fence has been seen.
-    #[error("an order with fence {seen} has been seen")]
+    /// The agent has received an order with a higher fencing token.
+    #[error("an order with fencing token {seen} was received before")]
     StaleFence {
-        /// The highest fence seen.
+        /// Highest fencing token received.
         seen: u64,
     },
-    /// The giver may have lost its lease by now.
-    #[error("the order's time is over")]
+    /// The sender's lease may have expired.
+    #[error("the order has expired")]
     Expired,
-    /// The version is to be unloaded, and runs on it are still under way.
-    #[error("runs on the version are still under way")]
+    /// The version cannot be unloaded while runs on it are in flight.
+    #[error("runs on the version are still in flight")]
     Busy,
-    /// The backend server takes no orders, or failed.
-    #[error("the backend server did not carry it out")]
+    /// The backend server does not accept orders, or failed.
+    #[error("the backend server did not execute the order")]
     Backend,
 }
 
-/// A bill that an agent holds until the entry has made it durable.
+/// A bill that an agent keeps until the entry has written it durably.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldBill {
-    /// The entry that will write it.
+    /// Incarnation of the entry that will write the bill.
     pub entry: Incarnation,
-    /// The request it is for.
+    /// Id of the billed request.
     pub request: RequestId,
-    /// The bill as it is written to the store.
+    /// The bill, serialized as in the store.
     pub bill: Vec<u8>,
 }
 
-/// Calls that an agent serves.
+/// Calls served by an agent.
 #[tarpc::service]
 pub trait Agent {
-    /// Admits a run or refuses it.
+    /// Admits or refuses a run.
     async fn start(request: StartRequest) -> StartReply;
-    /// Returns frames, or none once the wait is over.
+    /// Returns frames, or none after the wait.
     async fn take(request: FetchFrames) -> FrameBatch;
-    /// Stops a run whose answer nobody wants any more.
+    /// Cancels a run whose response is no longer needed.
     async fn cancel(run: RunKey);
-    /// Holds a bill; the answer may be closed once this returns.
+    /// Keeps a bill; the entry may complete the response once this call has returned.
     async fn hold_bill(bill: HeldBill);
-    /// Forgets bills that are durable.
+    /// Discards bills that are durable.
     async fn release_bills(requests: Vec<RequestId>);
-    /// Carries out an order; returns the versions hosted after it.
+    /// Executes an order; returns the versions hosted afterwards.
     async fn order(order: Order) -> Result<Vec<VersionId>, OrderRefusal>;
-    /// Takes in a rating.
+    /// Records a rating.
     async fn rate(report: RatingReport);
-    /// Tells what the agent is.
+    /// Returns the status of the agent.
     async fn status() -> AgentStatus;
-    /// Puts a configuration in force if it is newer; returns the generation in force.
+    /// Applies a configuration if it is newer; returns the generation in force.
     async fn configure(configuration: Configuration) -> Generation;
-    /// Returns the configuration in force, if there is any.
+    /// Returns the configuration in force, if any.
     async fn configuration() -> Option<Configuration>;
 }
