--- a/crates/decide/src/direct/fleet.rs
+++ b/crates/decide/src/direct/fleet.rs
@@ -1,151 +1,159 @@
 //! The backend servers of one service as one entry sees them, and the choice among them.
 //!
-//! A server's cost for a request is a time: what is read there before it, what of its own prompt
-//! must be read, the way to another data centre, and a penalty for recent failures. What other
-//! entries send is not seen; rendezvous hashing (Thaler and Ravishankar, 1998) on the prompt's
-//! shared part brings requests that share it to the same servers from every entry.
-
-mod ask;
-mod limit;
-mod limited;
+//! The cost of a server for a request is a time: the prefill queued before it, the prefill of its
+//! own prompt, the distance to another data centre, and a penalty for recent failures. Requests of
+//! other entries are not visible. Rendezvous hashing (Thaler and Ravishankar, 1998) of the prompt's
+//! shared part sends requests that share it to the same servers from every entry.
+
+mod availability;
 mod load;
 mod notice;
-mod notices;
-mod permit;
-mod places;
+mod permit_rule;
+mod placement_request;
+mod rate_limit;
 mod server;
+mod server_notices;
+mod server_permits;
 
 use std::{collections::HashMap, time::Duration};
 
 use pondwalk_types::{DataCentreId, ServerId, VersionId};
 use rand::Rng;
 
-pub use ask::{Ask, Forecast, Homes, PromptPart, Ticket, VersionRule};
-pub use limit::{KnownLimit, LimitError, LimitWord, ServerLimit};
-pub use limited::{Certainty, WantedPermit};
+pub use availability::{NextAvailability, UnavailableReason, UnreachableReason};
 pub use load::{LoadError, ServerLoad};
-pub use notice::{LifeMark, spread_of};
-pub use places::{Opening, Shut, Unreached};
-pub use server::{Life, ServerFacts};
-
-use super::{hash::mix, sharers::Sharers, warm_up::Pacing};
-use limited::Permission;
+pub use notice::{ServerIncarnation, backoff_jitter};
+pub use permit_rule::{PermitRequest, Placeability};
+pub use placement_request::{
+    DataCentreRule, Forecast, PlacementRequest, PromptPart, Ticket, VersionRule,
+};
+pub use rate_limit::{RateLimit, RateLimitError, RateLimitState, ReportedRateLimit};
+pub use server::{IncarnationNumber, ServerInfo};
+
+use super::{bound_sharing::BoundSharing, hash::mix, warm_up::ColdServerPacing};
 use notice::Notice;
+use permit_rule::PermitRule;
 use server::Server;
 
-/// Position of a server in its fleet; reused once the server is gone.
+/// Position of a server in its fleet; reused after the server is removed.
 pub type ServerIndex = usize;
 
-/// Chance that the server that hashing names for a shared part holds it, by another entry's doing.
-const NAMED_HOLDS: f64 = 0.7;
-/// Price of reading a part again, as a time in milliseconds for a thousand tokens.
-const READ_AGAIN_MS_PER_K: f64 = 50.0;
-/// Time that the prompt of another entry's request takes to read until this entry's own have shown
-/// it, in milliseconds.
-const READ_PRIOR_MS: f64 = 100.0;
-/// Weight of the newest request in what is known of that.
-const READ_GAIN: f64 = 0.02;
+/// Probability that the preferred server of a shared part has it cached because of another entry's
+/// requests.
+const PREFERRED_CACHE_PROBABILITY: f64 = 0.7;
+/// Price of computing a cached part again elsewhere, in milliseconds for a thousand tokens.
+const RECOMPUTE_MS_PER_1000_TOKENS: f64 = 50.0;
+/// Initial estimate of the prefill time of another entry's request, in milliseconds. This entry's
+/// own requests replace it.
+const PREFILL_PRIOR_MS: f64 = 100.0;
+/// Weight of the newest request in that estimate.
+const PREFILL_GAIN: f64 = 0.02;
 
 /// A server that could take a request.
 #[derive(Debug)]
 struct Candidate {
     index: ServerIndex,
     cost: f64,
-    read_ms: f64,
-    begins_ms: f64,
+    prefill_ms: f64,
+    first_byte_ms: f64,
 }
 
-/// What a fleet weighs in its choice of a server, beside what it must.
+/// Optional terms of a server's cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Weighed {
-    /// The server that hashing names for a shared part.
+pub struct ScoringTerms {
+    /// Preference for the server that rendezvous hashing names for a shared part.
     pub named_servers: bool,
-    /// How late a server's answers came.
+    /// How late a server's answers began.
     pub delays: bool,
-    /// What a server tells of its load.
+    /// The load that a server reports.
     pub told_loads: bool,
 }
 
-impl Default for Weighed {
+impl Default for ScoringTerms {
     fn default() -> Self {
-        Weighed { named_servers: true, delays: true, told_loads: true }
+        ScoringTerms { named_servers: true, delays: true, told_loads: true }
     }
 }
 
 /// The backend servers of one service.
 #[derive(Debug)]
 pub struct Fleet {
-    home: DataCentreId,
-    weighed: Weighed,
+    local_data_centre: DataCentreId,
+    scoring: ScoringTerms,
     servers: Vec<Option<Server>>,
-    /// Versions that were found bad; their servers get nothing, whatever a rule allows.
-    bad_versions: Vec<VersionId>,
-    /// Data centres whose servers get nothing for now.
+    /// Versions found bad; their servers get no requests, whatever a rule allows.
+    excluded_versions: Vec<VersionId>,
+    /// Evacuated data centres; their servers get no requests.
     evacuated: Vec<DataCentreId>,
-    /// What cold servers may get; nothing is held back where servers bear everything at once.
-    pacing: Option<Pacing>,
-    /// The entries among which that is shared.
-    sharers: Sharers,
-    /// Lives of servers known so far.
-    lives: Life,
-    /// Whether any server may name a rate limit.
-    may_limit: bool,
-    /// What servers asked for whose entries are gone, by their identities; an entry may come back.
-    remembered: HashMap<ServerId, (LifeMark, Notice)>,
-    /// Time that a request placed here takes to be read, in milliseconds, on the average; other
-    /// entries' requests are taken to be alike.
-    usual_read_ms: f64,
+    /// Limits on cold servers; `None` if servers need no warm-up.
+    pacing: Option<ColdServerPacing>,
+    /// The entries that share those limits.
+    bound_sharing: BoundSharing,
+    /// Number of server incarnations seen so far.
+    incarnations: IncarnationNumber,
+    /// Whether any server may report a rate limit.
+    may_have_rate_limits: bool,
+    /// Notices of servers that the store does not list at the moment, by identity; a server may be
+    /// listed again.
+    remembered: HashMap<ServerId, (ServerIncarnation, Notice)>,
+    /// Mean prefill time of the requests placed here, in milliseconds; the requests of other
+    /// entries are assumed to be alike.
+    mean_prefill_ms: f64,
 }
 
 impl Fleet {
-    /// No servers; `home` is the entry's own data centre.
-    pub fn new(home: &str) -> Self {
-        Self::weighing(home, Weighed::default())
+    /// Creates an empty fleet; `local_data_centre` is the entry's own data centre.
+    pub fn new(local_data_centre: &str) -> Self {
+        Self::with_scoring(local_data_centre, ScoringTerms::default())
     }
 
-    /// The same, where not everything is weighed.
-    pub fn weighing(home: &str, weighed: Weighed) -> Self {
+    /// Creates an empty fleet that applies only some of the optional cost terms.
+    pub fn with_scoring(local_data_centre: &str, scoring: ScoringTerms) -> Self {
         Fleet {
-            home: home.to_owned(),
-            weighed,
+            local_data_centre: local_data_centre.to_owned(),
+            scoring,
             servers: Vec::new(),
-            bad_versions: Vec::new(),
+            excluded_versions: Vec::new(),
             evacuated: Vec::new(),
             pacing: None,
-            sharers: Sharers::default(),
-            lives: 0,
-            may_limit: false,
+            bound_sharing: BoundSharing::default(),
+            incarnations: 0,
+            may_have_rate_limits: false,
             remembered: HashMap::new(),
-            usual_read_ms: READ_PRIOR_MS,
+            mean_prefill_ms: PREFILL_PRIOR_MS,
         }
     }
 
-    /// Learns of a server, or of a change of it. A server once seen to leave stays so for its life;
-    /// one that is born anew under its identity holds and knows nothing of before.
-    pub fn put(&mut self, facts: ServerFacts) {
-        let known = self.servers.iter_mut().flatten().find(|one| one.facts.id == facts.id);
-        if let Some(server) = known {
-            let told = LifeMark::of(&facts);
-            let (mark, notice) = match server.mark.is_same(&told) {
-                true => (server.mark.clone().told_again(told), std::mem::take(&mut server.notice)),
-                false => (told, Notice::default()),
+    /// Adds a server, or applies a change of it. A server that was seen draining stays so for its
+    /// incarnation; an incarnation restarted under the same identity starts with empty state.
+    pub fn apply_server(&mut self, info: ServerInfo) {
+        let known_server =
+            self.servers.iter_mut().flatten().find(|server| server.info.id == info.id);
+        if let Some(server) = known_server {
+            let reported = ServerIncarnation::of(&info);
+            let (mark, notice) = match server.incarnation.matches(&reported) {
+                true => (
+                    server.incarnation.clone().updated_with(reported),
+                    std::mem::take(&mut server.notice),
+                ),
+                false => (reported, Notice::default()),
             };
-            if server.is_born_anew(&facts) {
-                self.lives += 1;
-                *server = Server::new(facts, self.lives);
+            if server.is_restarted(&info) {
+                self.incarnations += 1;
+                *server = Server::new(info, self.incarnations);
             } else {
-                server.is_told(facts);
+                server.apply_info(info);
             }
-            server.mark = mark;
+            server.incarnation = mark;
             server.notice = notice;
             return;
         }
-        self.lives += 1;
-        let recalled = self.recall(&facts);
-        let mut server = Server::new(facts, self.lives);
-        if let Some((mark, notice)) = recalled {
-            self.may_limit |= notice.rate_limit().is_some();
-            server.mark = mark.told_again(server.mark);
+        self.incarnations += 1;
+        let restored = self.restore_notice(&info);
+        let mut server = Server::new(info, self.incarnations);
+        if let Some((mark, notice)) = restored {
+            self.may_have_rate_limits |= notice.rate_limit().is_some();
+            server.incarnation = mark.updated_with(server.incarnation);
             server.notice = notice;
         }
         match self.servers.iter_mut().find(|slot| slot.is_none()) {
@@ -154,231 +162,252 @@
         }
     }
 
-    /// Whether the word on a server speaks of another life of it than the one that is known.
-    pub fn is_born_anew(&self, facts: &ServerFacts) -> bool {
-        let known = self.servers.iter().flatten().find(|one| one.facts.id == facts.id);
-        known.is_some_and(|server| server.is_born_anew(facts))
+    /// Whether `info` describes another incarnation of a server than the known one.
+    pub fn is_restarted(&self, info: &ServerInfo) -> bool {
+        let known_server = self.servers.iter().flatten().find(|server| server.info.id == info.id);
+        known_server.is_some_and(|server| server.is_restarted(info))
     }
 
-    /// Leaves a version out from now on, as a roll-out of it was reverted.
-    pub fn leave_out(&mut self, version: &str) {
-        if !self.is_left_out(version) {
-            self.bad_versions.push(version.to_owned());
+    /// Excludes a version from now on, since its roll-out was reverted.
+    pub fn exclude_version(&mut self, version: &str) {
+        if !self.is_excluded(version) {
+            self.excluded_versions.push(version.to_owned());
         }
     }
 
-    /// Lets a version in again, as it is to be rolled out anew.
-    pub fn let_in(&mut self, version: &str) {
-        self.bad_versions.retain(|bad| bad != version);
+    /// Admits a version again, since it is to be rolled out again.
+    pub fn readmit_version(&mut self, version: &str) {
+        self.excluded_versions.retain(|bad| bad != version);
     }
 
-    fn is_left_out(&self, version: &str) -> bool {
-        self.bad_versions.iter().any(|bad| bad == version)
+    fn is_excluded(&self, version: &str) -> bool {
+        self.excluded_versions.iter().any(|bad| bad == version)
     }
 
-    /// Whether a server may get work by a rule.
+    /// Whether a server may get requests under a version rule.
     fn may_serve(&self, server: &Server, versions: VersionRule<'_>, now: Duration) -> bool {
-        let version = &server.facts.version;
+        let version = &server.info.version;
         server.is_open(now)
             && versions.allows(version)
-            && !self.is_left_out(version)
-            && !self.is_evacuated(&server.facts.data_centre)
+            && !self.is_excluded(version)
+            && !self.is_evacuated(&server.info.data_centre)
     }
 
-    /// The store lists a server no longer, but may have lost it while away: it gets work for a
-    /// short time yet, and is told then by [`Fleet::take_lapsed`].
+    /// Marks a server that the store does not list any more but may have lost during an outage. It
+    /// gets requests for a short grace period, after which [`Fleet::remove_lapsed`] returns it.
     pub fn lapse(&mut self, id: &str, now: Duration) {
-        for server in self.servers.iter_mut().flatten().filter(|server| server.facts.id == id) {
+        for server in self.servers.iter_mut().flatten().filter(|server| server.info.id == id) {
             server.lapse(now);
         }
     }
 
-    /// Forgets the servers that lapsed and did not come back in time, and tells which.
-    pub fn take_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
-        self.remembered.retain(|_, (_, notice)| !notice.is_over(now));
-        let over = |server: &&Server| !server.is_listed(now);
-        let lapsed = self.servers.iter().flatten().filter(over);
-        let lapsed: Vec<ServerId> = lapsed.map(|server| server.facts.id.clone()).collect();
+    /// Removes the servers whose grace period is over without their being listed again, and returns
+    /// their identities.
+    pub fn remove_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
+        self.remembered.retain(|_, (_, notice)| !notice.is_expired(now));
+        let is_lapsed = |server: &&Server| !server.is_listed(now);
+        let lapsed = self.servers.iter().flatten().filter(is_lapsed);
+        let lapsed: Vec<ServerId> = lapsed.map(|server| server.info.id.clone()).collect();
         for id in &lapsed {
             self.remove(id);
         }
         lapsed
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove(&mut self, id: &str) {
         for slot in &mut self.servers {
-            let Some(server) = slot.take_if(|server| server.facts.id == id) else { continue };
+            let Some(server) = slot.take_if(|server| server.info.id == id) else { continue };
             if server.notice != Notice::default() {
-                self.remembered.insert(server.facts.id, (server.mark, server.notice));
+                self.remembered.insert(server.info.id, (server.incarnation, server.notice));
             }
         }
     }
 
-    /// What is known of a server.
-    pub fn facts(&self, id: &str) -> Option<&ServerFacts> {
-        self.servers.iter().flatten().map(|server| &server.facts).find(|facts| facts.id == id)
+    /// Returns what the store lists about a server.
+    pub fn server_info(&self, id: &str) -> Option<&ServerInfo> {
+        self.servers.iter().flatten().map(|server| &server.info).find(|info| info.id == id)
     }
 
-    /// Requests under way at servers of the versions allowed, sent by this entry.
-    pub fn under_way(&self, versions: VersionRule<'_>) -> u32 {
+    /// Number of this entry's requests in flight at servers of the versions allowed.
+    pub fn in_flight(&self, versions: VersionRule<'_>) -> u32 {
         let servers = self.servers.iter().flatten();
-        let servers = servers.filter(|server| versions.allows(&server.facts.version));
+        let servers = servers.filter(|server| versions.allows(&server.info.version));
         servers.map(|server| server.running).sum()
     }
 
     /// Chooses a server and counts the request there; `None` if no server may take it now.
-    pub fn place(&mut self, ask: &Ask<'_>, now: Duration, rng: &mut impl Rng) -> Option<Ticket> {
-        let best = self.best(ask, now, Permission::AtHand, || rng.random_range(0.0..1.0))?;
-        let expected_ms = best.read_ms + ask.base_ms;
-        self.usual_read_ms += READ_GAIN * (expected_ms - self.usual_read_ms);
+    pub fn place(
+        &mut self,
+        request: &PlacementRequest<'_>,
+        now: Duration,
+        rng: &mut impl Rng,
+    ) -> Option<Ticket> {
+        let best =
+            self.best_candidate(request, now, PermitRule::Granted, || rng.random_range(0.0..1.0))?;
+        let expected_ms = best.prefill_ms + request.base_ms;
+        self.mean_prefill_ms += PREFILL_GAIN * (expected_ms - self.mean_prefill_ms);
         let is_paced = self.pacing.is_some();
         let server = self.servers[best.index].as_mut()?;
         if is_paced {
-            server.warmth.note_sent(now);
+            server.warm_up.record_sent(now);
         }
         let permit = server.notice.rate_limit().and_then(|_| server.permits.take(now));
-        let ahead_ms = server.waiting_ms;
-        server.admit(ask, expected_ms, now);
+        let queued_ms = server.waiting_ms;
+        server.admit(request, expected_ms, now);
         Some(Ticket {
             index: best.index,
-            server: server.facts.id.clone(),
-            life: server.life,
-            mark: server.mark.clone(),
-            placed: now,
-            permit,
+            server: server.info.id.clone(),
+            incarnation_number: server.incarnation_number,
+            incarnation: server.incarnation.clone(),
+            placed_at: now,
+            permit_granted_at: permit,
             expected_ms,
-            read_tokens: best.read_ms / ask.read_ms_per_token.max(f64::MIN_POSITIVE),
-            ahead_ms,
-            waiting: true,
+            prefill_tokens: best.prefill_ms / request.prefill_ms_per_token.max(f64::MIN_POSITIVE),
+            queued_ms,
+            is_waiting: true,
         })
     }
 
-    /// What placing a request now would lead to; `None` if no server may take it now. Permits that may be asked
-    /// for count as given.
-    pub fn forecast(&self, ask: &Ask<'_>, now: Duration) -> Option<Forecast> {
-        let best = self.best(ask, now, Permission::Possible, || 0.0)?;
-        Some(Forecast { begins_ms: best.begins_ms, read_ms: best.read_ms })
+    /// Predicts the outcome of placing a request now; `None` if no server may take it now. Permits
+    /// that may be requested count as granted.
+    pub fn forecast(&self, request: &PlacementRequest<'_>, now: Duration) -> Option<Forecast> {
+        let best = self.best_candidate(request, now, PermitRule::Requestable, || 0.0)?;
+        Some(Forecast { first_byte_ms: best.first_byte_ms, prefill_ms: best.prefill_ms })
     }
 
-    /// The server of the least cost; `scatter` keeps equal ones from being taken in turn.
-    fn best(
+    /// Returns the server of the lowest cost; `tie_breaker` adds a random amount where equal
+    /// servers would otherwise be taken in a fixed order.
+    fn best_candidate(
         &self,
-        ask: &Ask<'_>,
+        request: &PlacementRequest<'_>,
         now: Duration,
-        permission: Permission,
-        mut scatter: impl FnMut() -> f64,
+        permit_rule: PermitRule,
+        mut tie_breaker: impl FnMut() -> f64,
     ) -> Option<Candidate> {
-        let shared = shared_part(ask.parts);
-        let hashed = shared.filter(|_| self.weighed.named_servers);
-        let named = hashed.and_then(|part| self.named_for(part.id, ask, now));
-        let stranger_ms = NAMED_HOLDS * ask.read_ms_per_token + READ_AGAIN_MS_PER_K / 1_000.0;
+        let shared = shared_part(request.parts);
+        let hashed_part = shared.filter(|_| self.scoring.named_servers);
+        let preferred =
+            hashed_part.and_then(|part_id| self.preferred_server(part_id.id, request, now));
+        let uncached_ms_per_token = PREFERRED_CACHE_PROBABILITY * request.prefill_ms_per_token
+            + RECOMPUTE_MS_PER_1000_TOKENS / 1_000.0;
         let mut best: Option<Candidate> = None;
         for (index, server) in self.servers.iter().enumerate() {
             let Some(server) = server else { continue };
-            let open =
-                self.may_serve(server, ask.versions, now) && self.has_room(server, permission, now);
-            if !open || !ask.allows(&server.facts) {
+            let open = self.may_serve(server, request.versions, now)
+                && self.has_room(server, permit_rule, now);
+            if !open || !request.allows(&server.info) {
                 continue;
             }
-            let read_ms = server.tokens_to_read(ask, now) * ask.read_ms_per_token;
-            let begins_ms = server.begins_ms(ask, read_ms, self.usual_read_ms, now);
-            let mut cost = server.cost(ask, begins_ms, now, &self.home);
-            // NB: a server that won by chance when a permit was asked for wins again once it is at hand.
-            if !server.permits.is_at_hand(now) {
-                cost += scatter();
+            let read_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
+            let begins_ms = server.first_byte_ms(request, read_ms, self.mean_prefill_ms, now);
+            let mut cost = server.cost(request, begins_ms, now, &self.local_data_centre);
+            // NB: without the random amount, the server that was chosen when its permit was
+            // requested is chosen again once the permit is available.
+            if !server.permits.is_available(now) {
+                cost += tie_breaker();
             }
-            if named.is_some_and(|named| named != index) {
-                let tokens = shared.map_or(0, |part| part.tokens);
-                cost += f64::from(tokens) * stranger_ms;
+            if preferred.is_some_and(|preferred| preferred != index) {
+                let tokens = shared.map_or(0, |part_id| part_id.tokens);
+                cost += f64::from(tokens) * uncached_ms_per_token;
             }
             if best.as_ref().is_none_or(|best| cost < best.cost) {
-                best = Some(Candidate { index, cost, read_ms, begins_ms });
+                best =
+                    Some(Candidate { index, cost, prefill_ms: read_ms, first_byte_ms: begins_ms });
             }
         }
         best
     }
 
-    /// The answer began after `took_ms`.
-    pub fn began(&mut self, ticket: &mut Ticket, took_ms: f64, now: Duration) {
-        let waiting = std::mem::replace(&mut ticket.waiting, false);
-        let delays = self.weighed.delays;
+    /// Records that the answer began `elapsed_ms` milliseconds after the request was sent.
+    pub fn on_answer_started(&mut self, ticket: &mut Ticket, elapsed_ms: f64, now: Duration) {
+        let waiting = std::mem::replace(&mut ticket.is_waiting, false);
+        let delays = self.scoring.delays;
         if let Some(server) = self.server_of(ticket).filter(|_| waiting) {
-            server.began(ticket, now);
+            server.on_answer_started(ticket, now);
             if delays {
-                server.was_late(took_ms - ticket.due_ms(), now);
+                server.record_delay(elapsed_ms - ticket.expected_with_queue_ms(), now);
             }
         }
     }
 
-    /// The server told its load with an answer.
-    pub fn tells_load(&mut self, ticket: &Ticket, load: ServerLoad, now: Duration) {
-        if !self.weighed.told_loads {
+    /// Applies the load that the server reported with an answer.
+    pub fn on_load_reported(&mut self, ticket: &Ticket, load: ServerLoad, now: Duration) {
+        if !self.scoring.told_loads {
             return;
         }
         if let Some(server) = self.server_of(ticket) {
-            server.tells_load(load, now);
+            server.on_load_reported(load, now);
         }
     }
 
-    /// The request is over.
-    pub fn ended(&mut self, ticket: &Ticket) {
+    /// Ends a request.
+    pub fn on_finished(&mut self, ticket: &Ticket) {
         if let Some(server) = self.server_of(ticket) {
-            server.ended(ticket.expected_ms, ticket.waiting);
+            server.on_finished(ticket.expected_ms, ticket.is_waiting);
         }
     }
 
-    /// The server answered; `failed` tells whether with a failure of its own.
-    pub fn answered(&mut self, ticket: &Ticket, failed: bool, now: Duration) {
+    /// Records an answer of the server; `failed` says whether it was a failure of the server's own.
+    pub fn record_outcome(&mut self, ticket: &Ticket, failed: bool, now: Duration) {
         if let Some(server) = self.server_of(ticket) {
-            server.answered(failed, now);
+            server.record_outcome(failed, now);
         }
     }
 
-    /// The server refused without running; it is left alone a while.
-    pub fn refused(&mut self, ticket: &Ticket, now: Duration) {
+    /// Records that the server refused a request without running it, which starts a backoff.
+    pub fn on_refused(&mut self, ticket: &Ticket, now: Duration) {
         if let Some(server) = self.server_of(ticket) {
-            server.refused(now);
+            server.on_refused(now);
         }
     }
 
-    /// Another server has its address, or it has another identity now.
-    pub fn is_replaced(&mut self, ticket: &Ticket) {
+    /// Records that another server listens at the address, or that the server has another identity.
+    pub fn mark_replaced(&mut self, ticket: &Ticket) {
         if let Some(server) = self.server_of(ticket) {
-            server.is_replaced();
+            server.mark_replaced();
         }
     }
 
-    fn open(&self, versions: VersionRule<'_>, now: Duration) -> impl Iterator<Item = &Server> {
+    fn available_servers(
+        &self,
+        versions: VersionRule<'_>,
+        now: Duration,
+    ) -> impl Iterator<Item = &Server> {
         let servers = self.servers.iter().flatten();
         servers.filter(move |server| self.may_serve(server, versions, now))
     }
 
-    /// The server that hashing names for a shared part.
+    /// The server that rendezvous hashing names for a shared part.
     ///
-    /// NB: never a cold one, one that wants nothing or one that names a rate limit. All that share the part would
-    /// turn to a server that takes a few of them.
-    fn named_for(&self, part: u64, ask: &Ask<'_>, now: Duration) -> Option<ServerIndex> {
+    /// NB: never a server that is cold, backs off or reports a rate limit. All requests that share
+    /// the part would be sent to a server that can take only a few of them.
+    fn preferred_server(
+        &self,
+        part_id: u64,
+        request: &PlacementRequest<'_>,
+        now: Duration,
+    ) -> Option<ServerIndex> {
         let servers = self.servers.iter().enumerate();
         let servers = servers.filter_map(|(index, server)| Some((index, server.as_ref()?)));
         let open = servers.filter(|(_, server)| {
-            self.may_serve(server, ask.versions, now)
-                && ask.homes.allow(&server.facts.data_centre)
+            self.may_serve(server, request.versions, now)
+                && request.data_centres.allows(&server.info.data_centre)
                 && !self.is_cold(server, now)
-                && server.notice.backs_off_until(now).is_none()
+                && server.notice.backoff_until(now).is_none()
                 && server.notice.rate_limit().is_none()
         });
-        let named = open.max_by_key(|(_, server)| mix(server.hash ^ part));
-        named.map(|(index, _)| index)
+        let preferred = open.max_by_key(|(_, server)| mix(server.hash ^ part_id));
+        preferred.map(|(index, _)| index)
     }
 
     fn server_of(&mut self, ticket: &Ticket) -> Option<&mut Server> {
         let server = self.servers.get_mut(ticket.index)?.as_mut()?;
-        (server.life == ticket.life).then_some(server)
+        (server.incarnation_number == ticket.incarnation_number).then_some(server)
     }
 }
 
-/// The last part that several requests share; the one behind it is the request's own.
+/// The last part that several requests share; the part after it belongs to the request alone.
 fn shared_part(parts: &[PromptPart]) -> Option<PromptPart> {
     let count = parts.len();
     (count >= 2).then(|| parts[count - 2])
--- a/crates/decide/src/direct/permits.rs
+++ b/crates/decide/src/direct/permits.rs
@@ -1,133 +1,135 @@
-//! Permits to send requests to backend servers that name a rate limit.
+//! Grants permits to send requests to backend servers that report a rate limit.
 //!
-//! A limit is for all entries together, and small: mostly less than one request a second for each entry. So for
-//! each server one entry grants the permits of all, from a token bucket, and what the server takes is used
-//! wherever its callers are. Rendezvous hashing (Thaler and Ravishankar, 1998) on the names of server and entry
-//! names it, and those that stand in for it while it cannot be reached.
+//! A limit applies to all entries together and is small, mostly less than one request a second for
+//! each entry. For each server one entry therefore grants the permits of all entries from a token
+//! bucket, so that the whole rate can be used wherever the callers are. Rendezvous hashing (Thaler
+//! and Ravishankar, 1998) of the names of server and entry gives the order of the granters: the
+//! primary, and the backups that replace it while it cannot be reached.
 //!
-//! A stand-in grants a part only: where entries are cut in two, those on the other side may still get permits
-//! from the first in order. With bursts and permits that are used late, both together stay below one and a half
-//! times the limit.
+//! A backup grants only a fraction. In a network partition the entries on the other side may still
+//! get permits from the primary. With bursts and permits that are used late, both together stay
+//! below one and a half times the limit.
 
 use std::{collections::HashMap, time::Duration};
 
 use pondwalk_types::ServerId;
 
-use super::fleet::ServerLimit;
+use super::fleet::RateLimit;
 
-/// Part of a limit that a stand-in grants.
-const STAND_IN_PART: f64 = 0.3;
-/// Permits that the first in order may save up, and a stand-in, besides those of so long. Askers come a little after
-/// the moment at which there is one.
-const SAVED_BY_FIRST: f64 = 2.0;
-const SAVED_BY_STAND_IN: f64 = 1.0;
+/// Fraction of a limit that a backup grants.
+const BACKUP_FRACTION: f64 = 0.3;
+/// Permits that the primary and a backup may accumulate, beside those of `BURST_TIME`. Requests for
+/// a permit arrive a little after the moment at which there is one.
+const PRIMARY_BURST: f64 = 2.0;
+const BACKUP_BURST: f64 = 1.0;
 const BURST_TIME: Duration = Duration::from_millis(200);
-/// Askers that are told to come back for each permit. Some find another server meanwhile, or have no request
-/// just then.
-const ASKERS_PER_PERMIT: f64 = 4.0;
-/// Least permits a second. A server that takes fewer is asked so often whether that still holds, since only its
-/// answers tell.
-const LEAST_PER_S: f64 = 0.05;
-/// Longest time after which an asker may come back. It may be served sooner where others have stopped to ask.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Time for which a server's bucket is remembered after it was last asked for.
-const BUCKET_MEMORY: Duration = Duration::from_secs(120);
-/// Buckets remembered before those that are over are looked for.
-const MIN_BUCKETS: usize = 64;
+/// Number of refused requesters that are sent back to retry for each permit. Some find another
+/// server meanwhile, or have no request at that moment.
+const REQUESTERS_PER_PERMIT: f64 = 4.0;
+/// Lowest rate of permits. A server with a lower limit is still sent this many requests, since only
+/// its answers show whether the limit still applies.
+const MIN_PERMITS_PER_S: f64 = 0.05;
+/// Longest time until a retry. A retry may succeed sooner if other requesters have given up.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time for which a server's bucket is kept after its last use.
+const BUCKET_RETENTION: Duration = Duration::from_secs(120);
+/// Number of buckets from which expired ones are swept.
+const MIN_SWEEP_BUCKETS: usize = 64;
 
-/// In which place an entry grants permits for a server.
+/// Position of an entry among the granters of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Granter {
-    /// It is the first in order.
-    First,
-    /// It stands in for those before it, which it cannot reach.
-    StandIn,
+pub enum GranterRole {
+    /// First in order.
+    Primary,
+    /// Replaces the entries before it in order, which cannot be reached.
+    Backup,
 }
 
-impl Granter {
-    /// Permits a second that it may grant.
-    fn per_s(self, limit: ServerLimit) -> f64 {
-        let part = match self {
-            Granter::First => 1.0,
-            Granter::StandIn => STAND_IN_PART,
+impl GranterRole {
+    /// Rate of permits in this role, per second.
+    fn per_s(self, limit: RateLimit) -> f64 {
+        let fraction = match self {
+            GranterRole::Primary => 1.0,
+            GranterRole::Backup => BACKUP_FRACTION,
         };
-        part * limit.per_s().max(LEAST_PER_S)
+        fraction * limit.per_s().max(MIN_PERMITS_PER_S)
     }
 
-    /// Permits that it may save up where it grants so many a second.
-    fn most_saved(self, per_s: f64) -> f64 {
-        let saved = match self {
-            Granter::First => SAVED_BY_FIRST,
-            Granter::StandIn => SAVED_BY_STAND_IN,
+    /// Permits that may accumulate in this role at a rate of `per_s`.
+    fn max_saved(self, per_s: f64) -> f64 {
+        let burst = match self {
+            GranterRole::Primary => PRIMARY_BURST,
+            GranterRole::Backup => BACKUP_BURST,
         };
-        saved + per_s * BURST_TIME.as_secs_f64()
+        burst + per_s * BURST_TIME.as_secs_f64()
     }
 }
 
-/// The permits that this entry grants, by server.
+/// Token buckets for the permits that this entry grants, by server.
 #[derive(Debug, Clone, Default)]
 pub struct PermitBuckets {
     buckets: HashMap<ServerId, Bucket>,
     sweep_at: usize,
 }
 
-/// Permits for one server.
+/// Token bucket of one server.
 ///
-/// NB: it starts empty, since an earlier life of this entry, or another entry, may have granted some just now.
+/// NB: it starts empty, since an earlier incarnation of this entry, or another entry, may have
+/// granted permits just before.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     permits: f64,
     filled_at: Duration,
-    /// When the last asker that was refused may come back.
-    promised: Duration,
+    /// When the last requester that was refused may retry.
+    last_retry_at: Duration,
 }
 
 impl PermitBuckets {
-    /// Takes a permit for a server, or tells when to ask again.
+    /// Takes a permit for a server, or returns when to retry.
     pub fn take(
         &mut self,
         server: &str,
-        limit: ServerLimit,
-        granter: Granter,
+        limit: RateLimit,
+        role: GranterRole,
         now: Duration,
     ) -> Result<(), Duration> {
         self.sweep(now);
-        let empty = Bucket { permits: 0.0, filled_at: now, promised: now };
+        let empty = Bucket { permits: 0.0, filled_at: now, last_retry_at: now };
         let bucket = self.buckets.entry(server.to_owned()).or_insert(empty);
-        let per_s = granter.per_s(limit);
-        bucket.take(per_s, granter.most_saved(per_s), now)
+        let per_s = role.per_s(limit);
+        bucket.take(per_s, role.max_saved(per_s), now)
     }
 
     fn sweep(&mut self, now: Duration) {
-        if self.buckets.len() < self.sweep_at.max(MIN_BUCKETS) {
+        if self.buckets.len() < self.sweep_at.max(MIN_SWEEP_BUCKETS) {
             return;
         }
-        self.buckets.retain(|_, bucket| now < bucket.filled_at + BUCKET_MEMORY);
+        self.buckets.retain(|_, bucket| now < bucket.filled_at + BUCKET_RETENTION);
         // NB: doubling keeps the work of sweeping in proportion to that of inserting.
         self.sweep_at = 2 * self.buckets.len();
     }
 }
 
 impl Bucket {
-    fn take(&mut self, per_s: f64, most: f64, now: Duration) -> Result<(), Duration> {
-        let since_s = now.saturating_sub(self.filled_at).as_secs_f64();
-        self.permits = (self.permits + since_s * per_s).min(most);
+    fn take(&mut self, per_s: f64, max: f64, now: Duration) -> Result<(), Duration> {
+        let elapsed_s = now.saturating_sub(self.filled_at).as_secs_f64();
+        self.permits = (self.permits + elapsed_s * per_s).min(max);
         self.filled_at = now;
         if self.permits >= 1.0 {
             self.permits -= 1.0;
             return Ok(());
         }
-        Err(self.promise(per_s, now))
+        Err(self.next_retry_at(per_s, now))
     }
 
-    /// When the next asker may come back: behind most of those that were refused before it.
-    fn promise(&mut self, per_s: f64, now: Duration) -> Duration {
-        let latest = now + LONGEST_PAUSE;
+    /// When the next requester may retry: after most of those that were refused before it.
+    fn next_retry_at(&mut self, per_s: f64, now: Duration) -> Duration {
+        let latest = now + MAX_RETRY_DELAY;
         let after =
-            |permits: f64| Duration::try_from_secs_f64(permits / per_s).unwrap_or(LONGEST_PAUSE);
+            |permits: f64| Duration::try_from_secs_f64(permits / per_s).unwrap_or(MAX_RETRY_DELAY);
         let next = now + after(1.0 - self.permits);
-        let behind = self.promised + after(1.0 / ASKERS_PER_PERMIT);
-        self.promised = next.max(behind).min(latest);
-        self.promised
+        let staggered = self.last_retry_at + after(1.0 / REQUESTERS_PER_PERMIT);
+        self.last_retry_at = next.max(staggered).min(latest);
+        self.last_retry_at
     }
 }
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -1,14 +1,15 @@
-//! Permits for backend servers that name a rate limit: asked for before a request is sent, and granted to all
-//! entries by one of them.
+//! Permits for backend servers that report a rate limit. An entry requests one before it sends a
+//! request; for each server a single entry grants them to all others.
 //!
-//! The first entry in a server's order grants them. Whoever cannot reach it asks the next one, which grants a part
-//! only after it has tried those before it itself.
+//! The first entry in a server's granting order grants its permits. An entry that can't reach it
+//! asks the next one, which grants a reduced share, and only after it has failed to reach those
+//! before it.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use bytes::Bytes;
 use pondwalk_decide::direct::{
-    Granter, LifeMark, PermitBuckets, ServerLimit, WantedPermit, server_hash,
+    GranterRole, PermitBuckets, PermitRequest, RateLimit, ServerIncarnation, server_hash,
 };
 use pondwalk_types::ServerId;
 use serde::{Deserialize, Serialize};
@@ -25,65 +26,66 @@
     metrics::Counter,
 };
 
-/// Entries that are tried in turn before a question is given up. More that do not answer say that this entry is
-/// cut off itself.
-const MOST_ASKED: usize = 3;
-/// Longest time for each of those that a stand-in asks, so that its own answer comes before its asker gives up.
-const PASSED_ON_LIMIT: Duration = Duration::from_millis(75);
-/// Time for which an entry that did not answer is passed over.
-const PASS_OVER: Duration = Duration::from_secs(2);
-/// Time after which a permit may be asked for again that nobody could grant.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(500);
-/// Entries that did not answer which are remembered before those of long ago are forgotten.
-const MOST_SILENT: usize = 512;
+/// Granters tried before a query is abandoned. If more don't reply, this entry is probably
+/// isolated itself.
+const MAX_GRANTERS_TRIED: usize = 3;
+/// Timeout for each granter that a stand-in tries, so that its own reply arrives before its
+/// querying entry gives up.
+const FORWARDED_TIMEOUT: Duration = Duration::from_millis(75);
+/// Time for which an entry that didn't reply is skipped.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(2);
+/// Backoff after a permit query that no entry replied to.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum number of unresponsive entries remembered before expired ones are removed.
+const MAX_UNRESPONSIVE: usize = 512;
 
-/// What an entry that grants permits is asked.
+/// Query to an entry that grants permits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct PermitQuestion {
+struct PermitQuery {
     service: String,
     server: ServerId,
-    life: LifeMark,
-    /// The limit that the asker knows.
-    limit: ServerLimit,
-    /// How long ago it was said.
+    life: ServerIncarnation,
+    /// The limit known to the querying entry.
+    limit: RateLimit,
+    /// Age of that limit.
     said_ago: Duration,
-    /// Whether the asker stands in for the entry that is asked, which must then decide alone.
+    /// Whether the querying entry stands in for the receiver, which must then decide on its own.
     is_passed_on: bool,
 }
 
-/// What came of asking for a permit.
+/// Reply to a permit query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum PermitAnswer {
+enum PermitReply {
     /// One request may be sent.
     Given,
-    /// None may, for so long.
+    /// No request may be sent for this long.
     Refused { opens_in: Duration },
-    /// The server has named no limit since.
+    /// The server has stopped reporting a limit since.
     Lifted { ago: Duration },
 }
 
-/// What an entry grants, and which others it could not ask.
+/// Permits granted by this entry, and entries that could not be reached.
 #[derive(Debug, Default)]
 pub struct PermitState {
     buckets: RefCell<PermitBuckets>,
-    /// Until when entries that did not answer are passed over.
-    silent: RefCell<HashMap<SocketAddr, Duration>>,
-    /// Requests that wait for a permit, by service.
+    /// Unresponsive entries, each with the time until which it is skipped.
+    unresponsive: RefCell<HashMap<SocketAddr, Duration>>,
+    /// Number of requests waiting for a permit, by service.
     waiting: RefCell<HashMap<ServiceId, usize>>,
 }
 
-/// Counts a request as one that waits for a permit until it is dropped.
+/// Counts a request as waiting for a permit until dropped.
 pub struct PermitWaiter {
     core: Rc<Core>,
     service: ServiceId,
 }
 
 impl PermitWaiter {
-    /// Lets one more request of a service wait, unless `most` do.
-    pub fn enter(core: &Rc<Core>, service: &ServiceId, most: usize) -> Option<Self> {
+    /// Registers one more waiting request of a service, unless `max` are waiting.
+    pub fn enter(core: &Rc<Core>, service: &ServiceId, max: usize) -> Option<Self> {
         let mut waiting = core.permits.waiting.borrow_mut();
         let count = waiting.entry(service.clone()).or_default();
-        if *count >= most {
+        if *count >= max {
             return None;
         }
         *count += 1;
@@ -101,221 +103,215 @@
 }
 
 impl PermitState {
-    /// Whether an entry is passed over. One that did not answer is tried again by one request at a time.
-    fn is_passed_over(&self, address: SocketAddr, now: Duration) -> bool {
-        let mut silent = self.silent.borrow_mut();
-        let Some(until) = silent.get_mut(&address) else { return false };
+    /// Whether an entry is skipped. After [`UNRESPONSIVE_TIME`] a single request tries it again.
+    fn should_skip(&self, address: SocketAddr, now: Duration) -> bool {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        let Some(until) = unresponsive.get_mut(&address) else { return false };
         if now < *until {
             return true;
         }
-        *until = now + PASS_OVER;
+        *until = now + UNRESPONSIVE_TIME;
         false
     }
 
-    fn pass_over(&self, address: SocketAddr, now: Duration) {
-        let mut silent = self.silent.borrow_mut();
-        if silent.len() >= MOST_SILENT {
-            silent.retain(|_, until| now < *until);
+    fn mark_unresponsive(&self, address: SocketAddr, now: Duration) {
+        let mut unresponsive = self.unresponsive.borrow_mut();
+        if unresponsive.len() >= MAX_UNRESPONSIVE {
+            unresponsive.retain(|_, until| now < *until);
         }
-        silent.insert(address, now + PASS_OVER);
+        unresponsive.insert(address, now + UNRESPONSIVE_TIME);
     }
 
-    fn has_answered(&self, address: SocketAddr) {
-        self.silent.borrow_mut().remove(&address);
+    fn mark_responsive(&self, address: SocketAddr) {
+        self.unresponsive.borrow_mut().remove(&address);
     }
 }
 
-/// What became of permits and limits.
+/// Log event of permits and limits.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum PermitEvent<'a> {
-    /// No entry that could grant a permit for this server answered.
+    /// No entry that could grant a permit for this server replied.
     PermitUnanswered { server: &'a str, error: String },
-    /// Another entry has told of a server's rate limit; none if it names none any more.
+    /// Another entry reported a server's rate limit; `None` if the limit was lifted.
     ServerLimitHeard { server: &'a str, from: &'a str, per_s: Option<f64> },
 }
 
-/// What an entry's walk along those that may grant a permit led to.
-enum Walk {
-    /// One of them decided.
-    Decided(PermitAnswer),
-    /// It is this entry's turn.
-    OwnTurn(Granter),
-    /// None of them answered.
+/// Result of the search for a granter.
+enum GranterSearch {
+    /// Another entry decided.
+    Decided(PermitReply),
+    /// This entry decides.
+    Local(GranterRole),
+    /// No entry replied.
     Unanswered(Option<PeerError>),
 }
 
 impl Core {
-    /// Asks for a permit, and notes in the fleet what came of it.
-    pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: WantedPermit) {
-        let said_ago = self.clock.now().saturating_sub(wanted.said_at);
-        let question = PermitQuestion {
+    /// Requests a permit and records the reply in the fleet.
+    pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: PermitRequest) {
+        let said_ago = self.clock.now().saturating_sub(wanted.reported_at);
+        let query = PermitQuery {
             service: service.to_string(),
             server: wanted.server,
-            life: wanted.life,
+            life: wanted.incarnation,
             limit: wanted.limit,
             said_ago,
             is_passed_on: false,
         };
-        let answer = match self.decide_permit(&question).await {
-            Ok(answer) => answer,
+        let reply = match self.resolve_permit(&query).await {
+            Ok(reply) => reply,
             Err(error) => {
-                let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
-                let event = PermitEvent::PermitUnanswered { server: &question.server, error };
+                let error =
+                    error.map_or("no other entry is known".to_owned(), |one| one.to_string());
+                let event = PermitEvent::PermitUnanswered { server: &query.server, error };
                 self.event_log.record(LogPriority::Failure, &event);
-                PermitAnswer::Refused { opens_in: UNANSWERED_PAUSE }
+                PermitReply::Refused { opens_in: UNANSWERED_BACKOFF }
             }
         };
-        self.take_permit_answer(&service, &question, answer);
+        self.apply_permit_response(&service, &query, reply);
     }
 
-    fn take_permit_answer(
-        &self,
-        service: &ServiceId,
-        question: &PermitQuestion,
-        answer: PermitAnswer,
-    ) {
+    fn apply_permit_response(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(service) else { return };
-        match answer {
-            PermitAnswer::Given => {
+        match reply {
+            PermitReply::Given => {
                 self.metrics.count(Counter::PermitsGiven);
-                fleet.take_permit(&question.server, Ok(()), now);
+                fleet.apply_permit_decision(&query.server, Ok(()), now);
             }
-            PermitAnswer::Refused { opens_in } => {
+            PermitReply::Refused { opens_in } => {
                 self.metrics.count(Counter::PermitsRefused);
-                fleet.take_permit(&question.server, Err(now + opens_in), now);
+                fleet.apply_permit_decision(&query.server, Err(now + opens_in), now);
             }
-            PermitAnswer::Lifted { ago } => {
+            PermitReply::Lifted { ago } => {
                 let at = now.saturating_sub(ago);
-                fleet.is_told_limit(&question.server, &question.life, None, at);
-                fleet.take_permit(&question.server, Err(now), now);
+                fleet.apply_peer_rate_limit(&query.server, &query.life, None, at);
+                fleet.apply_permit_decision(&query.server, Err(now), now);
             }
         }
     }
 
-    /// Decides about a permit, or lets those decide that come before this entry.
-    async fn decide_permit(
-        &self,
-        question: &PermitQuestion,
-    ) -> Result<PermitAnswer, Option<PeerError>> {
-        match self.walk_granters(question).await {
-            Walk::Decided(answer) => Ok(answer),
-            Walk::OwnTurn(granter) => Ok(self.grant_permit(question, granter)),
-            Walk::Unanswered(error) => Err(error),
+    /// Decides on a permit query, here or at the entries that come first in the granting order.
+    async fn resolve_permit(&self, query: &PermitQuery) -> Result<PermitReply, Option<PeerError>> {
+        match self.find_granter(query).await {
+            GranterSearch::Decided(reply) => Ok(reply),
+            GranterSearch::Local(granter) => Ok(self.grant_permit(query, granter)),
+            GranterSearch::Unanswered(error) => Err(error),
         }
     }
 
-    /// Asks those that may grant a permit in turn, until one answers or it is this entry's turn.
-    async fn walk_granters(&self, question: &PermitQuestion) -> Walk {
-        let order = self.members.granting_order(u128::from(server_hash(&question.server)));
-        // NB: an entry that is not listed yet may not know the others, which may grant the same.
+    /// Tries the granters in order until one replies or this entry itself is next.
+    async fn find_granter(&self, query: &PermitQuery) -> GranterSearch {
+        let order = self.members.granting_order(u128::from(server_hash(&query.server)));
+        // An entry that isn't listed yet may not know the others, which may grant the same permits.
         let is_listed = self.members.own_listing().is_some() || self.settings.peers.is_none();
         let mut error = None;
-        let mut asked = 0;
+        let mut tried = 0;
         for (place, (_, address)) in order.into_iter().enumerate() {
             let Some(address) = address else {
                 return match is_listed {
-                    true => Walk::OwnTurn(granter_at(place)),
-                    false => Walk::Unanswered(error),
+                    true => GranterSearch::Local(role_at(place)),
+                    false => GranterSearch::Unanswered(error),
                 };
             };
-            if asked == MOST_ASKED {
+            if tried == MAX_GRANTERS_TRIED {
                 break;
             }
-            if self.permits.is_passed_over(address, self.clock.now()) {
+            if self.permits.should_skip(address, self.clock.now()) {
                 continue;
             }
-            asked += 1;
-            match self.ask_granter(address, question).await {
-                Ok(answer) => {
-                    self.permits.has_answered(address);
-                    return Walk::Decided(answer);
+            tried += 1;
+            match self.query_granter(address, query).await {
+                Ok(reply) => {
+                    self.permits.mark_responsive(address);
+                    return GranterSearch::Decided(reply);
                 }
                 Err(failed) => {
-                    self.permits.pass_over(address, self.clock.now());
+                    self.permits.mark_unresponsive(address, self.clock.now());
                     error = Some(failed);
                 }
             }
         }
-        Walk::Unanswered(error)
+        GranterSearch::Unanswered(error)
     }
 
-    async fn ask_granter(
+    async fn query_granter(
         &self,
         address: SocketAddr,
-        question: &PermitQuestion,
-    ) -> Result<PermitAnswer, PeerError> {
-        let answer = query_peer(self, address, PERMIT_PATH, question);
-        match question.is_passed_on {
-            true => timeout(PASSED_ON_LIMIT, answer).await.map_err(|_| PeerError::Timeout)?,
-            false => answer.await,
+        query: &PermitQuery,
+    ) -> Result<PermitReply, PeerError> {
+        let reply = query_peer(self, address, PERMIT_PATH, query);
+        match query.is_passed_on {
+            true => timeout(FORWARDED_TIMEOUT, reply).await.map_err(|_| PeerError::Timeout)?,
+            false => reply.await,
         }
     }
 
-    /// Answers another entry's question.
-    pub async fn handle_permit_request(&self, question: &[u8]) -> Result<Bytes, MessageError> {
+    /// Handles another entry's permit query.
+    pub async fn handle_permit_query(&self, query: &[u8]) -> Result<Bytes, MessageError> {
         let store = self.settings.store.address;
-        let mut question: PermitQuestion = from_message(question, store)?;
-        let answer = match question.is_passed_on {
-            true => self.grant_permit(&question, self.own_place(&question.server)),
+        let mut query: PermitQuery = from_message(query, store)?;
+        let reply = match query.is_passed_on {
+            true => self.grant_permit(&query, self.local_role(&query.server)),
             false => {
-                question.is_passed_on = true;
-                let decided = self.decide_permit(&question).await;
-                decided.unwrap_or(PermitAnswer::Refused { opens_in: UNANSWERED_PAUSE })
+                query.is_passed_on = true;
+                let decided = self.resolve_permit(&query).await;
+                decided.unwrap_or(PermitReply::Refused { opens_in: UNANSWERED_BACKOFF })
             }
         };
-        to_message(store, &answer)
+        to_message(store, &reply)
     }
 
-    /// In which place this entry grants permits for a server.
-    fn own_place(&self, server: &str) -> Granter {
+    /// This entry's role as a granter for a server.
+    fn local_role(&self, server: &str) -> GranterRole {
         let order = self.members.granting_order(u128::from(server_hash(server)));
         let place = order.iter().position(|(_, address)| address.is_none());
-        place.map_or(Granter::StandIn, granter_at)
+        place.map_or(GranterRole::Backup, role_at)
     }
 
-    /// Grants a permit or refuses it, by the latest word on the server's limit.
-    fn grant_permit(&self, question: &PermitQuestion, granter: Granter) -> PermitAnswer {
+    /// Grants or refuses a permit by the latest known limit of the server.
+    fn grant_permit(&self, query: &PermitQuery, granter: GranterRole) -> PermitReply {
         let now = self.clock.now();
-        let said_at = now.saturating_sub(question.said_ago);
-        let PermitQuestion { server, life, limit, .. } = question;
+        let said_at = now.saturating_sub(query.said_ago);
+        let PermitQuery { server, life, limit, .. } = query;
         let mut state = self.state.borrow_mut();
-        let fleet = state.fleets.get_mut(question.service.as_str());
+        let fleet = state.fleets.get_mut(query.service.as_str());
         let known = fleet.and_then(|fleet| {
-            fleet.is_told_limit(server, life, Some(*limit), said_at);
-            fleet.limit_of(server, life)
+            fleet.apply_peer_rate_limit(server, life, Some(*limit), said_at);
+            fleet.rate_limit_of(server, life)
         });
         drop(state);
         let limit = match known {
-            Some((None, at)) => return PermitAnswer::Lifted { ago: now.saturating_sub(at) },
+            Some((None, at)) => return PermitReply::Lifted { ago: now.saturating_sub(at) },
             Some((Some(known), _)) => known,
             None => *limit,
         };
-        let taken = self.permits.buckets.borrow_mut().take(server, limit, granter, now);
-        match taken {
-            Ok(()) => PermitAnswer::Given,
-            Err(until) => PermitAnswer::Refused { opens_in: until.saturating_sub(now) },
+        let granted = self.permits.buckets.borrow_mut().take(server, limit, granter, now);
+        match granted {
+            Ok(()) => PermitReply::Given,
+            Err(until) => PermitReply::Refused { opens_in: until.saturating_sub(now) },
         }
     }
 
-    /// Another entry has heard of a server's rate limit, or that it names none any more.
+    /// Applies a rate limit, or its removal, received from another entry.
     pub fn receive_limit(&self, item: &GossipItem) {
         let Gossip::Limited { fleet, server, life, limit } = &item.news else { return };
         let at = self.clock.now().saturating_sub(item.age);
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(fleet.as_str());
-        let changes = fleet.is_some_and(|fleet| fleet.is_told_limit(server, life, *limit, at));
+        let changes =
+            fleet.is_some_and(|fleet| fleet.apply_peer_rate_limit(server, life, *limit, at));
         drop(state);
         if changes {
-            let (from, per_s) = (item.origin.as_str(), limit.map(ServerLimit::per_s));
+            let (from, per_s) = (item.origin.as_str(), limit.map(RateLimit::per_s));
             let event = PermitEvent::ServerLimitHeard { server, from, per_s };
             self.event_log.record(LogPriority::State, &event);
         }
     }
 }
 
-fn granter_at(place: usize) -> Granter {
-    if place == 0 { Granter::First } else { Granter::StandIn }
+fn role_at(place: usize) -> GranterRole {
+    if place == 0 { GranterRole::Primary } else { GranterRole::Backup }
 }
--- /dev/null
+++ b/crates/direct/src/quarantine/probe_lease.rs
@@ -0,0 +1,70 @@
+//! Leases of probes, released if unused.
+
+use std::{
+    cell::{Cell, RefCell},
+    net::SocketAddr,
+    rc::Rc,
+};
+
+use pondwalk_decide::direct::ContentHash;
+use tokio::sync::Notify;
+
+use super::probe::ProbeQuery;
+use crate::core::Core;
+
+/// Probes that are to be released to their granters.
+#[derive(Debug, Default)]
+pub struct ReleasedProbes {
+    probes: RefCell<Vec<(ContentHash, Option<SocketAddr>)>>,
+    changed: Notify,
+}
+
+/// Permission to run a content once, released on drop unless a server was reached.
+///
+/// Otherwise a harmless request that is retried while no server can be reached would use up all its
+/// probes.
+pub struct ProbeLease {
+    core: Rc<Core>,
+    content: ContentHash,
+    /// Entry that granted the probe; `None` if this one did.
+    granted_by: Option<SocketAddr>,
+    has_reached: Cell<bool>,
+}
+
+impl ProbeLease {
+    /// A lease granted by the entry at `granted_by`, or by this entry.
+    pub fn new(core: &Rc<Core>, content: ContentHash, granted_by: Option<SocketAddr>) -> Self {
+        ProbeLease { core: Rc::clone(core), content, granted_by, has_reached: Cell::new(false) }
+    }
+
+    /// Sets whether the request was sent to a server that has not reported it as not run.
+    pub fn set_reached(&self, has_reached: bool) {
+        self.has_reached.set(has_reached);
+    }
+}
+
+impl Drop for ProbeLease {
+    fn drop(&mut self) {
+        if !self.has_reached.get() {
+            let released_probes = &self.core.released_probes;
+            released_probes.probes.borrow_mut().push((self.content, self.granted_by));
+            released_probes.changed.notify_one();
+        }
+    }
+}
+
+/// Releases unused probes to their granters for as long as the process runs.
+pub async fn release_probes(core: Rc<Core>) {
+    loop {
+        core.released_probes.changed.notified().await;
+        for (content, granted_by) in core.released_probes.probes.take() {
+            match granted_by {
+                None => core.state.borrow_mut().quarantine.release_probe(content),
+                // A granter that can't be reached counts the probe as used.
+                Some(address) => {
+                    core.send_probe_release(address, ProbeQuery::GiveBack(content)).await
+                }
+            }
+        }
+    }
+}
