--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -121,7 +121,10 @@
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
             // Settings take effect at the next start; everything dynamic is in the store.
-            _ = hang_up.recv() => entry.core().event_log.record(LogPriority::State, &LifecycleEvent::ReloadAsked),
+            _ = hang_up.recv() => entry
+                .core()
+                .event_log
+                .record(LogPriority::State, &LifecycleEvent::ReloadAsked),
         }
     }
 }
