--- a/crates/pondwalk/src/commands.rs
+++ b/crates/pondwalk/src/commands.rs
@@ -1,20 +1,20 @@
-//! One module for each command.
+//! Commands of the program, one module each.
 
+#[cfg(feature = "operate")]
+mod agent_mode;
 mod check;
 #[cfg(feature = "platform")]
 mod direct;
-#[cfg(feature = "operate")]
-mod full;
 
 use crate::{exit::Exit, options::Options};
 
-/// Runs what the user asked for.
+/// Runs the selected command.
 pub fn run(options: Options) -> anyhow::Result<Exit> {
     match options {
         Options::Check(files) => check::run(&files),
         #[cfg(feature = "platform")]
         Options::Direct(settings) => direct::run(&settings),
         #[cfg(feature = "operate")]
-        Options::Full(options) => full::run(options),
+        Options::AgentMode(options) => agent_mode::run(options),
     }
 }
--- a/crates/pondwalk/src/commands/agent_mode.rs
+++ b/crates/pondwalk/src/commands/agent_mode.rs
@@ -13,29 +13,29 @@
 
 use pondwalk_store::{Store, http_transport};
 
-use crate::{exit::Exit, options::FullOptions};
+use crate::{exit::Exit, options::AgentModeOptions};
 
-/// Longest time of one call to the store by an operator's command.
+/// Timeout of calls to the store by operators' commands.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs what the user asked for.
-pub fn run(options: FullOptions) -> anyhow::Result<Exit> {
+/// Runs the selected command.
+pub fn run(options: AgentModeOptions) -> anyhow::Result<Exit> {
     match options {
-        FullOptions::Entry(settings) => role::entry(&settings),
-        FullOptions::Agent(settings) => role::agent(&settings),
-        FullOptions::Apply(options) => change::apply(&options),
-        FullOptions::Status(options) => status::run(&options),
-        FullOptions::RollOut(options) => change::roll_out(&options),
-        FullOptions::Withdraw(options) => change::withdraw(&options),
-        FullOptions::Ledger(options) => ledger::run(&options),
-        FullOptions::Replay(options) => replay::run(&options),
-        FullOptions::Demo(options) => demo::run(&options),
-        FullOptions::StandIns => stand_ins::run(),
-        FullOptions::Bench(options) => bench::run(&options),
+        AgentModeOptions::Entry(settings) => role::entry(&settings),
+        AgentModeOptions::Agent(settings) => role::agent(&settings),
+        AgentModeOptions::Apply(options) => change::apply(&options),
+        AgentModeOptions::Status(options) => status::run(&options),
+        AgentModeOptions::RollOut(options) => change::roll_out(&options),
+        AgentModeOptions::Withdraw(options) => change::withdraw(&options),
+        AgentModeOptions::Ledger(options) => ledger::run(&options),
+        AgentModeOptions::Replay(options) => replay::run(&options),
+        AgentModeOptions::Demo(options) => demo::run(&options),
+        AgentModeOptions::StandIns => stand_ins::run(),
+        AgentModeOptions::Bench(options) => bench::run(&options),
     }
 }
 
-/// Runs a command's future on this thread.
+/// Runs a command's future on the current thread.
 fn block_on<T>(future: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(future)
 }
--- a/crates/pondwalk/src/commands/agent_mode/bench.rs
+++ b/crates/pondwalk/src/commands/agent_mode/bench.rs
@@ -1,4 +1,4 @@
-//! `pondwalk bench`: what the way through entry and agent adds.
+//! `pondwalk bench`: measures the overhead of entry and agent.
 
 use pondwalk_config::shared::LogLevel;
 use pondwalk_demo::bench::{BenchFigures, WayFigures, run as measure};
@@ -6,10 +6,10 @@
 
 use crate::{exit::Exit, options::BenchOptions, telemetry};
 
-/// Quantiles shown.
+/// Quantiles that are printed.
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)];
 
-/// Sends the load both ways and prints the difference.
+/// Sends the load directly and through entry and agent, and prints the difference.
 pub fn run(options: &BenchOptions) -> anyhow::Result<Exit> {
     telemetry::start_logs(LogLevel::Error)?;
     let runtime = tokio::runtime::Runtime::new()?;
@@ -43,8 +43,8 @@
     }
     let request_us = figures.cpu_per_request_us();
     println!(
-        "processor time added: {request_us:.0} us a request of {} tokens, {:.1} us a token if all \
-         of it is counted on tokens",
+        "CPU time added: {request_us:.0} us per request of {} tokens, {:.1} us per token if all \
+         of it is attributed to tokens",
         figures.tokens,
         request_us / figures.tokens as f64
     );
--- a/crates/pondwalk/src/commands/agent_mode/change.rs
+++ b/crates/pondwalk/src/commands/agent_mode/change.rs
@@ -1,4 +1,4 @@
-//! `pondwalk apply`, `roll-out` and `withdraw`: changes of the configuration.
+//! `pondwalk apply`, `roll-out` and `withdraw`: change the configuration.
 
 use pondwalk_config::{PolicyRecord, RawFile, policy_from_ini};
 use pondwalk_generations::{
@@ -10,7 +10,7 @@
 
 use super::{
     block_on,
-    status::{ProcessStatus, processes},
+    status::{ProcessStatus, query_processes},
     store,
 };
 use crate::{
@@ -18,59 +18,62 @@
     options::{ApplyOptions, ChangeOptions, RollOutOptions, WithdrawOptions},
 };
 
-/// Makes a policy file the next generation.
+/// Commits a policy file as the next generation.
 pub fn apply(options: &ApplyOptions) -> anyhow::Result<Exit> {
     let file = policy_from_ini(RawFile::load(&options.policy)?)?;
     let edit = |current: &Policy| Ok(replace_policy(current, &file, &options.reinstate));
-    make(&options.change, OnConflict::Abort, edit)
+    change(&options.change, OnConflict::Abort, edit)
 }
 
 /// Starts a roll-out.
 pub fn roll_out(options: &RollOutOptions) -> anyhow::Result<Exit> {
     let roll_out = RollOut { version: options.version.clone(), replaces: options.replaces.clone() };
-    make(&options.change, OnConflict::Retry, |current| add_roll_out(current, &roll_out))
+    change(&options.change, OnConflict::Retry, |current| add_roll_out(current, &roll_out))
 }
 
 /// Withdraws a version.
 pub fn withdraw(options: &WithdrawOptions) -> anyhow::Result<Exit> {
-    make(&options.change, OnConflict::Retry, |current| withdraw_edit(current, &options.version))
+    change(&options.change, OnConflict::Retry, |current| withdraw_edit(current, &options.version))
 }
 
-fn make(
+fn change(
     options: &ChangeOptions,
-    on_race: OnConflict,
+    on_conflict: OnConflict,
     edit: impl Fn(&Policy) -> Result<Policy, EditError>,
 ) -> anyhow::Result<Exit> {
     block_on(async {
-        let record = commit_edit(&store(options.store), rand::random(), on_race, edit).await?;
+        let record = commit_edit(&store(options.store), rand::random(), on_conflict, edit).await?;
         let behind = wait_in_force(options, &record).await;
         print(options, &record, &behind);
-        Ok(if behind.is_empty() { Exit::Success } else { Exit::Unmet })
+        Ok(if behind.is_empty() { Exit::Success } else { Exit::CheckFailed })
     })
 }
 
-/// Waits until every live process has the generation; returns those that do not in time.
+/// Waits until every live process has the generation; returns the processes that do not have it in time.
 async fn wait_in_force(options: &ChangeOptions, record: &PolicyRecord) -> Vec<ProcessStatus> {
-    const POLL: std::time::Duration = std::time::Duration::from_millis(50);
+    const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(50);
     let Some(instances) = options.wait_for else {
         return Vec::new();
     };
-    let until = Instant::now() + options.wait_limit;
+    let deadline = Instant::now() + options.wait_limit;
     loop {
-        let behind = match processes(instances).await {
-            Ok(all) => all.into_iter().filter(|process| !process.has(record.generation)).collect(),
+        let behind = match query_processes(instances).await {
+            Ok(all) => all
+                .into_iter()
+                .filter(|process| !process.has_generation(record.generation))
+                .collect(),
             Err(_) => vec![ProcessStatus::list_unreadable()],
         };
-        if behind.is_empty() || Instant::now() >= until {
+        if behind.is_empty() || Instant::now() >= deadline {
             return behind;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 fn print(options: &ChangeOptions, record: &PolicyRecord, behind: &[ProcessStatus]) {
-    let waited = options.wait_for.is_some();
-    let in_force = waited.then_some(behind.is_empty());
+    let has_waited = options.wait_for.is_some();
+    let in_force = has_waited.then_some(behind.is_empty());
     if options.json {
         let names: Vec<&String> = behind.iter().map(|process| &process.instance).collect();
         let body = json!({
--- a/crates/pondwalk/src/commands/agent_mode/ledger.rs
+++ b/crates/pondwalk/src/commands/agent_mode/ledger.rs
@@ -1,4 +1,4 @@
-//! `pondwalk ledger`: the bills, each request counted once.
+//! `pondwalk ledger`: lists and totals the bills, each request once.
 
 use pondwalk_ledger::{Ledger, read_ledger};
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
     } else {
         print(&ledger, options.list);
     }
-    Ok(if ledger.unreadable == 0 { Exit::Success } else { Exit::Unmet })
+    Ok(if ledger.unreadable == 0 { Exit::Success } else { Exit::CheckFailed })
 }
 
 fn print(ledger: &Ledger, list: bool) {
--- a/crates/pondwalk/src/commands/agent_mode/replay.rs
+++ b/crates/pondwalk/src/commands/agent_mode/replay.rs
@@ -1,11 +1,11 @@
-//! `pondwalk replay`: a trace in, one JSON report out.
+//! `pondwalk replay`: replays a trace and prints a JSON report.
 
 use pondwalk_config::{Outcomes, RawFile, ReplaySettings};
 use pondwalk_replay::{Trace, replay};
 
 use crate::{exit::Exit, options::ReplayOptions};
 
-/// Replays a trace and checks the stated outcomes.
+/// Replays a trace and checks the expected outcomes.
 pub fn run(options: &ReplayOptions) -> anyhow::Result<Exit> {
     let settings = ReplaySettings::try_from(RawFile::load(&options.settings)?)?;
     let outcomes = match &options.outcomes {
@@ -20,5 +20,5 @@
     for outcome in &unmet {
         eprintln!("{outcome}");
     }
-    Ok(if unmet.is_empty() { Exit::Success } else { Exit::Unmet })
+    Ok(if unmet.is_empty() { Exit::Success } else { Exit::CheckFailed })
 }
--- a/crates/pondwalk/src/commands/agent_mode/stand_ins.rs
+++ b/crates/pondwalk/src/commands/agent_mode/stand_ins.rs
@@ -1,4 +1,4 @@
-//! `pondwalk stand-ins`: the systems around pondwalk, to try it by hand.
+//! `pondwalk stand-ins`: runs local stand-ins of the systems that pondwalk depends on.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
 use super::block_on;
 use crate::exit::Exit;
 
-/// Addresses that `sample_configs/local` names.
+// Ports used by `sample_configs/local`.
 const STORE_PORT: u16 = 2379;
 const INSTANCES_PORT: u16 = 2400;
 const RATING_PORT: u16 = 2410;
--- a/crates/pondwalk/src/commands/agent_mode/status.rs
+++ b/crates/pondwalk/src/commands/agent_mode/status.rs
@@ -1,4 +1,4 @@
-//! `pondwalk status`: the configuration in force, and what each process has.
+//! `pondwalk status`: shows the configuration in force and the state of each process.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -11,29 +11,29 @@
 use super::{block_on, store};
 use crate::{exit::Exit, options::StatusOptions};
 
-/// Longest time of one question to a process.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a status query to a process.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What one process has in force.
+/// Generation in force and load of one process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProcessStatus {
-    /// Its name.
+    /// Name of the process.
     pub instance: String,
-    /// Its role, or what stands in the way of knowing more.
+    /// Role of the process, or the reason why its role is unknown.
     pub role: &'static str,
-    /// Generation in force; `None` if it does not answer.
+    /// Generation in force; `None` if the process does not respond.
     pub generation: Option<Generation>,
-    /// Requests running and waiting, where it says so.
+    /// Number of running and queued requests, if the process reports it.
     pub load: Option<u32>,
 }
 
 impl ProcessStatus {
-    /// Whether a generation, or a later one, is in force there.
-    pub fn has(&self, generation: Generation) -> bool {
+    /// Whether the generation, or a later one, is in force.
+    pub fn has_generation(&self, generation: Generation) -> bool {
         self.generation.is_some_and(|current| current >= generation)
     }
 
-    /// Stands for all processes while the list of instances cannot be read.
+    /// Placeholder for all processes if the list of instances cannot be read.
     pub fn list_unreadable() -> Self {
         ProcessStatus {
             instance: "(all)".to_owned(),
@@ -58,12 +58,12 @@
     }
 }
 
-/// Shows what is in force; fails if a process does not answer or is behind.
+/// Prints the configuration in force; fails if a process does not respond or has an older generation.
 pub fn run(options: &StatusOptions) -> anyhow::Result<Exit> {
     block_on(async {
         let head = read_head(&store(options.store)).await?;
         let processes = match options.instances {
-            Some(instances) => processes(instances).await?,
+            Some(instances) => query_processes(instances).await?,
             None => Vec::new(),
         };
         let generation = head.record.generation;
@@ -72,39 +72,43 @@
         } else {
             print(&head, &processes);
         }
-        let behind = processes.iter().any(|process| !process.has(generation));
-        Ok(if behind { Exit::Unmet } else { Exit::Success })
+        let behind = processes.iter().any(|process| !process.has_generation(generation));
+        Ok(if behind { Exit::CheckFailed } else { Exit::Success })
     })
 }
 
-/// Asks every listed process what it has in force.
-pub async fn processes(instances: SocketAddr) -> Result<Vec<ProcessStatus>, ListError> {
+/// Queries the status of every listed process.
+///
+/// # Errors
+///
+/// Returns an error if the list of instances cannot be read.
+pub async fn query_processes(instances: SocketAddr) -> Result<Vec<ProcessStatus>, ListError> {
     let client = reqwest::Client::new();
     let list = read_list(&client, instances).await?;
-    let asked = list.into_iter().map(|instance| ask(&client, instance));
-    Ok(futures::future::join_all(asked).await)
+    let queries = list.into_iter().map(|instance| query(&client, instance));
+    Ok(futures::future::join_all(queries).await)
 }
 
-async fn ask(client: &reqwest::Client, instance: Instance) -> ProcessStatus {
+async fn query(client: &reqwest::Client, instance: Instance) -> ProcessStatus {
     let role = match instance.role {
         Role::Entry => "entry",
         Role::Agent => "agent",
     };
-    let answer = async {
+    let response = async {
         match instance.role {
-            Role::Entry => ask_entry(client, instance.address).await,
-            Role::Agent => ask_agent(instance.address).await,
+            Role::Entry => query_entry(client, instance.address).await,
+            Role::Agent => query_agent(instance.address).await,
         }
     };
-    let answer = tokio::time::timeout(ASK_LIMIT, answer).await.ok().flatten();
-    let (generation, load) = match answer {
+    let response = tokio::time::timeout(QUERY_TIMEOUT, response).await.ok().flatten();
+    let (generation, load) = match response {
         Some((generation, load)) => (Some(generation), load),
         None => (None, None),
     };
     ProcessStatus { instance: instance.instance, role, generation, load }
 }
 
-async fn ask_entry(
+async fn query_entry(
     client: &reqwest::Client,
     address: SocketAddr,
 ) -> Option<(Generation, Option<u32>)> {
@@ -113,7 +117,7 @@
     Some((status["generation"].as_u64()?, None))
 }
 
-async fn ask_agent(address: SocketAddr) -> Option<(Generation, Option<u32>)> {
+async fn query_agent(address: SocketAddr) -> Option<(Generation, Option<u32>)> {
     let agent = connect(address).await.ok()?;
     let status = agent.status(tarpc::context::current()).await.ok()?;
     Some((status.snapshot.generation, Some(status.snapshot.load)))
--- a/crates/pondwalk/src/commands/check.rs
+++ b/crates/pondwalk/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `pondwalk check`: every fault of every file, with its place and what was expected.
+//! `pondwalk check`: reports all faults of files, each with its section, its key and the expected value.
 
 use std::path::PathBuf;
 
@@ -7,15 +7,19 @@
 
 use crate::exit::Exit;
 
-/// Checks all files; fails with the first fault's type after printing the others.
+/// Checks all files and prints the result for each.
+///
+/// # Errors
+///
+/// Returns the error of the last faulty file; errors of other files are printed.
 pub fn run(files: &[PathBuf]) -> anyhow::Result<Exit> {
     let mut last: Option<ConfigError> = None;
     for file in files {
         match check_file(file) {
             Ok(kind) => println!("{}: good ({kind:?})", file.display()),
             Err(error) => {
-                if let Some(before) = last.replace(error) {
-                    eprintln!("{before}");
+                if let Some(previous) = last.replace(error) {
+                    eprintln!("{previous}");
                 }
             }
         }
--- a/crates/pondwalk/src/commands/direct.rs
+++ b/crates/pondwalk/src/commands/direct.rs
@@ -1,4 +1,4 @@
-//! `pondwalk direct`: an entry on the users' platform, without agents.
+//! `pondwalk direct`: runs an entry on the platform, without agents.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use crate::exit::Exit;
 
-/// Runs the entry until it is told to stop.
+/// Runs the entry until it receives a stop signal.
 pub fn run(settings: &Path) -> anyhow::Result<Exit> {
     let settings = DirectSettings::try_from(RawFile::load(settings)?)?;
     let port = pondwalk_platform::port(
--- a/crates/pondwalk/src/exit.rs
+++ b/crates/pondwalk/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, and how failures are shown.
+//! Exit codes and error output.
 
 use std::process::ExitCode;
 
@@ -6,13 +6,13 @@
 #[cfg(feature = "operate")]
 use pondwalk_replay::TraceError;
 
-/// How a command ended.
+/// Result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// All went well.
+    /// The command succeeded.
     Success,
-    /// The command ran, and what it checked does not hold.
-    Unmet,
+    /// The command completed, but a check failed.
+    CheckFailed,
 }
 
 /// Exit code for bad input.
@@ -22,12 +22,12 @@
     fn from(exit: Exit) -> Self {
         match exit {
             Exit::Success => ExitCode::SUCCESS,
-            Exit::Unmet => ExitCode::FAILURE,
+            Exit::CheckFailed => ExitCode::FAILURE,
         }
     }
 }
 
-/// Prints a failure and gives its exit code: 2 for bad input, 1 for all else.
+/// Prints an error and returns its exit code: 2 for bad input, 1 otherwise.
 pub fn report(error: &anyhow::Error) -> ExitCode {
     eprintln!("{error:#}");
     if is_bad_input(error) { ExitCode::from(BAD_INPUT) } else { ExitCode::FAILURE }
--- a/crates/pondwalk/src/main.rs
+++ b/crates/pondwalk/src/main.rs
@@ -1,4 +1,4 @@
-//! The `pondwalk` program: reads the command line and hands over to one command.
+//! The `pondwalk` program: parses the command line and runs a command.
 
 mod commands;
 mod exit;
--- a/crates/pondwalk/src/options.rs
+++ b/crates/pondwalk/src/options.rs
@@ -1,7 +1,7 @@
-//! The command line, parsed and checked.
+//! Command-line parsing.
 
 #[cfg(feature = "operate")]
-mod full;
+mod agent_mode;
 #[cfg(feature = "operate")]
 mod operate;
 #[cfg(feature = "operate")]
@@ -14,7 +14,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 #[cfg(feature = "operate")]
-pub use full::FullOptions;
+pub use agent_mode::AgentModeOptions;
 #[cfg(feature = "operate")]
 pub use operate::{
     ApplyOptions, ChangeOptions, LedgerOptions, RollOutOptions, StatusOptions, WithdrawOptions,
@@ -24,36 +24,36 @@
 #[cfg(feature = "operate")]
 pub use run::{BenchOptions, DemoOptions};
 
-/// What the user asked for.
+/// The selected command with its options.
 #[derive(Debug, Clone)]
 pub enum Options {
     /// Run an entry that reaches backend servers directly, with these settings.
     #[cfg(feature = "platform")]
     Direct(PathBuf),
-    /// Check files.
+    /// Check these files.
     Check(Vec<PathBuf>),
     /// A command of the deployment with agents.
     #[cfg(feature = "operate")]
-    Full(FullOptions),
+    AgentMode(AgentModeOptions),
 }
 
-/// Parses the program's arguments; `clap` itself ends the program on `--help` and on misuse.
+/// Parses the program's arguments; `clap` exits on `--help` and on invalid arguments.
 pub fn parse() -> Options {
     from_matches(&command().get_matches())
 }
 
-/// The whole command line.
+/// The definition of the command line.
 pub fn command() -> Command {
     let command = Command::new("pondwalk")
         .version(clap::crate_version!())
-        .about("A model-aware router for versions and cascades")
+        .about("A model-aware router between callers and language-model backend servers")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(check_command());
     #[cfg(feature = "platform")]
     let command = command.subcommand(direct_command());
     #[cfg(feature = "operate")]
-    let command = command.subcommands(full::commands());
+    let command = command.subcommands(agent_mode::commands());
     command
 }
 
@@ -93,7 +93,7 @@
         #[cfg(feature = "platform")]
         Some(("direct", matches)) => Options::Direct(path(matches, "settings")),
         #[cfg(feature = "operate")]
-        Some((name, matches)) => Options::Full(full::options(name, matches)),
-        _ => unreachable!("a subcommand is required and all are listed"),
+        Some((name, matches)) => Options::AgentMode(agent_mode::options(name, matches)),
+        _ => unreachable!("a subcommand is required, and all are handled"),
     }
 }
--- a/crates/pondwalk/src/options/agent_mode.rs
+++ b/crates/pondwalk/src/options/agent_mode.rs
@@ -1,4 +1,4 @@
-//! Commands of the deployment with agents, and of its trials.
+//! Commands of deployments with agents, and of local tests.
 
 use std::path::PathBuf;
 
@@ -9,16 +9,16 @@
     StatusOptions, WithdrawOptions, operate, path, replay, run,
 };
 
-/// What the user asked for.
+/// The selected command with its options.
 #[derive(Debug, Clone)]
-pub enum FullOptions {
+pub enum AgentModeOptions {
     /// Run an entry with these settings.
     Entry(PathBuf),
     /// Run an agent with these settings.
     Agent(PathBuf),
-    /// Make a policy the next generation.
+    /// Commit a policy as the next generation.
     Apply(ApplyOptions),
-    /// Show what is in force.
+    /// Show the configuration in force.
     Status(StatusOptions),
     /// Start a roll-out.
     RollOut(RollOutOptions),
@@ -28,15 +28,15 @@
     Ledger(LedgerOptions),
     /// Replay a trace.
     Replay(ReplayOptions),
-    /// Play a day on stand-ins.
+    /// Simulate a day on stand-in systems.
     Demo(DemoOptions),
-    /// Run stand-ins of the systems around pondwalk, to try it by hand.
+    /// Run stand-ins of the systems that pondwalk depends on.
     StandIns,
-    /// Measure what the way through entry and agent adds.
+    /// Measure the overhead of entry and agent.
     Bench(BenchOptions),
 }
 
-/// All of these commands.
+/// Definitions of the commands.
 pub fn commands() -> Vec<Command> {
     let mut commands = run::role_commands().to_vec();
     commands.extend(operate::commands());
@@ -45,20 +45,20 @@
     commands
 }
 
-/// Reads the command called `name`.
-pub fn options(name: &str, matches: &ArgMatches) -> FullOptions {
+/// Converts the matches of the command `name` to its options.
+pub fn options(name: &str, matches: &ArgMatches) -> AgentModeOptions {
     match name {
-        "entry" => FullOptions::Entry(path(matches, "settings")),
-        "agent" => FullOptions::Agent(path(matches, "settings")),
-        "apply" => FullOptions::Apply(operate::apply(matches)),
-        "status" => FullOptions::Status(operate::status(matches)),
-        "roll-out" => FullOptions::RollOut(operate::roll_out(matches)),
-        "withdraw" => FullOptions::Withdraw(operate::withdraw(matches)),
-        "ledger" => FullOptions::Ledger(operate::ledger(matches)),
-        "replay" => FullOptions::Replay(replay::options(matches)),
-        "demo" => FullOptions::Demo(run::demo(matches)),
-        "stand-ins" => FullOptions::StandIns,
-        "bench" => FullOptions::Bench(run::bench(matches)),
-        _ => unreachable!("all commands are listed"),
+        "entry" => AgentModeOptions::Entry(path(matches, "settings")),
+        "agent" => AgentModeOptions::Agent(path(matches, "settings")),
+        "apply" => AgentModeOptions::Apply(operate::apply(matches)),
+        "status" => AgentModeOptions::Status(operate::status(matches)),
+        "roll-out" => AgentModeOptions::RollOut(operate::roll_out(matches)),
+        "withdraw" => AgentModeOptions::Withdraw(operate::withdraw(matches)),
+        "ledger" => AgentModeOptions::Ledger(operate::ledger(matches)),
+        "replay" => AgentModeOptions::Replay(replay::options(matches)),
+        "demo" => AgentModeOptions::Demo(run::demo(matches)),
+        "stand-ins" => AgentModeOptions::StandIns,
+        "bench" => AgentModeOptions::Bench(run::bench(matches)),
+        _ => unreachable!("all commands are handled"),
     }
 }
--- a/crates/pondwalk/src/options/operate.rs
+++ b/crates/pondwalk/src/options/operate.rs
@@ -7,12 +7,12 @@
 
 use super::{file, path, run::json_flag};
 
-/// Where a change goes, and whether to wait for it.
+/// Common options of commands that change the configuration.
 #[derive(Debug, Clone)]
 pub struct ChangeOptions {
-    /// The platform's key-value service.
+    /// Address of the platform's key-value store.
     pub store: SocketAddr,
-    /// The list of instances, if the command is to wait until the change is in force.
+    /// Address of the list of instances, if the command waits until the change is in force.
     pub wait_for: Option<SocketAddr>,
     /// Longest wait.
     pub wait_limit: Duration,
@@ -23,40 +23,40 @@
 /// Options of `apply`.
 #[derive(Debug, Clone)]
 pub struct ApplyOptions {
-    /// Where it goes.
+    /// Common options.
     pub change: ChangeOptions,
-    /// The policy.
+    /// Policy file.
     pub policy: PathBuf,
-    /// Withdrawn versions that the policy may bring back.
+    /// Versions whose withdrawal the policy may undo.
     pub reinstate: Vec<VersionId>,
 }
 
 /// Options of `roll-out`.
 #[derive(Debug, Clone)]
 pub struct RollOutOptions {
-    /// Where it goes.
+    /// Common options.
     pub change: ChangeOptions,
     /// The new version.
     pub version: VersionId,
-    /// The old one.
+    /// The old version.
     pub replaces: VersionId,
 }
 
 /// Options of `withdraw`.
 #[derive(Debug, Clone)]
 pub struct WithdrawOptions {
-    /// Where it goes.
+    /// Common options.
     pub change: ChangeOptions,
-    /// The version.
+    /// The version to withdraw.
     pub version: VersionId,
 }
 
 /// Options of `status`.
 #[derive(Debug, Clone)]
 pub struct StatusOptions {
-    /// The platform's key-value service.
+    /// Address of the platform's key-value store.
     pub store: SocketAddr,
-    /// The list of instances, if the processes are to be asked too.
+    /// Address of the list of instances, if the processes are queried too.
     pub instances: Option<SocketAddr>,
     /// Whether to print JSON.
     pub json: bool,
@@ -65,7 +65,7 @@
 /// Options of `ledger`.
 #[derive(Debug, Clone)]
 pub struct LedgerOptions {
-    /// The platform's key-value service.
+    /// Address of the platform's key-value store.
     pub store: SocketAddr,
     /// Whether to list each bill.
     pub list: bool,
@@ -78,12 +78,12 @@
         apply_command(),
         status_command(),
         change(Command::new("roll-out"))
-            .about("Start a roll-out: a new version takes over from an old one step by step")
+            .about("Start a roll-out, in which a new version gradually replaces an old one")
             .after_help("Example:\n  pondwalk roll-out --store 127.0.0.1:2379 medium/3 --replaces medium/2")
             .arg(version("version", "The new version"))
             .arg(version("replaces", "The old version").long("replaces")),
         change(Command::new("withdraw"))
-            .about("Withdraw a version: it takes no new work at all")
+            .about("Withdraw a version, so that it accepts no new requests")
             .after_help("Example:\n  pondwalk withdraw --store 127.0.0.1:2379 medium/3 --wait --instances 127.0.0.1:2400")
             .arg(version("version", "The version")),
         Command::new("ledger")
@@ -97,24 +97,24 @@
 
 fn apply_command() -> Command {
     change(Command::new("apply"))
-        .about("Make a policy file the next generation; prints the generation accepted")
+        .about("Commit a policy file as the next generation, and print its number")
         .after_help(
             "Example:\n  pondwalk apply --store 127.0.0.1:2379 sample_configs/franchise/policy.ini\n\n\
-             Exit code 0 once accepted, 1 if not (or not in force in time), 2 on a fault in the file.",
+             Exit code 0 if accepted, 1 if rejected or not in force in time, 2 if the file has a fault.",
         )
         .arg(file("policy", "POLICY.ini", "The policy").required(true))
         .arg(
             Arg::new("reinstate")
                 .long("reinstate")
                 .value_name("MODEL/VERSION")
-                .help("Bring a withdrawn version back")
+                .help("Undo the withdrawal of a version")
                 .action(ArgAction::Append),
         )
 }
 
 fn status_command() -> Command {
     Command::new("status")
-        .about("Show the configuration in force, and what each process has")
+        .about("Show the configuration in force and the state of each process")
         .after_help(
             "Example:\n  pondwalk status --store 127.0.0.1:2379 --instances 127.0.0.1:2400 --json",
         )
@@ -123,7 +123,7 @@
         .arg(json_flag())
 }
 
-/// Adds what all changes have in common.
+/// Adds the common options of commands that change the configuration.
 fn change(command: Command) -> Command {
     command
         .arg(store())
@@ -131,7 +131,7 @@
         .arg(
             Arg::new("wait")
                 .long("wait")
-                .help("Return once every live process has the change")
+                .help("Wait until the change is in force at every live process")
                 .requires("instances")
                 .action(ArgAction::SetTrue),
         )
@@ -139,7 +139,7 @@
             Arg::new("wait-ms")
                 .long("wait-ms")
                 .value_name("N")
-                .help("Longest wait")
+                .help("Longest wait in milliseconds")
                 .value_parser(value_parser!(u64).range(1..=600_000))
                 .default_value("18000"),
         )
@@ -147,11 +147,11 @@
 }
 
 fn store() -> Arg {
-    address("store", "The platform's key-value service").required(true)
+    address("store", "Address of the platform's key-value store").required(true)
 }
 
 fn instances() -> Arg {
-    address("instances", "The platform's list of instances")
+    address("instances", "Address of the platform's list of instances")
 }
 
 fn address(id: &'static str, help: &'static str) -> Arg {
--- a/crates/pondwalk/src/options/replay.rs
+++ b/crates/pondwalk/src/options/replay.rs
@@ -7,33 +7,33 @@
 
 use super::{file, path};
 
-/// What to replay and how.
+/// Options of `replay`.
 #[derive(Debug, Clone)]
 pub struct ReplayOptions {
-    /// Which policy decides.
+    /// Routing policy to replay with.
     pub policy: PolicyName,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// Settings.
+    /// Settings file.
     pub settings: PathBuf,
-    /// Stated outcomes, if any.
+    /// File of expected outcomes, if any.
     pub outcomes: Option<PathBuf>,
-    /// The trace.
+    /// Trace file.
     pub trace: PathBuf,
 }
 
 pub fn command() -> Command {
     Command::new("replay")
-        .about("Replay a recorded trace through the decision code, in virtual time")
+        .about("Replay a recorded trace through the routing decisions, in virtual time")
         .after_help(
             "Example:\n  pondwalk replay --settings sample_configs/replay/franchise.ini trace.jsonl\n\n\
-             Exit code 0 when all stated outcomes hold, 1 when one does not, 2 on bad input.",
+             Exit code 0 if all expected outcomes hold, 1 if one does not, 2 on bad input.",
         )
         .arg(
             Arg::new("policy")
                 .long("policy")
                 .value_name("NAME")
-                .help("Policy that decides")
+                .help("Routing policy")
                 .value_parser(PossibleValuesParser::new(PolicyName::NAMES))
                 .default_value(PolicyName::NAMES[0]),
         )
--- a/crates/pondwalk/src/options/run.rs
+++ b/crates/pondwalk/src/options/run.rs
@@ -1,4 +1,4 @@
-//! Options of the roles, the demo and the bench.
+//! Options of the roles, the demo and the benchmark.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 /// Options of `demo`.
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
-    /// Whose day is played.
+    /// Deployment whose day is simulated.
     pub deployment: DemoDeployment,
-    /// Whether faults are brought about in place of a day.
+    /// Whether to inject faults instead of simulating a day.
     pub faults: bool,
 }
 
 /// Options of `bench`.
 #[derive(Debug, Clone)]
 pub struct BenchOptions {
-    /// What to measure.
+    /// Load of the benchmark.
     pub plan: BenchPlan,
     /// Whether to print JSON.
     pub json: bool,
@@ -36,12 +36,12 @@
     [
         role(
             "entry",
-            "Run an entry: the process that callers reach",
+            "Run an entry, the process that callers connect to",
             "Example:\n  pondwalk entry --settings sample_configs/franchise/entry.ini",
         ),
         role(
             "agent",
-            "Run an agent: the process beside one backend server",
+            "Run an agent, the sidecar process of one backend server",
             "Example:\n  pondwalk agent --settings sample_configs/franchise/agent.ini",
         ),
     ]
@@ -53,19 +53,19 @@
 
 fn demo_command() -> Command {
     Command::new("demo")
-        .about("Play a user's day on loopback with stand-ins, and check the promises")
+        .about("Simulate a deployment's day on loopback with stand-ins, and check the promises")
         .after_help("Examples:\n  pondwalk demo --deployment association\n  pondwalk demo --faults")
         .arg(
             Arg::new("faults")
                 .long("faults")
-                .help("Bring faults about in place of a day, and check what must hold")
+                .help("Inject faults instead of simulating a day, and check the promises")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("deployment")
                 .long("deployment")
                 .value_name("NAME")
-                .help("Whose day is played")
+                .help("Deployment whose day is simulated")
                 .value_parser(PossibleValuesParser::new(["franchise", "association"]))
                 .default_value("franchise"),
         )
@@ -74,7 +74,7 @@
 fn stand_ins_command() -> Command {
     Command::new("stand-ins")
         .about(
-            "Run stand-ins of the systems around pondwalk at the addresses of sample_configs/local",
+            "Run stand-ins of the systems that pondwalk depends on, at the addresses of sample_configs/local",
         )
         .after_help("Example:\n  pondwalk stand-ins")
 }
@@ -83,10 +83,10 @@
     Command::new("bench")
         .about("Send the same load to a stand-in engine directly and through entry and agent")
         .after_help("Example:\n  pondwalk bench --rate 500 --seconds 10")
-        .arg(number("rate", "N", "Requests a second", "500"))
-        .arg(number("seconds", "N", "Length of each part", "10"))
-        .arg(number("tokens", "N", "Tokens of an answer", "20"))
-        .arg(number("token-ms", "N", "Time between tokens", "5"))
+        .arg(number("rate", "N", "Requests per second", "500"))
+        .arg(number("seconds", "N", "Seconds of load for each path", "10"))
+        .arg(number("tokens", "N", "Tokens per answer", "20"))
+        .arg(number("token-ms", "N", "Milliseconds between tokens", "5"))
         .arg(json_flag())
 }
 
--- a/crates/pondwalk/src/telemetry.rs
+++ b/crates/pondwalk/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs, counters and spans, as the settings ask for them.
+//! Setup of logs, metrics and traces.
 
 use std::{net::UdpSocket, sync::Arc};
 
@@ -15,10 +15,10 @@
 };
 use tracing_subscriber::{Layer, filter::Targets, layer::SubscriberExt, util::SubscriberInitExt};
 
-/// Prefix of all counters.
+/// Prefix of all metrics.
 const METRICS_PREFIX: &str = "pondwalk";
 
-/// What has to live as long as the process; flushes spans when dropped.
+/// Guard that must live as long as the process; flushes spans when dropped.
 pub struct Telemetry {
     spans: Option<SdkTracerProvider>,
 }
@@ -26,13 +26,17 @@
 impl Drop for Telemetry {
     fn drop(&mut self) {
         if let Some(spans) = self.spans.take() {
-            // NB: the process is ending; spans that cannot be sent are lost.
+            // NB: the process is exiting, so spans that cannot be sent are lost.
             let _ = spans.shutdown();
         }
     }
 }
 
-/// Sets up all three; `role` names the process in spans and counters.
+/// Sets up logs, metrics and traces; `role` is the name of the process in spans and metrics.
+///
+/// # Errors
+///
+/// Returns an error if the logger, the socket for metrics or the span exporter cannot be created.
 pub fn start(
     settings: &TelemetrySettings,
     role: &str,
@@ -46,7 +50,7 @@
     Ok((Telemetry { spans }, metrics(settings, role)?))
 }
 
-/// Logs as one JSON object a line, on standard error.
+/// Sets up logging to standard error, as one JSON object per line.
 pub fn start_logs(level: LogLevel) -> anyhow::Result<()> {
     let level = match level {
         LogLevel::Error => Level::Error,
@@ -72,7 +76,7 @@
     let Some(receiver) = settings.statsd else {
         return Ok(StatsdClient::from_sink(&prefix, NopMetricSink));
     };
-    let socket = UdpSocket::bind("0.0.0.0:0").context("cannot open a socket for counters")?;
+    let socket = UdpSocket::bind("0.0.0.0:0").context("cannot open a socket for metrics")?;
     socket.set_nonblocking(true)?;
     let sink = UdpMetricSink::from(receiver, socket)?;
     Ok(StatsdClient::from_sink(&prefix, QueuingMetricSink::from(sink)))
@@ -88,10 +92,10 @@
     let provider =
         SdkTracerProvider::builder().with_batch_exporter(exporter).with_resource(resource).build();
     let tracer = provider.tracer("pondwalk");
-    // NB: libraries below open spans of their own, which are no hops.
-    let hops = Targets::new().with_target("pondwalk", tracing::Level::INFO);
-    let hops = hops.with_target("tarpc", tracing::Level::INFO);
-    let layer = tracing_opentelemetry::layer().with_tracer(tracer).with_filter(hops);
+    // NB: other libraries open spans of their own, which are not hops of a request.
+    let targets = Targets::new().with_target("pondwalk", tracing::Level::INFO);
+    let targets = targets.with_target("tarpc", tracing::Level::INFO);
+    let layer = tracing_opentelemetry::layer().with_tracer(tracer).with_filter(targets);
     tracing_subscriber::registry().with(layer).init();
     Ok(provider)
 }
