--- a/crates/direct/src/http/placement_wait.rs
+++ b/crates/direct/src/http/placement_wait.rs
@@ -36,7 +36,7 @@
 
     /// How certain a placement with this model is now, or why there is none.
     pub fn certainty_of(&self, model: RouteModelIndex) -> Result<Placeability, PlacementError> {
-        Placement::certainty(&self.core, &self.job, NextSend { model, ..self.next_send() })
+        Placement::placeability(&self.core, &self.job, NextSend { model, ..self.next_send() })
     }
 
     /// Whether the request could be retried on a server other than that of `placement`, now or after
@@ -46,7 +46,7 @@
         avoid.push(placement.server().clone());
         let failed = Some(placement.version.as_str());
         let next = NextSend { model: self.model, avoid: &avoid, failed };
-        match Placement::certainty(&self.core, &self.job, next) {
+        match Placement::placeability(&self.core, &self.job, next) {
             Err(PlacementError::Unavailable(availability))
                 if availability.reason != UnavailableReason::Limited
                     && availability.at < self.wait_deadline() =>
