--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -190,10 +190,10 @@
         workspace.share_weight = weight;
     }
     workspace.only_listed_tasks =
-        choice(file, &expanded, "only_listed_tasks", "true or false", |t| t.parse().ok())
+        read_choice(file, &expanded, "only_listed_tasks", "true or false", |t| t.parse().ok())
             .unwrap_or(false);
     workspace.on_withdrawal =
-        choice(file, &expanded, "on_withdrawal", "restart or refuse", |t| match t {
+        read_choice(file, &expanded, "on_withdrawal", "restart or refuse", |t| match t {
             "restart" => Some(WithdrawalPolicy::Restart),
             "refuse" => Some(WithdrawalPolicy::Refuse),
             _ => None,
@@ -202,7 +202,7 @@
     workspace
 }
 
-fn choice<T>(
+fn read_choice<T>(
     file: &mut RawFile,
     expanded: &ExpandedWorkspace,
     key: &str,
--- a/crates/config/tests/faulty_files.rs
+++ b/crates/config/tests/faulty_files.rs
@@ -25,7 +25,7 @@
     let text = "[entry]\ninstance = e\nlisten = nowhere\nthreads = 0\n[sessions]\n\
                 signing_key = short\n[store]\naddress = 127.0.0.1:1\ntimeot_ms = 5\n";
     let faults = faults(EntrySettings::try_from(raw(text)));
-    let places: Vec<(&str, &str)> =
+    let locations: Vec<(&str, &str)> =
         faults.iter().map(|(section, key, _)| (section.as_str(), key.as_str())).collect();
     for expected in [
         ("entry", "data_centre"),
@@ -35,7 +35,7 @@
         ("instances", "address"),
         ("store", "timeot_ms"),
     ] {
-        assert!(places.contains(&expected), "{expected:?} in {places:?}");
+        assert!(locations.contains(&expected), "{expected:?} in {locations:?}");
     }
 }
 
@@ -96,7 +96,7 @@
                 [retries]\nratio = much\n[roll_out]\nexposure = 2\n\
                 [policy]\ndelays = maybe\nmagic = true\n";
     let faults = faults(DirectSettings::try_from(raw(text)));
-    let places: Vec<(&str, &str)> =
+    let locations: Vec<(&str, &str)> =
         faults.iter().map(|(section, key, _)| (section.as_str(), key.as_str())).collect();
     for expected in [
         ("direct", "data_centre"),
@@ -110,7 +110,7 @@
         ("policy", "magic"),
         ("store", "address"),
     ] {
-        assert!(places.contains(&expected), "{expected:?} in {places:?}");
+        assert!(locations.contains(&expected), "{expected:?} in {locations:?}");
     }
 }
 
@@ -127,10 +127,10 @@
         let faults = faults(DirectSettings::try_from(raw(&text(propagation, seeds))));
         faults.into_iter().map(|(section, key, _)| (section, key)).collect::<Vec<_>>()
     };
-    let place = |key: &str| ("membership".to_owned(), key.to_owned());
-    assert_eq!(rejected("300", ""), [place("propagation_ms")]);
-    assert_eq!(rejected("soon", ""), [place("propagation_ms")]);
-    assert_eq!(rejected("2000", "127.0.0.1:4, nowhere"), [place("seeds")]);
+    let location = |key: &str| ("membership".to_owned(), key.to_owned());
+    assert_eq!(rejected("300", ""), [location("propagation_ms")]);
+    assert_eq!(rejected("soon", ""), [location("propagation_ms")]);
+    assert_eq!(rejected("2000", "127.0.0.1:4, nowhere"), [location("seeds")]);
     let settings = DirectSettings::try_from(raw(&text("", ""))).expect("blank is the default");
     assert!(settings.membership.seeds.is_empty());
 }
@@ -147,31 +147,31 @@
 
 #[test]
 fn incomplete_or_contradictory_limits_of_cold_servers_are_rejected() {
-    let place = |section: &str, key: &str| (section.to_owned(), key.to_owned());
+    let location = |section: &str, key: &str| (section.to_owned(), key.to_owned());
     let warm_up = |lines: &str| only_fault_of_direct(&format!("[warm_up]\n{lines}\n"));
-    assert_eq!(warm_up("overshoot = 1.5"), place("warm_up", "tolerance"));
-    assert_eq!(warm_up("overshoot =\ntolerance = 5"), place("warm_up", "overshoot"));
-    assert_eq!(warm_up("overshoot = -1\ntolerance = 5"), place("warm_up", "overshoot"));
-    assert_eq!(warm_up("overshoot = NaN\ntolerance = 5"), place("warm_up", "overshoot"));
-    assert_eq!(warm_up("overshoot = 1\ntolerance = inf"), place("warm_up", "tolerance"));
+    assert_eq!(warm_up("overshoot = 1.5"), location("warm_up", "tolerance"));
+    assert_eq!(warm_up("overshoot =\ntolerance = 5"), location("warm_up", "overshoot"));
+    assert_eq!(warm_up("overshoot = -1\ntolerance = 5"), location("warm_up", "overshoot"));
+    assert_eq!(warm_up("overshoot = NaN\ntolerance = 5"), location("warm_up", "overshoot"));
+    assert_eq!(warm_up("overshoot = 1\ntolerance = inf"), location("warm_up", "tolerance"));
     let no_heartbeat = "overshoot = 1\ntolerance = 5\nheartbeat_ms = 0";
-    assert_eq!(warm_up(no_heartbeat), place("warm_up", "heartbeat_ms"));
+    assert_eq!(warm_up(no_heartbeat), location("warm_up", "heartbeat_ms"));
     // An evacuation order propagates like any change and cannot be in force sooner.
     let membership = "[membership]\npropagation_ms = 3000\nevacuation_ms = 1000\n";
-    assert_eq!(only_fault_of_direct(membership), place("membership", "evacuation_ms"));
+    assert_eq!(only_fault_of_direct(membership), location("membership", "evacuation_ms"));
     let membership = "[membership]\nevacuation_ms = soon\n";
-    assert_eq!(only_fault_of_direct(membership), place("membership", "evacuation_ms"));
+    assert_eq!(only_fault_of_direct(membership), location("membership", "evacuation_ms"));
 }
 
 #[test]
 fn usage_settings_without_an_address_or_with_invalid_times_are_rejected() {
-    let place = |key: &str| ("usage".to_owned(), key.to_owned());
+    let location = |key: &str| ("usage".to_owned(), key.to_owned());
     let usage =
         |lines: &str| only_fault_of_direct(&format!("[usage]\ntasks = metering\n{lines}\n"));
-    assert_eq!(usage(""), place("address"));
-    assert_eq!(usage("address = somewhere"), place("address"));
+    assert_eq!(usage(""), location("address"));
+    assert_eq!(usage("address = somewhere"), location("address"));
     let address = "address = 127.0.0.1:4\n";
-    assert_eq!(usage(&format!("{address}lease_ms = 0")), place("lease_ms"));
-    assert_eq!(usage(&format!("{address}report_interval_s = inf")), place("report_interval_s"));
-    assert_eq!(usage(&format!("{address}usage_delay_s = 1")), place("usage_delay_s"));
+    assert_eq!(usage(&format!("{address}lease_ms = 0")), location("lease_ms"));
+    assert_eq!(usage(&format!("{address}report_interval_s = inf")), location("report_interval_s"));
+    assert_eq!(usage(&format!("{address}usage_delay_s = 1")), location("usage_delay_s"));
 }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -359,7 +359,7 @@
         Err(StoreError::ResponseLost | StoreError::ResponseStalled(_) | StoreError::Malformed) => {
             WriteOutcome::Unknown
         }
-        Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseLapsed) => {
+        Err(StoreError::Conflict | StoreError::Unreachable | StoreError::LeaseExpired) => {
             WriteOutcome::NotWritten
         }
     };
--- a/crates/entry/src/configuration_watcher.rs
+++ b/crates/entry/src/configuration_watcher.rs
@@ -97,7 +97,7 @@
 async fn renew_until_lost(lease: &mut FencedLease) {
     while !lease.valid_for().is_zero() {
         sleep(RENEWAL_INTERVAL).await;
-        if lease.renew().await == Err(StoreError::LeaseLapsed) {
+        if lease.renew().await == Err(StoreError::LeaseExpired) {
             return;
         }
     }
--- a/crates/entry/src/lease.rs
+++ b/crates/entry/src/lease.rs
@@ -43,7 +43,7 @@
         Ok(FencedLease { store: store.clone(), lease_id, fencing_token, ttl, valid_until })
     }
 
-    /// Renews the lease; fails with [`StoreError::LeaseLapsed`] if it has expired.
+    /// Renews the lease; fails with [`StoreError::LeaseExpired`] if it has expired.
     pub async fn renew(&mut self) -> Result<(), StoreError> {
         let sent = Instant::now();
         self.store.renew_lease(self.lease_id).await?;
--- a/crates/entry/tests/fenced_lease.rs
+++ b/crates/entry/tests/fenced_lease.rs
@@ -33,7 +33,7 @@
     tokio::time::advance(Duration::from_secs(2)).await;
     let second = FencedLease::acquire(&store(&kv), KEY, TTL).await.expect("the lease has lapsed");
     assert!(second.fencing_token() > first.fencing_token());
-    assert_eq!(first.renew().await, Err(StoreError::LeaseLapsed));
+    assert_eq!(first.renew().await, Err(StoreError::LeaseExpired));
     assert!(first.valid_for().is_zero());
 }
 
--- a/crates/generations/src/lib.rs
+++ b/crates/generations/src/lib.rs
@@ -77,10 +77,10 @@
     on_conflict: OnConflict,
     edit: impl Fn(&Policy) -> Result<Policy, EditError>,
 ) -> Result<PolicyRecord, ChangeError> {
-    const TRIES: u32 = 8;
+    const MAX_ATTEMPTS: u32 = 8;
     let mut last = ChangeError::Store(StoreError::ResponseLost);
     let mut previous: Option<Generation> = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let head = read_head(store).await?;
         if head.record.change_id == change_id && head.revision.is_some() {
             return Ok(head.record);
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -25,9 +25,9 @@
     value: &[u8],
     lease: Option<u64>,
 ) -> Result<CreateOutcome, StoreError> {
-    const TRIES: u32 = 3;
+    const MAX_ATTEMPTS: u32 = 3;
     let mut last = StoreError::ResponseLost;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let change =
             Change { key: key.to_owned(), value: value.to_vec(), expect: Expect::Absent, lease };
         match store.commit(vec![change]).await {
@@ -48,6 +48,6 @@
         Some(entry) if entry.value == value => Ok(CreateOutcome::OwnValue(entry.revision)),
         Some(entry) => Ok(CreateOutcome::OtherValue(entry)),
         // NB: the key was removed between the two calls, for example because its lease expired.
-        None => Err(StoreError::LeaseLapsed),
+        None => Err(StoreError::LeaseExpired),
     }
 }
--- a/crates/ledger/src/spend.rs
+++ b/crates/ledger/src/spend.rs
@@ -64,12 +64,12 @@
     change_id: u64,
     next: impl Fn(f64) -> f64,
 ) -> Result<f64, StoreError> {
-    const TRIES: u32 = 8;
+    const MAX_ATTEMPTS: u32 = 8;
     let hex: String = workspace.bytes().map(|byte| format!("{byte:02x}")).collect();
     let key = format!("{SPEND_PREFIX}{hex}/{day}");
     let mut difference = 0.0;
     let mut last = StoreError::ResponseLost;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let entry = store.get(&key).await?;
         let expect = entry.as_ref().map_or(Expect::Absent, |e| Expect::Revision(e.revision));
         let current: SpendRecord = match &entry {
--- a/crates/pondwalk/src/commands/agent_mode/change.rs
+++ b/crates/pondwalk/src/commands/agent_mode/change.rs
@@ -43,14 +43,14 @@
 ) -> anyhow::Result<Exit> {
     block_on(async {
         let record = commit_edit(&store(options.store), rand::random(), on_conflict, edit).await?;
-        let behind = wait_in_force(options, &record).await;
+        let behind = wait_until_in_force(options, &record).await;
         print(options, &record, &behind);
         Ok(if behind.is_empty() { Exit::Success } else { Exit::CheckFailed })
     })
 }
 
 /// Waits until every live process has the generation; returns the processes that do not have it in time.
-async fn wait_in_force(options: &ChangeOptions, record: &PolicyRecord) -> Vec<ProcessStatus> {
+async fn wait_until_in_force(options: &ChangeOptions, record: &PolicyRecord) -> Vec<ProcessStatus> {
     const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(50);
     let Some(instances) = options.wait_for else {
         return Vec::new();
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -32,7 +32,7 @@
     Malformed,
     /// The lease has expired.
     #[error("the lease has expired")]
-    LeaseLapsed,
+    LeaseExpired,
 }
 
 /// Future of a call; resolves to the JSON text of the response.
@@ -140,12 +140,12 @@
     ///
     /// # Errors
     ///
-    /// `LeaseLapsed` if the lease has expired.
+    /// `LeaseExpired` if the lease has expired.
     pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
         let request = LeaseRequest { ttl_s: String::new(), id: lease.to_string() };
         let reply: LeaseReply = self.call(LEASE_KEEP_ALIVE_PATH, &request, self.timeout).await?;
         if parse_number(&reply.ttl_s)? == 0 {
-            return Err(StoreError::LeaseLapsed);
+            return Err(StoreError::LeaseExpired);
         }
         Ok(())
     }
