--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -121,7 +121,7 @@
             match commit_edit(&core.store, rand::random(), OnConflict::Retry, edit).await {
                 Ok(record) => {
                     let cause = format!("{cause:?}");
-                    spdlog::warn!("tripped version withdrawn", kv: { version = version.as_str(), cause = cause.as_str() });
+                    spdlog::warn!("version stopped", kv: { version = version.as_str(), cause = cause.as_str() });
                     let PolicyRecord { generation, policy, .. } = record;
                     core.install(Configuration { generation, policy });
                     push_configuration(core);
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -295,7 +295,7 @@
         let lost = {
             let mut state = lock(&self.state);
             if state.client.take().is_some() {
-                spdlog::warn!("connection to agent lost", kv: { server = self.server.as_str() });
+                spdlog::warn!("agent lost", kv: { server = self.server.as_str() });
                 if let Some(core) = self.core.upgrade() {
                     lock(&core.router).deactivate_server(&self.server);
                 }
