--- a/crates/listen/src/lib.rs
+++ b/crates/listen/src/lib.rs
@@ -1,7 +1,7 @@
-//! Listening for HTTP: a bound socket with a limit on connections and without Nagle's algorithm.
+//! HTTP listener with a connection limit and without Nagle's algorithm.
 //!
-//! Further connections wait in the listen queue. Nagle's algorithm would hold back small writes,
-//! such as one token, for tens of milliseconds.
+//! Connections above the limit wait in the listen backlog. Nagle's algorithm would delay small
+//! writes, such as single tokens, by tens of milliseconds.
 
 use std::{
     io,
@@ -22,23 +22,29 @@
     sync::{OwnedSemaphorePermit, Semaphore},
 };
 
-/// A bound socket that accepts only while fewer than a number of connections are open.
+/// A bound socket that limits the number of open connections.
 pub struct LimitedAcceptor {
     inner: TcpAcceptor,
     address: SocketAddr,
-    open: Arc<Semaphore>,
+    free_connections: Arc<Semaphore>,
 }
 
 impl LimitedAcceptor {
-    /// Binds an address.
+    /// Binds `address` and allows at most `connections` open connections.
+    ///
+    /// Fails if the address cannot be bound.
     pub async fn bind(address: SocketAddr, connections: usize) -> io::Result<Self> {
         let inner = TcpListener::bind(address.to_string()).into_acceptor().await?;
         let bound = inner.local_addr().first().and_then(|a| a.as_socket_addr().copied());
         let address = bound.ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(LimitedAcceptor { inner, address, open: Arc::new(Semaphore::new(connections)) })
+        Ok(LimitedAcceptor {
+            inner,
+            address,
+            free_connections: Arc::new(Semaphore::new(connections)),
+        })
     }
 
-    /// The address bound, with the port that the system chose.
+    /// The bound address, with the port chosen by the system if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -52,7 +58,7 @@
     }
 
     async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, Scheme)> {
-        let permit = self.open.clone().acquire_owned().await;
+        let permit = self.free_connections.clone().acquire_owned().await;
         let permit = permit.map_err(|_| io::ErrorKind::ConnectionAborted)?;
         let (stream, local, remote, scheme) = self.inner.accept().await?;
         stream.set_nodelay(true)?;
@@ -60,7 +66,7 @@
     }
 }
 
-/// A connection that counts as open until it is dropped.
+/// A connection that counts towards the limit until it is dropped.
 pub struct CountedStream {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
--- a/crates/threads/src/lib.rs
+++ b/crates/threads/src/lib.rs
@@ -1,4 +1,4 @@
-//! The threads of a role: several for traffic, and one for control state.
+//! Threads of a role: a multi-threaded runtime for traffic and one thread for control tasks.
 
 use std::{
     future::Future,
@@ -11,23 +11,23 @@
 use thiserror::Error;
 use tokio::{runtime::Runtime, sync::oneshot};
 
-/// Why a role could not start.
+/// An error while starting a role.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Its address cannot be listened on.
+    /// The address could not be bound.
     #[error("cannot listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Threads could not be started.
+    /// The threads could not be started.
     #[error("cannot start threads: {0}")]
     Threads(io::Error),
 }
 
-/// Starts `threads` traffic threads whose names begin with `name`.
+/// Starts a runtime with `threads` worker threads named `name`.
 pub fn traffic_runtime(name: &str, threads: usize) -> Result<Runtime, StartError> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
@@ -37,7 +37,7 @@
         .map_err(StartError::Threads)
 }
 
-/// A role's control thread.
+/// A thread that runs the control tasks of a role.
 #[derive(Debug)]
 pub struct ControlThread {
     stop: oneshot::Sender<()>,
@@ -45,7 +45,7 @@
 }
 
 impl ControlThread {
-    /// Starts a thread of the given name that drives one future until it is stopped.
+    /// Starts a thread of the given name that runs `work` until it completes or is stopped.
     pub fn start<F>(name: &str, work: F) -> Result<Self, StartError>
     where
         F: Future<Output = ()> + Send + 'static,
@@ -53,7 +53,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(StartError::Threads)?;
         let (stop, stopped) = oneshot::channel();
-        let drive = move || {
+        let run = move || {
             runtime.block_on(async {
                 tokio::select! {
                     () = work => {}
@@ -61,19 +61,19 @@
                 }
             });
         };
-        let thread = std::thread::Builder::new().name(name.to_owned()).spawn(drive);
+        let thread = std::thread::Builder::new().name(name.to_owned()).spawn(run);
         Ok(ControlThread { stop, thread: thread.map_err(StartError::Threads)? })
     }
 
-    /// Ends the thread.
+    /// Stops the thread and waits for it to end.
     pub fn stop(self) {
-        // NB: the thread may have ended already, and then there is nobody to tell.
+        // NB: fails only if the thread has already ended.
         let _ = self.stop.send(());
         let _ = self.thread.join();
     }
 }
 
-/// Locks a mutex; a panic elsewhere does not spread.
+/// Locks a mutex, ignoring poisoning by a panic in another thread.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
