--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,8 +1,8 @@
-//! Running requests on the backend server, over HTTP.
+//! HTTP client of the backend server.
 
 mod chat;
-mod events;
 mod service;
+mod sse;
 
 use std::{
     collections::HashMap,
@@ -19,31 +19,31 @@
 use reqwest::{RequestBuilder, Response, StatusCode, header::RETRY_AFTER};
 use tracing::Instrument;
 
-/// Header in which a backend server names how many requests a second it takes.
-const LIMIT_HEADER: &str = "server-limit";
-/// Header that carries the request's id to the backend server.
+/// Response header with the rate limit of the backend server, in requests per second.
+const RATE_LIMIT_HEADER: &str = "server-limit";
+/// Request header with the request id.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Where the backend server takes orders.
+/// Path of orders to the backend server.
 const ORDERS_PATH: &str = "/v1/orders";
-/// Service time expected of a version before its first run.
-const FIRST_SERVICE: Duration = Duration::from_secs(1);
+/// Service time assumed for a version before its first run.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(1);
 
 /// How a run ended at the backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BackendEnd {
-    /// The answer is whole.
-    Whole {
+    /// The run finished with a complete answer.
+    Finished {
         /// Tokens used.
         usage: TokenUsage,
-        /// Time the server worked on it.
-        service: Duration,
+        /// Time that the server worked on it.
+        service_time: Duration,
     },
-    /// The backend server never got the request, or said that it did not run it.
+    /// The backend server did not receive the request, or refused it before running it.
     NotRun(Refusal),
-    /// It did not run it, and wants nothing for so long.
-    AskedBackoff(Duration),
-    /// It failed or broke off, and may have run.
-    Broken(Refusal),
+    /// The backend server refused the request and requested a backoff of this duration.
+    BackoffRequested(Duration),
+    /// The run failed or broke off; the request may have been executed.
+    Failed(Refusal),
 }
 
 /// The backend server beside this agent.
@@ -59,7 +59,7 @@
 }
 
 impl Backend {
-    /// A client of the backend server that the settings name.
+    /// Creates a client of the configured backend server.
     pub fn new(settings: &AgentSettings) -> Self {
         Backend {
             address: settings.backend,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Runs a request and hands its frames to `emit`; dropping the future cancels the run.
+    /// Runs a request and passes its frames to `emit`; dropping the future cancels the run.
     pub async fn run(&self, request: &StartRequest, emit: impl Fn(FrameKind)) -> BackendEnd {
         let span = tracing::info_span!("backend_server", version = request.work.version().as_str());
         let run = async {
@@ -87,8 +87,11 @@
         run.instrument(span).await
     }
 
-    /// Passes an order on; the server checks its fence if it is one that checks.
-    pub async fn order(&self, fence: u64, kind: &OrderKind) -> Result<(), OrderRefusal> {
+    /// Sends an order with its fencing token, which some backend servers check.
+    ///
+    /// Fails with [`OrderRefusal::StaleFence`] on a conflict and with [`OrderRefusal::Backend`]
+    /// on any other error.
+    pub async fn send_order(&self, fence: u64, kind: &OrderKind) -> Result<(), OrderRefusal> {
         let (action, version) = match kind {
             OrderKind::Load(version) => ("load", version),
             OrderKind::Unload(version) => ("unload", version),
@@ -104,31 +107,31 @@
         }
     }
 
-    /// Time that a run of a version is expected to take.
-    pub fn expected_service(&self, version: &VersionId) -> Duration {
-        lock(&self.service_times).get(version).copied().unwrap_or(FIRST_SERVICE)
+    /// Expected service time of a version: a moving average of its runs.
+    pub fn expected_service_time(&self, version: &VersionId) -> Duration {
+        lock(&self.service_times).get(version).copied().unwrap_or(INITIAL_SERVICE_TIME)
     }
 
-    /// Takes in the time that a run took.
-    pub fn learn_service(&self, version: &VersionId, service: Duration) {
+    /// Adds the service time of a run to the average of its version.
+    pub fn learn_service_time(&self, version: &VersionId, service_time: Duration) {
         const GAIN: f64 = 0.1;
         let mut times = lock(&self.service_times);
-        let mean = times.entry(version.clone()).or_insert(service);
-        *mean = mean.mul_f64(1.0 - GAIN) + service.mul_f64(GAIN);
+        let mean = times.entry(version.clone()).or_insert(service_time);
+        *mean = mean.mul_f64(1.0 - GAIN) + service_time.mul_f64(GAIN);
     }
 
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    /// The rate limit that the server names, if it names one.
+    /// The rate limit reported by the server, if any.
     pub fn rate_limit(&self) -> Option<RateLimit> {
         lock(&self.limit).limit()
     }
 
-    /// Takes in what an answer says of the rate limit, to a request sent at `sent`.
-    fn hear_limit(&self, response: &Response, sent: Duration) {
-        let word = match response.headers().get(LIMIT_HEADER) {
+    /// Applies the rate limit reported in the response to a request sent at `sent_at`.
+    fn receive_limit(&self, response: &Response, sent_at: Duration) {
+        let reported = match response.headers().get(RATE_LIMIT_HEADER) {
             None if response.status().is_success() => ReportedRateLimit::NoLimit,
             None => ReportedRateLimit::NotReported,
             Some(value) => {
@@ -136,51 +139,53 @@
                 limit.map_or(ReportedRateLimit::NotReported, ReportedRateLimit::Limit)
             }
         };
-        if lock(&self.limit).apply_reported(word, sent, self.started.elapsed()) {
+        if lock(&self.limit).apply_reported(reported, sent_at, self.started.elapsed()) {
             let per_s = self.rate_limit().map_or(f64::INFINITY, RateLimit::per_s);
             spdlog::warn!("the backend server's rate limit has changed", kv: { per_s });
         }
     }
 
-    /// Sends a request up to the head of its answer.
+    /// Sends a request and returns the head of the response.
     async fn send(&self, request: RequestBuilder) -> Result<Response, BackendEnd> {
-        let begun = self.started.elapsed();
-        let sent = tokio::time::timeout(self.idle_timeout, traced(request).send()).await;
-        match sent {
+        let sent_at = self.started.elapsed();
+        let result =
+            tokio::time::timeout(self.idle_timeout, with_trace_context(request).send()).await;
+        match result {
             Ok(Ok(response)) => {
-                self.hear_limit(&response, begun);
+                self.receive_limit(&response, sent_at);
                 check_status(response)
             }
-            // NB: without a connection no byte of the request was sent.
+            // NB: if the connection failed, no byte of the request was sent.
             Ok(Err(error)) if error.is_connect() => Err(BackendEnd::NotRun(Refusal::ContactLost)),
-            Ok(Err(_)) => Err(BackendEnd::Broken(Refusal::ContactLost)),
-            Err(_) => Err(BackendEnd::Broken(Refusal::Cut)),
+            Ok(Err(_)) => Err(BackendEnd::Failed(Refusal::ContactLost)),
+            Err(_) => Err(BackendEnd::Failed(Refusal::Cut)),
         }
     }
 }
 
 fn check_status(response: Response) -> Result<Response, BackendEnd> {
-    /// Pause for callers where the server asks for none, in milliseconds.
-    const RETRY_AFTER_MS: u64 = 500;
+    /// Retry delay of callers if the server requests none.
+    const DEFAULT_RETRY_AFTER_MS: u64 = 500;
     match response.status() {
-        // NB: by its meaning in HTTP, 429 is an answer to a request that was not acted on.
+        // NB: by the semantics of HTTP, a request answered with 429 was not executed.
         StatusCode::TOO_MANY_REQUESTS => {
-            let asked = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-            Err(match asked.and_then(parse_retry_after) {
-                Some(asked) => BackendEnd::AskedBackoff(asked),
+            let retry_after =
+                response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+            Err(match retry_after.and_then(parse_retry_after) {
+                Some(backoff) => BackendEnd::BackoffRequested(backoff),
                 None => {
-                    let retry_after_ms = RETRY_AFTER_MS;
+                    let retry_after_ms = DEFAULT_RETRY_AFTER_MS;
                     BackendEnd::NotRun(Refusal::Overloaded { retry_after_ms })
                 }
             })
         }
-        status if status.is_server_error() => Err(BackendEnd::Broken(Refusal::BackendFailed)),
+        status if status.is_server_error() => Err(BackendEnd::Failed(Refusal::BackendFailed)),
         _ => Ok(response),
     }
 }
 
-/// Carries the span's W3C trace context on to the backend server.
-fn traced(request: RequestBuilder) -> RequestBuilder {
+/// Adds the W3C trace context of the current span to the request headers.
+fn with_trace_context(request: RequestBuilder) -> RequestBuilder {
     use opentelemetry::{global, propagation::Injector};
     use tracing_opentelemetry::OpenTelemetrySpanExt;
 
--- a/crates/agent/src/backend/chat.rs
+++ b/crates/agent/src/backend/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions on a model engine, always streamed.
+//! Chat completions on a model engine, always requested as a stream.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-use super::{Backend, BackendEnd, REQUEST_ID_HEADER, events::Events};
+use super::{Backend, BackendEnd, REQUEST_ID_HEADER, sse::SseParser};
 
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Last event of a whole answer.
+/// Last event of a complete answer.
 const DONE: &str = "[DONE]";
 
 impl Backend {
@@ -34,7 +34,7 @@
             .body(body);
         let response = match self.send(post).await {
             Ok(response) if response.status().is_success() => response,
-            Ok(_) => return BackendEnd::Broken(Refusal::BackendFailed),
+            Ok(_) => return BackendEnd::Failed(Refusal::BackendFailed),
             Err(end) => return end,
         };
         self.relay(response, request.prompt_tokens, started, emit).await
@@ -48,17 +48,17 @@
         emit: impl Fn(FrameKind),
     ) -> BackendEnd {
         let mut stream = response.bytes_stream();
-        let mut events = Events::default();
+        let mut parser = SseParser::default();
         let mut usage = UsageCount { prompt_tokens, ..UsageCount::default() };
         loop {
             let chunk = match tokio::time::timeout(self.idle_timeout, stream.next()).await {
                 Ok(Some(Ok(chunk))) => chunk,
-                _ => return BackendEnd::Broken(Refusal::Cut),
+                _ => return BackendEnd::Failed(Refusal::Cut),
             };
-            events.push(&chunk);
-            while let Some(event) = events.next_event() {
+            parser.push(&chunk);
+            while let Some(event) = parser.next_event() {
                 if event == DONE.as_bytes() {
-                    return whole(usage, started.elapsed());
+                    return finished(usage, started.elapsed());
                 }
                 usage.read(&event);
                 emit(FrameKind::Data(event));
@@ -67,11 +67,11 @@
     }
 }
 
-fn whole(usage: UsageCount, service: Duration) -> BackendEnd {
-    BackendEnd::Whole { usage: usage.total(), service }
+fn finished(usage: UsageCount, service_time: Duration) -> BackendEnd {
+    BackendEnd::Finished { usage: usage.total(), service_time }
 }
 
-/// The caller's body with streaming and usage switched on and the version filled in.
+/// The caller's body with the model set and with streaming and usage events enabled.
 fn engine_body(request: &StartRequest) -> Option<Vec<u8>> {
     let mut body: Value = serde_json::from_slice(&request.body).ok()?;
     let fields = body.as_object_mut()?;
@@ -81,28 +81,29 @@
     serde_json::to_vec(&body).ok()
 }
 
-/// Tokens as the engine reports them, or counted by events if it does not.
+/// Token usage as reported by the engine, or counted by events if there is no report.
 #[derive(Debug, Default)]
 struct UsageCount {
     prompt_tokens: u64,
-    events: u64,
+    event_count: u64,
     reported: Option<TokenUsage>,
 }
 
 impl UsageCount {
     fn read(&mut self, event: &[u8]) {
         const USAGE: &[u8] = b"\"usage\":{";
-        const SPACED: &[u8] = b"\"usage\": {";
-        self.events += 1;
-        // NB: only one event of an answer carries usage, so the others are not parsed.
-        let holds = |needle: &[u8]| event.windows(needle.len()).any(|window| window == needle);
-        if holds(USAGE) || holds(SPACED) {
+        const SPACED_USAGE: &[u8] = b"\"usage\": {";
+        self.event_count += 1;
+        // NB: usage is in a single event of an answer, so other events are not parsed.
+        let contains = |needle: &[u8]| event.windows(needle.len()).any(|window| window == needle);
+        if contains(USAGE) || contains(SPACED_USAGE) {
             self.reported = serde_json::from_slice(event).ok().and_then(reported_usage);
         }
     }
 
     fn total(self) -> TokenUsage {
-        let counted = TokenUsage { prompt_tokens: self.prompt_tokens, output_tokens: self.events };
+        let counted =
+            TokenUsage { prompt_tokens: self.prompt_tokens, output_tokens: self.event_count };
         self.reported.unwrap_or(counted)
     }
 }
--- a/crates/agent/src/backend/service.rs
+++ b/crates/agent/src/backend/service.rs
@@ -1,4 +1,4 @@
-//! Calls passed through to a plain service.
+//! Calls forwarded to a plain service.
 
 use futures::StreamExt;
 use pondwalk_types::{Refusal, TokenUsage};
@@ -9,7 +9,7 @@
 use super::{Backend, BackendEnd, REQUEST_ID_HEADER};
 
 impl Backend {
-    /// Calls the service; head and body of its answer become frames.
+    /// Calls the service and emits the head and body of its response as frames.
     pub(super) async fn call_service(
         &self,
         request: &StartRequest,
@@ -36,9 +36,9 @@
             match tokio::time::timeout(self.idle_timeout, body.next()).await {
                 Ok(Some(Ok(chunk))) => emit(FrameKind::Data(chunk.to_vec())),
                 Ok(None) => break,
-                _ => return BackendEnd::Broken(Refusal::Cut),
+                _ => return BackendEnd::Failed(Refusal::Cut),
             }
         }
-        BackendEnd::Whole { usage: TokenUsage::default(), service: started.elapsed() }
+        BackendEnd::Finished { usage: TokenUsage::default(), service_time: started.elapsed() }
     }
 }
--- a/crates/agent/src/backend/sse.rs
+++ b/crates/agent/src/backend/sse.rs
@@ -1,22 +1,22 @@
-//! Server-sent events cut out of a byte stream.
+//! Parser of server-sent events.
 
-/// Bytes received and not yet cut into events.
+/// Splits a byte stream into server-sent events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct SseParser {
     bytes: Vec<u8>,
-    /// Up to here no line end was found.
+    /// Number of bytes already searched for a line end.
     searched: usize,
 }
 
-impl Events {
+impl SseParser {
     /// Adds received bytes.
     pub fn push(&mut self, chunk: &[u8]) {
         self.bytes.extend_from_slice(chunk);
     }
 
-    /// The content of the next `data:` line, if a whole one has been received.
+    /// Returns the content of the next `data:` line, if a complete one has been received.
     ///
-    /// NB: chat completions put each event on one line; other fields and comments are passed over.
+    /// NB: chat completions use one line per event; other fields and comments are ignored.
     pub fn next_event(&mut self) -> Option<Vec<u8>> {
         loop {
             let line = self.next_line()?;
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of an agent share.
+//! State shared by all parts of an agent.
 
 use std::{
     collections::HashMap,
@@ -22,27 +22,27 @@
 /// State shared by the agent's traffic and control threads.
 #[derive(Debug)]
 pub struct Core {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: AgentSettings,
-    /// Tells this process from its restarts.
+    /// Random id of this process; differs after a restart.
     pub incarnation: Incarnation,
-    /// The backend server.
+    /// Client of the backend server.
     pub backend: Backend,
-    /// Requests running and waiting.
+    /// Admission queue of the backend server.
     pub queue: Mutex<AdmissionQueue<RunKey>>,
-    /// Runs by name.
+    /// Waiting and running runs.
     pub runs: Mutex<Runs>,
-    /// Frames for entries.
+    /// Frames to be fetched by entries.
     pub outboxes: Outboxes,
-    /// Tests of versions on trial.
+    /// Trials of new versions.
     pub trials: Mutex<Trials>,
-    /// Versions hosted, and orders to change them.
+    /// Hosted versions, and orders that change them.
     pub orders: Orders,
-    /// Bills held for entries.
+    /// Copies of bills held for entries, by request id.
     pub bills: Mutex<HashMap<String, HeldBill>>,
-    /// Counters.
+    /// Sink of counters.
     pub metrics: StatsdClient,
-    /// Where runs are executed.
+    /// The runtime that executes runs.
     pub traffic: Handle,
     configuration: Mutex<Option<Arc<Configuration>>>,
     draining: AtomicBool,
@@ -50,7 +50,7 @@
 }
 
 impl Core {
-    /// The state of a new agent process.
+    /// Creates the state of an agent.
     pub fn new(settings: AgentSettings, metrics: StatsdClient, traffic: Handle) -> Self {
         Core {
             incarnation: rand::random(),
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Time since the process started, as the pure decision code wants it.
+    /// Time since the start of the process; the clock of the queue and the trials.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The configuration in force.
+    /// The installed configuration, if any.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         lock(&self.configuration).clone()
     }
 
-    /// Puts a configuration in force if it is newer; returns the generation in force.
+    /// Installs a configuration if it is newer; returns the installed generation.
     pub fn configure(&self, configuration: Configuration) -> u64 {
         let mut current = lock(&self.configuration);
         let generation = current.as_ref().map_or(0, |current| current.generation);
@@ -92,18 +92,18 @@
         lock(&self.trials).install(&configuration.policy);
         *current = Some(Arc::new(configuration));
         drop(current);
-        self.drop_withdrawn();
+        self.cancel_withdrawn();
         generation
     }
 
-    /// The queue, by the latest word on the server's rate limit.
+    /// The locked queue, with the latest rate limit of the server applied.
     pub fn admission(&self) -> MutexGuard<'_, AdmissionQueue<RunKey>> {
         let mut queue = lock(&self.queue);
         queue.set_rate_limit(self.backend.rate_limit());
         queue
     }
 
-    /// What the agent says of itself.
+    /// The current state of the agent, as reported to entries.
     pub fn snapshot(&self) -> AgentSnapshot {
         AgentSnapshot {
             incarnation: self.incarnation,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes no new work from now on.
+    /// Refuses new work from now on.
     pub fn begin_drain(&self) {
         if !self.draining.swap(true, Ordering::SeqCst) {
             spdlog::info!("draining", kv: { server = self.settings.server.as_str() });
@@ -128,13 +128,15 @@
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Whether nothing runs, waits or is yet to be fetched.
+    /// Whether no run is running or waiting and no frame is left to be fetched.
     pub fn is_idle(&self) -> bool {
         lock(&self.queue).load() == 0 && self.outboxes.is_empty()
     }
 
-    /// Checks a run against the configuration and the agent's own state.
-    pub fn check(&self, request: &StartRequest) -> Result<WorkspacePolicy, Refusal> {
+    /// Checks a run against the configuration and the agent's state.
+    ///
+    /// Returns the policy of its workspace.
+    pub fn check_request(&self, request: &StartRequest) -> Result<WorkspacePolicy, Refusal> {
         if self.is_draining() {
             return Err(Refusal::Draining);
         }
@@ -172,31 +174,31 @@
         Ok(())
     }
 
-    /// Gives up waiting runs of versions that may not run any more.
-    fn drop_withdrawn(&self) {
+    /// Cancels waiting runs of withdrawn versions.
+    fn cancel_withdrawn(&self) {
         let Some(configuration) = self.configuration() else {
             return;
         };
         let runs = lock(&self.runs);
         let withdrawn = |run: &RunKey| {
             let state = runs
-                .version(run)
+                .waiting_version(run)
                 .and_then(|version| configuration.policy.versions.get(version))
                 .map(|spec| spec.state);
             state == Some(VersionState::Withdrawn)
         };
-        let out = lock(&self.queue).cancel_where(withdrawn);
+        let cancelled = lock(&self.queue).cancel_where(withdrawn);
         drop(runs);
-        for run in out {
-            let version = lock(&self.runs).remove(&run).map(|waiting| waiting.version());
+        for run in cancelled {
+            let version = lock(&self.runs).remove_waiting(&run).map(|waiting| waiting.version());
             let refusal = Refusal::VersionWithdrawn(version.unwrap_or_default());
             self.outboxes.push(run, pondwalk_wire::FrameKind::NotRun(refusal));
         }
     }
 
-    /// Adds one to a counter.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
-        // NB: a counter that cannot be sent is not worth failing for.
+        // NB: failures to send metrics are ignored.
         let _ = self.metrics.incr(name);
     }
 }
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -1,4 +1,4 @@
-//! Runs from admission to their last frame.
+//! Execution of runs from admission to the last frame.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,9 +14,9 @@
     runs::{Stage, WaitingRun},
 };
 
-/// Admits a run or refuses it; a refused run has truly not run.
+/// Admits a run, or refuses it without executing it.
 pub fn admit(core: &Arc<Core>, request: StartRequest) -> Result<(), Refusal> {
-    let workspace = core.check(&request)?;
+    let workspace = core.check_request(&request)?;
     let now = core.now();
     let version = request.work.version();
     let work = QueuedWork {
@@ -24,7 +24,7 @@
         workspace: request.workspace.clone(),
         priority: workspace.priority,
         share_weight: workspace.share_weight,
-        expected_service: core.backend.expected_service(version),
+        expected_service_time: core.backend.expected_service_time(version),
         deadline: now + request.deadline_left,
         stated_deadline: request.stated_deadline,
     };
@@ -36,36 +36,36 @@
     match admission {
         Admission::Start => start(core, run),
         Admission::Queued { displaced } => {
-            if let Some((out, refusal)) = displaced {
-                give_up(core, out, refusal);
+            if let Some((displaced_run, refusal)) = displaced {
+                shed_run(core, displaced_run, refusal);
             }
         }
         Admission::Refused(refusal) => {
-            forget(core, run);
+            remove_waiting_run(core, run);
             return Err(refusal);
         }
     }
     Ok(())
 }
 
-/// Stops a run whose answer nobody wants.
+/// Cancels a waiting or running run.
 pub fn cancel(core: &Arc<Core>, run: RunKey) {
-    let stage = lock(&core.runs).take(&run);
+    let stage = lock(&core.runs).remove(&run);
     match stage {
         Some(Stage::Waiting(_)) => {
             lock(&core.queue).cancel(&run);
         }
         Some(Stage::Running { task, .. }) => {
             task.abort();
-            next(core);
+            dispatch(core);
         }
         None => {}
     }
 }
 
-/// Stops all runs of an entry that is gone.
+/// Cancels all runs of an entry.
 pub fn cancel_all(core: &Arc<Core>, entry: Incarnation) {
-    let runs = lock(&core.runs).of_entry(entry);
+    let runs = lock(&core.runs).started_by(entry);
     for run in runs {
         cancel(core, run);
     }
@@ -73,7 +73,7 @@
 
 fn start(core: &Arc<Core>, run: RunKey) {
     let mut runs = lock(&core.runs);
-    let Some(waiting) = runs.remove(&run) else {
+    let Some(waiting) = runs.remove_waiting(&run) else {
         return;
     };
     let span = waiting.span.clone();
@@ -87,40 +87,40 @@
     core.outboxes.push(run, FrameKind::Began);
     let outboxes = &core.outboxes;
     let end = core.backend.run(&request, |kind| outboxes.push(run, kind)).await;
-    let was_open = lock(&core.runs).take(&run).is_some();
-    if !was_open {
+    let was_registered = lock(&core.runs).remove(&run).is_some();
+    if !was_registered {
         return;
     }
-    report(&core, run, &version, end);
-    next(&core);
+    finish_run(&core, run, &version, end);
+    dispatch(&core);
 }
 
-fn report(core: &Core, run: RunKey, version: &VersionId, end: BackendEnd) {
-    let failed = !matches!(end, BackendEnd::Whole { .. });
+fn finish_run(core: &Core, run: RunKey, version: &VersionId, end: BackendEnd) {
+    let failed = !matches!(end, BackendEnd::Finished { .. });
     match end {
-        // NB: a server that asks for a pause is neither failing nor of a bad version by that.
-        BackendEnd::AskedBackoff(_) => lock(&core.trials).never_ran(version),
-        _ => lock(&core.trials).ended(core.now(), version, failed),
+        // NB: a requested backoff says nothing about the quality of the version.
+        BackendEnd::BackoffRequested(_) => lock(&core.trials).record_not_run(version),
+        _ => lock(&core.trials).record_end(core.now(), version, failed),
     }
     let kind = match end {
-        BackendEnd::Whole { usage, service } => {
-            core.backend.learn_service(version, service);
+        BackendEnd::Finished { usage, service_time } => {
+            core.backend.learn_service_time(version, service_time);
             core.count("runs.whole");
-            FrameKind::Ended { usage, service }
+            FrameKind::Ended { usage, service: service_time }
         }
         BackendEnd::NotRun(refusal) => {
             core.count("runs.not_run");
             FrameKind::NotRun(refusal)
         }
-        BackendEnd::AskedBackoff(asked) => {
+        BackendEnd::BackoffRequested(backoff) => {
             core.count("runs.asked_backoff");
-            let backoff_ms = asked.as_millis() as u64;
+            let backoff_ms = backoff.as_millis() as u64;
             spdlog::warn!("the backend server asked for a pause", kv: { backoff_ms });
-            lock(&core.queue).back_off(core.now(), asked);
-            let retry_after_ms = asked.min(MAX_SERVER_BACKOFF).as_millis() as u64;
+            lock(&core.queue).back_off(core.now(), backoff);
+            let retry_after_ms = backoff.min(MAX_SERVER_BACKOFF).as_millis() as u64;
             FrameKind::NotRun(Refusal::Overloaded { retry_after_ms })
         }
-        BackendEnd::Broken(refusal) => {
+        BackendEnd::Failed(refusal) => {
             core.count("runs.broken");
             FrameKind::Failed(refusal)
         }
@@ -128,45 +128,45 @@
     core.outboxes.push(run, kind);
 }
 
-/// A slot is free: starts what may start and gives up what came too late.
-fn next(core: &Arc<Core>) {
-    let mut admitted = core.admission().finish(core.now());
+/// Frees a slot, starts waiting runs and sheds those past their deadline.
+fn dispatch(core: &Arc<Core>) {
+    let mut next = core.admission().finish(core.now());
     loop {
-        let Dispatch { start: first, shed } = admitted;
+        let Dispatch { start: first, shed } = next;
         for (run, refusal) in shed {
-            give_up(core, run, refusal);
+            shed_run(core, run, refusal);
         }
         let Some(run) = first else {
             return;
         };
         start(core, run);
-        admitted = core.admission().dispatch_next(core.now());
+        next = core.admission().dispatch_next(core.now());
     }
 }
 
 /// Sheds waiting runs whose deadline has passed.
-pub fn shed_late(core: &Arc<Core>) {
-    let admitted = core.admission().dispatch_next(core.now());
-    for (run, refusal) in admitted.shed {
-        give_up(core, run, refusal);
+pub fn shed_expired(core: &Arc<Core>) {
+    let next = core.admission().dispatch_next(core.now());
+    for (run, refusal) in next.shed {
+        shed_run(core, run, refusal);
     }
-    if let Some(run) = admitted.start {
+    if let Some(run) = next.start {
         start(core, run);
     }
 }
 
-fn give_up(core: &Core, run: RunKey, refusal: Refusal) {
+fn shed_run(core: &Core, run: RunKey, refusal: Refusal) {
     core.count("runs.shed");
-    forget(core, run);
+    remove_waiting_run(core, run);
     core.outboxes.push(run, FrameKind::NotRun(refusal));
 }
 
-fn forget(core: &Core, run: RunKey) {
-    let waiting = lock(&core.runs).remove(&run);
+fn remove_waiting_run(core: &Core, run: RunKey) {
+    let waiting = lock(&core.runs).remove_waiting(&run);
     if let Some(waiting) = waiting {
-        lock(&core.trials).never_ran(&waiting.version());
+        lock(&core.trials).record_not_run(&waiting.version());
     }
 }
 
-/// Longest time between two checks for late work.
-pub const SHED_EVERY: Duration = Duration::from_millis(100);
+/// Interval of checks for waiting runs past their deadline.
+pub const SHED_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,8 @@
-//! The agent: the process beside one backend server, with the last word on what runs there.
+//! The agent: the process beside one backend server that controls what runs there.
 //!
-//! It admits or refuses runs by its own queue and configuration, runs them on the backend server,
-//! keeps the frames of their answers until entries have fetched them, and drains on a planned
-//! stop. It makes no calls to the platform's store in ordinary operation: configurations come
-//! from entries.
+//! It admits runs by its queue and configuration, executes them on the backend server, keeps the
+//! frames of their answers until entries have fetched them, and drains on a planned stop. In
+//! normal operation it does not call the platform's store; entries send it configurations.
 
 mod backend;
 mod control;
@@ -25,7 +24,7 @@
 
 use crate::core::Core;
 
-/// A running agent; dropping it stops it at once, as a failure would.
+/// A running agent; dropping it stops it immediately, without draining.
 #[derive(Debug)]
 pub struct RunningAgent {
     address: SocketAddr,
@@ -35,7 +34,7 @@
 }
 
 impl RunningAgent {
-    /// Starts an agent on threads of its own.
+    /// Starts an agent on its own threads.
     pub fn start(
         settings: AgentSettings,
         store: Store,
@@ -55,24 +54,24 @@
         Ok(RunningAgent { address, core, traffic: Some(traffic), control: Some(control) })
     }
 
-    /// Where entries connect.
+    /// The address on which entries connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no new work from now on.
+    /// Refuses new work from now on.
     pub fn begin_drain(&self) {
         self.core.begin_drain();
     }
 
-    /// Whether all admitted work has ended and its answers have been fetched.
+    /// Whether all admitted runs have ended and all frames have been fetched.
     pub fn is_drained(&self) -> bool {
         self.core.is_idle()
     }
 
-    /// Takes no new work, waits for what is under way, and stops.
+    /// Refuses new work, waits until the agent is drained, and stops.
     ///
-    /// Returns whether all of it ended within the settings' limit.
+    /// Returns whether it was drained within the configured limit.
     pub async fn drain(mut self) -> bool {
         const POLL: Duration = Duration::from_millis(20);
         self.begin_drain();
@@ -82,9 +81,9 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        let clean = tokio::time::timeout(limit, idle).await.is_ok();
+        let completed = tokio::time::timeout(limit, idle).await.is_ok();
         self.stop();
-        clean
+        completed
     }
 
     fn stop(&mut self) {
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to the backend server: one at a time, only from whoever holds the lease.
+//! Orders to the backend server, executed one at a time and only for the holder of the lease.
 //!
-//! Some backend servers check the fence of an order and some do not. For those that do not, this
-//! agent is the only giver of orders: it refuses a fence lower than the highest it has seen, and an
-//! order whose giver may have lost its lease by the time it would be passed on.
+//! Some backend servers do not check fencing tokens. All orders to them pass through this agent,
+//! which refuses tokens lower than the highest seen, and orders whose sender may have lost its
+//! lease in the meantime.
 
 use std::sync::{
     Mutex,
@@ -16,26 +16,26 @@
 
 use crate::backend::Backend;
 
-/// Versions hosted, and the state of orders.
+/// The hosted versions and the state of orders.
 #[derive(Debug)]
 pub struct Orders {
     hosted: Mutex<Vec<VersionId>>,
     changes: AtomicU32,
-    /// The highest fence seen; held while an order is carried out.
-    fence: tokio::sync::Mutex<u64>,
+    /// The highest fencing token seen; locked while an order is executed.
+    highest_fencing_token: tokio::sync::Mutex<u64>,
 }
 
 impl Orders {
-    /// The versions hosted at the start.
+    /// Creates the state with the versions hosted at the start.
     pub fn new(hosted: Vec<VersionId>) -> Self {
         Orders {
             hosted: Mutex::new(hosted),
             changes: AtomicU32::new(0),
-            fence: tokio::sync::Mutex::new(0),
+            highest_fencing_token: tokio::sync::Mutex::new(0),
         }
     }
 
-    /// Versions hosted now.
+    /// The hosted versions.
     pub fn hosted(&self) -> Vec<VersionId> {
         lock(&self.hosted).clone()
     }
@@ -45,35 +45,38 @@
         lock(&self.hosted).contains(version)
     }
 
-    /// Changes of the versions hosted so far.
+    /// Number of changes of the hosted versions since the start.
     pub fn changes(&self) -> u32 {
         self.changes.load(Ordering::Relaxed)
     }
 
-    /// Carries out an order, unless it is stale or its time is over.
-    pub async fn carry_out(
+    /// Executes an order and returns the versions hosted after it.
+    ///
+    /// Fails if the fencing token is stale, the order has expired or the backend server fails.
+    pub async fn execute(
         &self,
         backend: &Backend,
         order: Order,
     ) -> Result<Vec<VersionId>, OrderRefusal> {
-        let until = Instant::now() + order.valid_for;
-        let mut seen = self.fence.lock().await;
-        if order.fence < *seen {
-            return Err(OrderRefusal::StaleFence { seen: *seen });
+        let deadline = Instant::now() + order.valid_for;
+        let mut highest = self.highest_fencing_token.lock().await;
+        if order.fence < *highest {
+            return Err(OrderRefusal::StaleFence { seen: *highest });
         }
-        *seen = order.fence;
-        // NB: the wait for the lock may have outlasted the giver's lease.
-        if Instant::now() >= until {
+        *highest = order.fence;
+        // NB: the lease may have expired while waiting for the lock.
+        if Instant::now() >= deadline {
             return Err(OrderRefusal::Expired);
         }
-        let left = until - Instant::now();
-        let passed_on = tokio::time::timeout(left, backend.order(order.fence, &order.kind)).await;
-        passed_on.unwrap_or(Err(OrderRefusal::Expired))?;
-        self.note(&order.kind);
+        let remaining = deadline - Instant::now();
+        let result =
+            tokio::time::timeout(remaining, backend.send_order(order.fence, &order.kind)).await;
+        result.unwrap_or(Err(OrderRefusal::Expired))?;
+        self.apply(&order.kind);
         Ok(self.hosted())
     }
 
-    fn note(&self, kind: &OrderKind) {
+    fn apply(&self, kind: &OrderKind) {
         let mut hosted = lock(&self.hosted);
         match kind {
             OrderKind::Load(version) if !hosted.contains(version) => hosted.push(version.clone()),
--- a/crates/agent/src/outbox.rs
+++ b/crates/agent/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Frames that wait to be fetched, one outbox for each entry process.
+//! Frames waiting to be fetched, in one outbox per entry process.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -17,24 +17,24 @@
     time::{Instant, timeout},
 };
 
-/// Most frames returned at a time.
-const BATCH_LIMIT: usize = 1_024;
-/// How long tokens in mid-answer wait for others, so that one reply carries many.
+/// Maximum number of frames returned by one fetch.
+const MAX_BATCH_FRAMES: usize = 1_024;
+/// Time for which frames are batched, so that one reply carries several.
 ///
-/// NB: the first token of an answer and its end never wait.
-const GATHER: Duration = Duration::from_millis(1);
+/// NB: the first data frame and the end of an answer are not delayed.
+const BATCH_DELAY: Duration = Duration::from_millis(1);
 
 #[derive(Debug)]
 struct Outbox {
     frames: VecDeque<Frame>,
-    fetched: Instant,
-    /// Calls for frames that are waiting.
-    waiting: u32,
-    /// Attempts whose first data frame is out.
-    flowing: HashSet<AttemptId>,
-    /// Fires for any frame.
+    last_fetch: Instant,
+    /// Number of pending fetch calls.
+    pending_fetches: u32,
+    /// Attempts whose first data frame has been added.
+    streaming_attempts: HashSet<AttemptId>,
+    /// Notified for every frame.
     added: Arc<Notify>,
-    /// Fires for frames that must not wait.
+    /// Notified for frames that must not be delayed.
     urgent: Arc<Notify>,
 }
 
@@ -42,9 +42,9 @@
     fn default() -> Self {
         Outbox {
             frames: VecDeque::new(),
-            fetched: Instant::now(),
-            waiting: 0,
-            flowing: HashSet::new(),
+            last_fetch: Instant::now(),
+            pending_fetches: 0,
+            streaming_attempts: HashSet::new(),
             added: Arc::new(Notify::new()),
             urgent: Arc::new(Notify::new()),
         }
@@ -52,37 +52,37 @@
 }
 
 impl Outbox {
-    fn must_not_wait(&mut self, attempt: AttemptId, kind: &FrameKind) -> bool {
+    fn is_urgent(&mut self, attempt: AttemptId, kind: &FrameKind) -> bool {
         match kind {
             FrameKind::Began => false,
-            FrameKind::Data(_) => self.flowing.insert(attempt),
+            FrameKind::Data(_) => self.streaming_attempts.insert(attempt),
             FrameKind::Head { .. } => true,
             FrameKind::NotRun(_) | FrameKind::Ended { .. } | FrameKind::Failed(_) => {
-                self.flowing.remove(&attempt);
+                self.streaming_attempts.remove(&attempt);
                 true
             }
         }
     }
 }
 
-/// Marks an outbox as asked for, for as long as the call waits.
-struct Waiting<'a> {
+/// Counts a fetch call as pending until it is dropped.
+struct PendingFetch<'a> {
     outboxes: &'a Outboxes,
     entry: Incarnation,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> PendingFetch<'a> {
     fn new(outboxes: &'a Outboxes, entry: Incarnation) -> Self {
-        lock(&outboxes.boxes).entry(entry).or_default().waiting += 1;
-        Waiting { outboxes, entry }
+        lock(&outboxes.boxes).entry(entry).or_default().pending_fetches += 1;
+        PendingFetch { outboxes, entry }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingFetch<'_> {
     fn drop(&mut self) {
         if let Some(outbox) = lock(&self.outboxes.boxes).get_mut(&self.entry) {
-            outbox.waiting = outbox.waiting.saturating_sub(1);
-            outbox.fetched = Instant::now();
+            outbox.pending_fetches = outbox.pending_fetches.saturating_sub(1);
+            outbox.last_fetch = Instant::now();
         }
     }
 }
@@ -91,8 +91,8 @@
 #[derive(Debug, Default)]
 pub struct Outboxes {
     boxes: Mutex<HashMap<Incarnation, Outbox>>,
-    /// Counts the frames of all outboxes, so that numbers never come again for an entry whose
-    /// outbox was dropped and made anew.
+    /// Last sequence number of all outboxes; shared, so that numbers are not reused when the
+    /// outbox of an entry is dropped and recreated.
     sequence: AtomicU64,
 }
 
@@ -102,30 +102,30 @@
         let mut boxes = lock(&self.boxes);
         let outbox = boxes.entry(run.entry).or_default();
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        if outbox.must_not_wait(run.attempt, &kind) {
+        if outbox.is_urgent(run.attempt, &kind) {
             outbox.urgent.notify_one();
         }
         outbox.frames.push_back(Frame { sequence, attempt: run.attempt, kind });
         outbox.added.notify_one();
     }
 
-    /// Returns frames after the acknowledged one, waiting for the first if need be.
+    /// Returns the frames after the acknowledged one, waiting for the first if there is none.
     ///
-    /// Returns early, and perhaps without frames, when there is other news to tell.
-    pub async fn take(&self, request: FetchFrames) -> Vec<Frame> {
-        let (frames, added, urgent) = self.take_now(request);
-        let _waiting = Waiting::new(self, request.entry);
+    /// May return no frames after the wait, or when [`Self::wake_all`] is called.
+    pub async fn fetch(&self, request: FetchFrames) -> Vec<Frame> {
+        let (frames, added, urgent) = self.fetch_now(request);
+        let _pending = PendingFetch::new(self, request.entry);
         if frames.is_empty() && timeout(request.wait, added.notified()).await.is_err() {
             return Vec::new();
         }
-        if frames.len() < BATCH_LIMIT {
-            // NB: over means that nothing urgent came, and then the gathered frames go.
-            let _ = timeout(GATHER, urgent.notified()).await;
+        if frames.len() < MAX_BATCH_FRAMES {
+            // NB: a timeout means that no urgent frame was added; the batch is returned.
+            let _ = timeout(BATCH_DELAY, urgent.notified()).await;
         }
-        self.take_now(request).0
+        self.fetch_now(request).0
     }
 
-    /// Answers all waiting calls, so that entries hear news that is not about a run.
+    /// Completes all pending fetches, so that entries receive a new state of the agent.
     pub fn wake_all(&self) {
         for outbox in lock(&self.boxes).values() {
             outbox.added.notify_one();
@@ -133,29 +133,33 @@
         }
     }
 
-    fn take_now(&self, request: FetchFrames) -> (Vec<Frame>, Arc<Notify>, Arc<Notify>) {
+    fn fetch_now(&self, request: FetchFrames) -> (Vec<Frame>, Arc<Notify>, Arc<Notify>) {
         let mut boxes = lock(&self.boxes);
         let outbox = boxes.entry(request.entry).or_default();
-        outbox.fetched = Instant::now();
+        outbox.last_fetch = Instant::now();
         while outbox.frames.front().is_some_and(|f| f.sequence <= request.acknowledged) {
             outbox.frames.pop_front();
         }
-        let frames = outbox.frames.iter().take(BATCH_LIMIT).cloned().collect();
+        let frames = outbox.frames.iter().take(MAX_BATCH_FRAMES).cloned().collect();
         (frames, outbox.added.clone(), outbox.urgent.clone())
     }
 
-    /// Whether no frame waits.
+    /// Whether all outboxes are empty.
     pub fn is_empty(&self) -> bool {
         lock(&self.boxes).values().all(|outbox| outbox.frames.is_empty())
     }
 
-    /// Drops the outboxes of entries that have fetched nothing for `retain`; returns the entries.
-    pub fn drop_silent(&self, retain: Duration) -> Vec<Incarnation> {
+    /// Drops the outboxes of entries without a fetch for `retain` and returns these entries.
+    pub fn drop_inactive(&self, retain: Duration) -> Vec<Incarnation> {
         let mut boxes = lock(&self.boxes);
-        let silent = |outbox: &Outbox| outbox.waiting == 0 && outbox.fetched.elapsed() > retain;
-        let gone: Vec<_> =
-            boxes.iter().filter(|(_, outbox)| silent(outbox)).map(|(entry, _)| *entry).collect();
-        boxes.retain(|entry, _| !gone.contains(entry));
-        gone
+        let is_inactive =
+            |outbox: &Outbox| outbox.pending_fetches == 0 && outbox.last_fetch.elapsed() > retain;
+        let expired: Vec<_> = boxes
+            .iter()
+            .filter(|(_, outbox)| is_inactive(outbox))
+            .map(|(entry, _)| *entry)
+            .collect();
+        boxes.retain(|entry, _| !expired.contains(entry));
+        expired
     }
 }
--- a/crates/agent/src/runs.rs
+++ b/crates/agent/src/runs.rs
@@ -1,4 +1,4 @@
-//! The runs that wait or are under way, by name.
+//! Waiting and running runs, by key.
 
 use std::collections::HashMap;
 
@@ -10,34 +10,34 @@
 /// A run that waits for a slot.
 #[derive(Debug)]
 pub struct WaitingRun {
-    /// What it asks for.
+    /// The request.
     pub request: StartRequest,
-    /// The span that it is traced in.
+    /// The tracing span of the run.
     pub span: Span,
 }
 
 impl WaitingRun {
-    /// The version it asks for.
+    /// The requested version.
     pub fn version(&self) -> VersionId {
         self.request.work.version().clone()
     }
 }
 
-/// How far a run has come.
+/// The stage of a run.
 #[derive(Debug)]
 pub enum Stage {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Waiting(Box<WaitingRun>),
-    /// It is under way.
+    /// Running on the backend server.
     Running {
-        /// Ends it.
+        /// Aborts the run.
         task: AbortHandle,
-        /// Version that it runs on.
+        /// The version that it runs on.
         version: VersionId,
     },
 }
 
-/// Runs by name.
+/// Runs by key.
 #[derive(Debug, Default)]
 pub struct Runs {
     runs: HashMap<RunKey, Stage>,
@@ -45,41 +45,41 @@
 
 impl Runs {
     /// The version of a waiting run.
-    pub fn version(&self, run: &RunKey) -> Option<&VersionId> {
+    pub fn waiting_version(&self, run: &RunKey) -> Option<&VersionId> {
         match self.runs.get(run)? {
             Stage::Waiting(waiting) => Some(waiting.request.work.version()),
             Stage::Running { .. } => None,
         }
     }
 
-    /// Whether a version has runs under way.
-    pub fn any_on(&self, version: &VersionId) -> bool {
+    /// Whether a version has waiting or running runs.
+    pub fn has_version(&self, version: &VersionId) -> bool {
         self.runs.values().any(|stage| match stage {
             Stage::Waiting(waiting) => waiting.request.work.version() == version,
             Stage::Running { version: running, .. } => running == version,
         })
     }
 
-    /// Takes a waiting run out.
-    pub fn remove(&mut self, run: &RunKey) -> Option<WaitingRun> {
+    /// Removes a run and returns it if it was waiting.
+    pub fn remove_waiting(&mut self, run: &RunKey) -> Option<WaitingRun> {
         match self.runs.remove(run)? {
             Stage::Waiting(waiting) => Some(*waiting),
             Stage::Running { .. } => None,
         }
     }
 
-    /// A run waits, or is under way, from now on.
+    /// Adds a run, or replaces its stage.
     pub fn insert(&mut self, run: RunKey, stage: Stage) {
         self.runs.insert(run, stage);
     }
 
-    /// Forgets a run; tells how far it has come.
-    pub fn take(&mut self, run: &RunKey) -> Option<Stage> {
+    /// Removes a run and returns its stage.
+    pub fn remove(&mut self, run: &RunKey) -> Option<Stage> {
         self.runs.remove(run)
     }
 
-    /// All runs of an entry.
-    pub fn of_entry(&self, entry: Incarnation) -> Vec<RunKey> {
+    /// Keys of all runs started by an entry.
+    pub fn started_by(&self, entry: Incarnation) -> Vec<RunKey> {
         self.runs.keys().filter(|run| run.entry == entry).copied().collect()
     }
 }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -1,4 +1,4 @@
-//! The calls that entries make.
+//! RPC server for entries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,17 +14,17 @@
 
 use crate::{core::Core, execution};
 
-/// Longest wait of one call for frames.
-const LONGEST_TAKE: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum wait of one call for frames.
+const MAX_FETCH_WAIT: Duration = Duration::from_secs(30);
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves calls on every connection that is accepted.
+/// Accepts connections and serves their calls.
 pub async fn serve(listener: TcpListener, core: Arc<Core>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             core.count("accept.failed");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(channel) = channel(stream) else {
@@ -52,8 +52,8 @@
     }
 
     async fn take(self, _: Context, request: FetchFrames) -> FrameBatch {
-        let request = FetchFrames { wait: request.wait.min(LONGEST_TAKE), ..request };
-        let frames = self.core.outboxes.take(request).await;
+        let request = FetchFrames { wait: request.wait.min(MAX_FETCH_WAIT), ..request };
+        let frames = self.core.outboxes.fetch(request).await;
         FrameBatch { snapshot: self.core.snapshot(), frames }
     }
 
@@ -74,20 +74,20 @@
 
     async fn order(self, _: Context, order: Order) -> Result<Vec<VersionId>, OrderRefusal> {
         if let OrderKind::Unload(version) = &order.kind
-            && lock(&self.core.runs).any_on(version)
+            && lock(&self.core.runs).has_version(version)
         {
             return Err(OrderRefusal::Busy);
         }
-        let done = self.core.orders.carry_out(&self.core.backend, order).await;
+        let result = self.core.orders.execute(&self.core.backend, order).await;
         self.core.outboxes.wake_all();
-        done
+        result
     }
 
     async fn rate(self, _: Context, report: RatingReport) {
         let version = &report.version;
-        let before = lock(&self.core.trials).is_tripped(version);
-        lock(&self.core.trials).rate(self.core.now(), &report);
-        if !before && lock(&self.core.trials).is_tripped(version) {
+        let was_tripped = lock(&self.core.trials).is_tripped(version);
+        lock(&self.core.trials).record_rating(self.core.now(), &report);
+        if !was_tripped && lock(&self.core.trials).is_tripped(version) {
             spdlog::warn!("version tripped", kv: { version = version.as_str() });
             self.core.outboxes.wake_all();
         }
--- a/crates/agent/src/trials.rs
+++ b/crates/agent/src/trials.rs
@@ -1,5 +1,6 @@
-//! The agent's own test of versions on trial: every request on a version passes its agents, so
-//! evidence gathers here first.
+//! The agent's test of versions on trial.
+//!
+//! All requests to a server pass its agent, so evidence accumulates here first.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,7 +8,7 @@
 use pondwalk_types::{Policy, Refusal, TaskId, VersionId};
 use pondwalk_wire::RatingReport;
 
-/// Trials of the versions hosted here, and ratings of the versions that they replace.
+/// Trials of new versions, and rating baselines of the versions that they replace.
 #[derive(Debug, Default)]
 pub struct Trials {
     trials: HashMap<VersionId, (VersionId, Trial)>,
@@ -15,19 +16,19 @@
 }
 
 impl Trials {
-    /// Takes over the roll-outs of a configuration; trials under way go on.
+    /// Installs the roll-outs of a configuration; trials in progress continue.
     pub fn install(&mut self, policy: &Policy) {
         let mut trials = HashMap::new();
         for roll_out in &policy.roll_outs {
-            let known = self.trials.remove(&roll_out.version);
-            let kept = known.filter(|(replaces, _)| *replaces == roll_out.replaces);
+            let current = self.trials.remove(&roll_out.version);
+            let kept = current.filter(|(replaces, _)| *replaces == roll_out.replaces);
             let trial = kept.map(|(_, trial)| trial).unwrap_or_default();
             trials.insert(roll_out.version.clone(), (roll_out.replaces.clone(), trial));
         }
         self.trials = trials;
     }
 
-    /// Counts a run that is about to be admitted; refuses it once the version has tripped.
+    /// Records the start of a run, or refuses it if the version has tripped.
     pub fn admit(&mut self, version: &VersionId) -> Result<(), Refusal> {
         let Some((_, trial)) = self.trials.get_mut(version) else {
             return Ok(());
@@ -39,23 +40,23 @@
         Ok(())
     }
 
-    /// Takes back a run that was not admitted after all.
-    pub fn never_ran(&mut self, version: &VersionId) {
+    /// Reverts [`Self::admit`] for a run that was not executed.
+    pub fn record_not_run(&mut self, version: &VersionId) {
         if let Some((_, trial)) = self.trials.get_mut(version) {
             trial.record_not_run();
         }
     }
 
-    /// Takes in how a run ended.
-    pub fn ended(&mut self, now: Duration, version: &VersionId, failed: bool) {
+    /// Records the end of a run.
+    pub fn record_end(&mut self, now: Duration, version: &VersionId, failed: bool) {
         const OLD_FAILURE_RATE: f64 = 0.01;
         if let Some((_, trial)) = self.trials.get_mut(version) {
             trial.record_end(now, failed, OLD_FAILURE_RATE);
         }
     }
 
-    /// Takes in a rating.
-    pub fn rate(&mut self, now: Duration, report: &RatingReport) {
+    /// Records a rating of an answer.
+    pub fn record_rating(&mut self, now: Duration, report: &RatingReport) {
         if let Some((replaces, trial)) = self.trials.get_mut(&report.version) {
             let key = (replaces.clone(), report.task.clone());
             let baseline = self.baselines.get(&key).copied().unwrap_or_default();
@@ -73,7 +74,7 @@
         trial.is_some_and(|(_, trial)| matches!(trial.stage(), TrialStage::Tripped(_)))
     }
 
-    /// Versions that have tripped.
+    /// All tripped versions.
     pub fn tripped(&self) -> Vec<VersionId> {
         self.trials.keys().filter(|version| self.is_tripped(version)).cloned().collect()
     }
--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -24,7 +24,7 @@
     /// The workspace's weight in fair queueing.
     pub share_weight: f64,
     /// Expected service time.
-    pub expected_service: Duration,
+    pub expected_service_time: Duration,
     /// Time by which the answer is due.
     pub deadline: Duration,
     /// Time allowed by the caller, reported in refusals.
@@ -204,7 +204,7 @@
     fn start_tag(&mut self, work: &QueuedWork<T>) -> f64 {
         self.drop_idle_clocks();
         let weight = work.share_weight * f64::from(1_u32 << work.priority.min(9));
-        let length = work.expected_service.as_secs_f64().max(1e-3) / weight;
+        let length = work.expected_service_time.as_secs_f64().max(1e-3) / weight;
         let clock = self.clocks.entry(work.workspace.clone()).or_insert(self.clock);
         let start_tag = clock.max(self.clock);
         *clock = start_tag + length;
@@ -227,9 +227,11 @@
 
     /// Lower estimate of the wait for a slot behind the waiting requests.
     fn min_wait(&self, work: &QueuedWork<T>) -> Duration {
-        let queued_work: Duration = self.waiting.iter().map(|w| w.work.expected_service).sum();
+        let queued_work: Duration = self.waiting.iter().map(|w| w.work.expected_service_time).sum();
         // NB: deliberately low, because the request may overtake others in the queue.
-        queued_work.min(work.expected_service * self.waiting.len() as u32) / self.slots.max(1) / 2
+        queued_work.min(work.expected_service_time * self.waiting.len() as u32)
+            / self.slots.max(1)
+            / 2
     }
 
     fn displace(&mut self, work: QueuedWork<T>, start_tag: f64) -> Admission<T> {
@@ -249,7 +251,7 @@
 
     fn retry_after_ms(&self, work: &QueuedWork<T>) -> u64 {
         let queue = self.waiting.len() as u32 + 1;
-        let wait = work.expected_service * queue / self.slots.max(1);
+        let wait = work.expected_service_time * queue / self.slots.max(1);
         wait.as_millis().clamp(50, 60_000) as u64
     }
 
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -29,7 +29,7 @@
     pub deadline: Duration,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the caller wants tokens as they are generated.
+    /// Whether the caller requested a streamed answer.
     pub streaming: bool,
 }
 
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -101,7 +101,7 @@
         true
     }
 
-    /// The generation in force; zero before the first.
+    /// Generation of the installed configuration; 0 if there is none.
     pub fn generation(&self) -> Generation {
         self.generation
     }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -13,7 +13,7 @@
         workspace: workspace.to_owned(),
         priority,
         share_weight: 1.0,
-        expected_service: SECOND,
+        expected_service_time: SECOND,
         deadline: SECOND * 1_000,
         stated_deadline: SECOND * 1_000,
     }
--- a/crates/replay/src/simulation/fleet.rs
+++ b/crates/replay/src/simulation/fleet.rs
@@ -73,14 +73,14 @@
         let recorded = live.recorded;
         let fallback = WorkspacePolicy::default();
         let workspace = policy.workspaces.get(&recorded.workspace).unwrap_or(&fallback);
-        let expected_service =
+        let expected_service_time =
             if run.is_service { Duration::from_millis(10) } else { EXPECTED_SERVICE };
         QueuedWork {
             ticket,
             workspace: recorded.workspace.clone(),
             priority: workspace.priority,
             share_weight: workspace.share_weight,
-            expected_service,
+            expected_service_time,
             deadline: live.arrived + recorded.deadline,
             stated_deadline: recorded.deadline,
         }
