--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -162,17 +162,16 @@
         let reply = match self.resolve_permit(&query).await {
             Ok(reply) => reply,
             Err(error) => {
-                let error =
-                    error.map_or("no other entry is known".to_owned(), |one| one.to_string());
+                let error = error.map_or("no entry is known".to_owned(), |one| one.to_string());
                 let event = PermitEvent::PermitUnanswered { server: &query.server, error };
                 self.event_log.record(LogPriority::Failure, &event);
                 PermitReply::Refused { opens_in: UNANSWERED_BACKOFF }
             }
         };
-        self.apply_permit_response(&service, &query, reply);
+        self.apply_permit_reply(&service, &query, reply);
     }
 
-    fn apply_permit_response(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
+    fn apply_permit_reply(&self, service: &ServiceId, query: &PermitQuery, reply: PermitReply) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(fleet) = state.fleets.get_mut(service) else { return };
