--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -219,7 +219,7 @@
             tasks[ix] = Some(*task);
         }
         let mut spend = kept.spend;
-        // NB: processes replace the cap by their slices of it, so a changed cap keeps the slice.
+        // NB: the limit is an allocated slice of the cap, so it is kept if only the amount changes.
         if policy.spend_cap.is_some() != kept.policy.spend_cap.is_some() {
             spend.set_limit(policy.spend_cap);
         }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The agent's queue: fair shares, deadlines, displacement.
+//! The agent's admission queue: fair shares, deadlines, displacement, backoff and rate limits.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
     }
 }
 
-/// Fills one slot and lets `waiting` queue up; returns the order in which they start.
-fn order(limit: u32, waiting: &[QueuedWork<u32>]) -> Vec<u32> {
+/// Fills the only slot, queues `waiting`, and returns the order in which they start.
+fn start_order(limit: u32, waiting: &[QueuedWork<u32>]) -> Vec<u32> {
     let mut queue = AdmissionQueue::new(1, limit);
     assert_eq!(queue.offer(Duration::ZERO, work(0, "first", 5)), Admission::Start);
     for work in waiting {
@@ -34,49 +34,52 @@
 }
 
 #[test]
-fn a_large_workspace_waits_for_itself_and_not_small_ones_for_it() {
+fn small_workspace_does_not_wait_for_the_backlog_of_a_large_one() {
     let mut waiting: Vec<_> = (1..=20).map(|ticket| work(ticket, "large", 5)).collect();
     waiting.push(work(100, "small", 5));
-    let order = order(64, &waiting);
-    let place = order.iter().position(|ticket| *ticket == 100).expect("it starts");
-    assert!(place <= 1, "the small workspace's only request starts in place {place}");
+    let order = start_order(64, &waiting);
+    let position = order.iter().position(|ticket| *ticket == 100).expect("the request starts");
+    assert!(position <= 1, "the small workspace's only request starts at position {position}");
 }
 
 #[test]
-fn higher_priority_gets_the_larger_share_without_starving_the_lower() {
+fn higher_priority_gets_a_larger_share_without_starving_the_lower() {
     let mut waiting: Vec<_> = (1..=16).map(|ticket| work(ticket, "high", 7)).collect();
     waiting.extend((101..=116).map(|ticket| work(ticket, "low", 5)));
-    let order = order(64, &waiting);
+    let order = start_order(64, &waiting);
     let high_in_first_ten = order[..10].iter().filter(|ticket| **ticket < 100).count();
-    assert!((7..=9).contains(&high_in_first_ten), "{high_in_first_ten} of the first ten");
+    assert!(
+        (7..=9).contains(&high_in_first_ten),
+        "{high_in_first_ten} of the first ten have high priority"
+    );
 }
 
 #[test]
-fn a_full_queue_gives_up_the_last_of_the_greediest() {
+fn full_queue_displaces_the_last_request_of_the_largest_backlog() {
     let mut queue = AdmissionQueue::new(1, 2);
     queue.offer(Duration::ZERO, work(0, "large", 5));
     queue.offer(Duration::ZERO, work(1, "large", 5));
     queue.offer(Duration::ZERO, work(2, "large", 5));
-    let Admission::Queued { displaced: Some((out, refusal)) } =
+    let Admission::Queued { displaced: Some((displaced, refusal)) } =
         queue.offer(Duration::ZERO, work(3, "small", 5))
     else {
-        panic!("the small workspace must get a place");
+        panic!("the request of the small workspace is not queued");
     };
-    assert_eq!(out, 2);
+    assert_eq!(displaced, 2);
     assert!(matches!(refusal, Refusal::Overloaded { .. }));
     let more = queue.offer(Duration::ZERO, work(4, "large", 5));
     assert!(matches!(more, Admission::Refused(Refusal::Overloaded { .. })));
 }
 
 #[test]
-fn work_that_cannot_be_on_time_is_not_started() {
+fn request_past_its_deadline_is_shed() {
     let mut queue = AdmissionQueue::new(1, 8);
     queue.offer(Duration::ZERO, work(0, "a", 5));
-    let soon = QueuedWork { deadline: SECOND, ..work(1, "a", 5) };
-    assert_eq!(queue.offer(Duration::ZERO, soon), Admission::Queued { displaced: None });
-    let admitted = queue.finish(SECOND * 2);
-    assert_eq!(admitted.start, None);
-    assert!(matches!(admitted.shed[..], [(1, Refusal::TooLate { .. })]));
+    let urgent = QueuedWork { deadline: SECOND, ..work(1, "a", 5) };
+    assert_eq!(queue.offer(Duration::ZERO, urgent), Admission::Queued { displaced: None });
+    let dispatch = queue.finish(SECOND * 2);
+    assert_eq!(dispatch.start, None);
+    assert!(matches!(dispatch.shed[..], [(1, Refusal::TooLate { .. })]));
 }
 
 #[test]
@@ -89,27 +92,27 @@
 }
 
 #[test]
-fn a_server_that_asked_for_a_pause_is_left_alone_and_callers_hear_for_how_long() {
+fn no_request_starts_during_a_backoff_and_refusals_state_the_remaining_time() {
     let mut queue = AdmissionQueue::new(2, 8);
     assert_eq!(queue.offer(Duration::ZERO, work(0, "one", 5)), Admission::Start);
     assert_eq!(queue.offer(Duration::ZERO, work(1, "one", 5)), Admission::Start);
     queue.offer(Duration::ZERO, work(2, "one", 5));
     queue.back_off(Duration::ZERO, SECOND * 4);
     queue.back_off(Duration::ZERO, SECOND);
-    assert_eq!(queue.finish(SECOND).start, None, "what waits goes on waiting");
+    assert_eq!(queue.finish(SECOND).start, None, "a waiting request started during the backoff");
     let refused = queue.offer(SECOND, work(3, "one", 5));
     assert_eq!(
         refused,
         Admission::Refused(Refusal::Overloaded { retry_after_ms: 3_000 }),
-        "the shorter word does not shorten the longer one"
+        "a shorter backoff shortened a longer one"
     );
     assert_eq!(queue.dispatch_next(SECOND * 4).start, Some(2));
 }
 
 #[test]
-fn a_server_that_names_a_limit_starts_no_more_and_callers_hear_when_to_come_back() {
+fn rate_limit_bounds_starts_and_refusals_state_a_retry_delay() {
     let mut queue = AdmissionQueue::new(8, 8);
-    let limit = RateLimit::try_from("2").expect("a limit");
+    let limit = RateLimit::try_from("2").expect("a valid rate limit");
     queue.set_rate_limit(Some(limit));
     let mut started = 0;
     for ms in (0..10_000).step_by(20) {
@@ -125,24 +128,24 @@
             queue.finish(now);
         }
     }
-    assert!((18..=20).contains(&started), "{started} in ten seconds");
+    assert!((18..=20).contains(&started), "{started} requests started in ten seconds");
     queue.set_rate_limit(None);
     let last = QueuedWork { deadline: SECOND * 60, ..work(0, "one", 5) };
     assert_eq!(queue.offer(SECOND * 10, last), Admission::Start);
 }
 
 #[test]
-fn what_waits_when_a_server_names_a_limit_starts_at_its_rate() {
+fn waiting_requests_start_at_the_rate_limit() {
     let mut queue = AdmissionQueue::new(1, 20);
     (0..12).for_each(|n| {
-        let patient = QueuedWork { deadline: SECOND * 600, ..work(n, "one", 5) };
-        queue.offer(Duration::ZERO, patient);
+        let request = QueuedWork { deadline: SECOND * 600, ..work(n, "one", 5) };
+        queue.offer(Duration::ZERO, request);
     });
-    queue.set_rate_limit(Some(RateLimit::try_from("1").expect("a limit")));
+    queue.set_rate_limit(Some(RateLimit::try_from("1").expect("a valid rate limit")));
     let mut started = 0;
     for ms in (0..8_000).step_by(100) {
         let now = Duration::from_millis(ms);
         started += u32::from(queue.finish(now).start.is_some());
     }
-    assert!((6..=8).contains(&started), "{started} in eight seconds");
+    assert!((6..=8).contains(&started), "{started} requests started in eight seconds");
 }
