--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -35,11 +35,11 @@
 impl Clock {
     /// Starts the clock.
     pub fn start() -> Self {
-        let steady = read(ClockId::CLOCK_MONOTONIC);
+        let monotonic = read(ClockId::CLOCK_MONOTONIC);
         let boottime = read(ClockId::CLOCK_BOOTTIME);
         Clock {
             origin: Instant::now(),
-            boottime_lead_at_start: lead(boottime, steady),
+            boottime_lead_at_start: lead(boottime, monotonic),
             suspended: Rc::default(),
             simulated_suspension: Rc::default(),
             simulated_unix_ms: Rc::default(),
@@ -61,8 +61,10 @@
         // In this order, a delay between the two readings makes the lead appear smaller, never
         // larger; so the maximum observed is the closest, and the time never goes back.
         let boottime = read(ClockId::CLOCK_BOOTTIME);
-        let steady = read(ClockId::CLOCK_MONOTONIC);
-        if let (Some(at_start), Some(now)) = (self.boottime_lead_at_start, lead(boottime, steady)) {
+        let monotonic = read(ClockId::CLOCK_MONOTONIC);
+        if let (Some(at_start), Some(now)) =
+            (self.boottime_lead_at_start, lead(boottime, monotonic))
+        {
             let observed = now.saturating_sub(at_start);
             self.suspended.set(self.suspended.get().max(observed));
         }
@@ -100,6 +102,6 @@
     clock_gettime(clock).ok().map(Duration::from)
 }
 
-fn lead(boottime: Option<Duration>, steady: Option<Duration>) -> Option<Duration> {
-    Some(boottime?.saturating_sub(steady?))
+fn lead(boottime: Option<Duration>, monotonic: Option<Duration>) -> Option<Duration> {
+    Some(boottime?.saturating_sub(monotonic?))
 }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -35,7 +35,7 @@
     model_index: ServiceModelIndex,
     sent: Duration,
     /// Time to the start of the response in milliseconds, once it has started.
-    response_started_ms: f64,
+    first_byte_ms: f64,
     /// Whether another server could take the request.
     pub has_alternative: bool,
     /// Address of the server.
@@ -82,7 +82,7 @@
             job,
             ticket,
             sent: now,
-            response_started_ms: 0.0,
+            first_byte_ms: 0.0,
             has_alternative,
             address,
             version,
@@ -124,28 +124,24 @@
 
     /// How much later than on an idle server the response started, in milliseconds.
     pub fn queued_ms(&self) -> f64 {
-        (self.response_started_ms - self.ticket.expected_ms).max(0.0)
+        (self.first_byte_ms - self.ticket.expected_ms).max(0.0)
     }
 
     /// Records the start of the response.
     pub fn on_response_started(&mut self) {
         let now = self.core.clock.now();
-        let response_started_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
-        self.response_started_ms = response_started_ms;
-        let late_ms = (response_started_ms - self.ticket.expected_with_queue_ms()).max(0.0);
+        let first_byte_ms = now.saturating_sub(self.sent).as_secs_f64() * 1_000.0;
+        self.first_byte_ms = first_byte_ms;
+        let late_ms = (first_byte_ms - self.ticket.expected_with_queue_ms()).max(0.0);
         self.core.metrics.time(Timer::ServerQueue, Duration::from_secs_f64(late_ms / 1_000.0));
         let mut state = self.core.state.borrow_mut();
         let State { fleets, engines, .. } = &mut *state;
         if self.core.settings.policy.learned_engines && self.ticket.queued_ms <= 0.0 {
             let engine = engine_for(engines, &self.job);
-            engine.record_first_byte(
-                self.model_index,
-                self.ticket.prefill_tokens,
-                response_started_ms,
-            );
+            engine.record_first_byte(self.model_index, self.ticket.prefill_tokens, first_byte_ms);
         }
         if let Some(fleet) = fleets.get_mut(&self.job.service.name) {
-            fleet.on_answer_started(&mut self.ticket, response_started_ms, now);
+            fleet.on_answer_started(&mut self.ticket, first_byte_ms, now);
         }
     }
 
@@ -165,7 +161,7 @@
         if !is_learning || self.model.is_none() || tokens_out == 0 {
             return;
         }
-        let generation_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.response_started_ms;
+        let generation_ms = self.elapsed().as_secs_f64() * 1_000.0 - self.first_byte_ms;
         let mut state = self.core.state.borrow_mut();
         let engine = engine_for(&mut state.engines, &self.job);
         engine.record_token_ms(self.model_index, generation_ms / f64::from(tokens_out));
--- a/crates/direct/src/placement/choice.rs
+++ b/crates/direct/src/placement/choice.rs
@@ -102,7 +102,7 @@
         _ => VersionRule::Any,
     };
     let request = placement_request(engine_for(engines, job), job, next.model, next.avoid, rule);
-    let target = roll_out.map(|one| one.target().as_str());
+    let target = roll_out.map(|roll_out| roll_out.target().as_str());
     find_with_fallback(fleet, &request, target, now, |fleet, request| find(fleet, request, rng))
 }
 
@@ -138,7 +138,7 @@
 /// Why no server is available now.
 fn unavailability(fleet: &Fleet, request: &PlacementRequest<'_>, now: Duration) -> PlacementError {
     match fleet.next_availability(request, now) {
-        Some(opening) => PlacementError::Unavailable(opening),
+        Some(next) => PlacementError::Unavailable(next),
         None if fleet.has_draining(request, now) => PlacementError::AllDraining,
         None => PlacementError::NoServer,
     }
--- a/crates/direct/src/usage.rs
+++ b/crates/direct/src/usage.rs
@@ -319,17 +319,17 @@
     let unix_ms = usage.time.borrow().unix_ms(now)?;
     let gathering = usage.fraction_of_delay(GATHER_FRACTION) + core.usage_publish_interval();
     let windows = usage.due_windows(unix_ms, gathering, now);
-    let mut order = ReporterDelays {
+    let mut delays = ReporterDelays {
         by_order: coordinator.rotation_delay(),
         holder_grace: usage.fraction_of_delay(HOLDER_FIRST_FRACTION),
     };
     let next = usage.first_open_window(unix_ms);
     usage.totals.borrow_mut().remove_before(next);
     if !usage.has_complete_counts(next, now, unix_ms) {
-        order.by_order += usage.fraction_of_delay(PARTIAL_COUNTS_FRACTION);
+        delays.by_order += usage.fraction_of_delay(PARTIAL_COUNTS_FRACTION);
     }
     let mut reporter = usage.reporter.borrow_mut();
-    reporter.next_step(windows, order, now, |window| usage.totals.borrow().total(window))
+    reporter.next_step(windows, delays, now, |window| usage.totals.borrow().total(window))
 }
 
 /// Writes a record; returns whether this made progress.
