--- a/crates/demo/src/table.rs
+++ b/crates/demo/src/table.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, fmt};
 
 use pondwalk_ledger::Ledger;
-use pondwalk_standin::rating::quality_of;
+use pondwalk_standin::rating::parse_quality;
 
 use crate::load::Asked;
 
@@ -37,7 +37,7 @@
             row.on_time += u64::from(reply.whole && reply.latency <= asked.request.deadline);
             row.refused += u64::from(!reply.whole);
             row.cost += ledger.bills.get(&asked.request.request).map_or(0.0, |bill| bill.cost());
-            if let Some(quality) = quality_of(&reply.text).filter(|_| reply.whole) {
+            if let Some(quality) = parse_quality(&reply.text).filter(|_| reply.whole) {
                 row.quality_sum += quality;
                 row.rated += 1;
             }
--- a/crates/direct/tests/allowed_regions.rs
+++ b/crates/direct/tests/allowed_regions.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use common::{World, address, catalog_in_regions, request, run_test_with, stream, with};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::time::sleep;
 
 /// The entry itself is in another region, whose servers are closer to it.
 const REGIONS: &str = "regions=dc1:east,dc2:west,dc3:west\n";
 
 /// Servers 1 and 2 in the allowed region, and 3 to 6, which always succeed, outside it.
-async fn set_up(world: &World, service: &str, inside: Act, outside: Act) {
+async fn set_up(world: &World, service: &str, inside: Behaviour, outside: Behaviour) {
     world.configure(catalog_in_regions(1, &["west"], &[]));
     for n in 1..=2 {
         world.backends.start(address(n), &format!("s{n}"), inside.clone());
@@ -27,15 +27,15 @@
 }
 
 fn ran_outside_region(world: &World) -> usize {
-    (3..=6).map(|n| world.backends.seen(address(n)).len()).sum()
+    (3..=6).map(|n| world.backends.requests(address(n)).len()).sum()
 }
 
 fn ran_in_region(world: &World) -> usize {
-    (1..=2).map(|n| world.backends.seen(address(n)).len()).sum()
+    (1..=2).map(|n| world.backends.requests(address(n)).len()).sum()
 }
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 #[test]
@@ -52,7 +52,9 @@
 
 #[test]
 fn retry_stays_in_allowed_region() {
-    for fails in [Act::Answer(500, "failed".into()), Act::NotRun(503), Act::LoseAnswer] {
+    for fails in
+        [Behaviour::Answer(500, "failed".into()), Behaviour::NotRun(503), Behaviour::DropResponse]
+    {
         run_test_with(REGIONS, |world| async move {
             set_up(&world, "s", fails, ok_response()).await;
             for n in 0..20 {
@@ -67,7 +69,7 @@
 #[test]
 fn silent_server_is_not_replaced_outside_the_region() {
     run_test_with(REGIONS, |world| async move {
-        set_up(&world, "s", Act::Silent, ok_response()).await;
+        set_up(&world, "s", Behaviour::Silent, ok_response()).await;
         let sent = with(request("/again/", "r1"), "pondwalk-deadline-ms", "4000");
         assert_ne!(world.call(sent).await.status, 200);
         assert_eq!(ran_outside_region(&world), 0);
@@ -78,7 +80,7 @@
 fn broken_stream_is_resumed_in_allowed_region() {
     run_test_with(REGIONS, |world| async move {
         let gap = Duration::from_millis(10);
-        let broken = Act::Stream { last: 9, gap, confidence: None, cut_in: Some(4) };
+        let broken = Behaviour::Stream { last: 9, gap, confidence: None, cut_in: Some(4) };
         set_up(&world, "s", broken, stream(9, None)).await;
         assert!(!world.call(request("/stream/", "r1")).await.whole);
         assert_eq!(ran_outside_region(&world), 0);
--- a/crates/direct/tests/backend_faults.rs
+++ b/crates/direct/tests/backend_faults.rs
@@ -7,14 +7,14 @@
 
 use common::{World, address, catalog, events, request, run_test, stream, with};
 use hyper::StatusCode;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::time::sleep;
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
-async fn with_two_servers(world: &World, service: &str, usual: Act) {
+async fn with_two_servers(world: &World, service: &str, usual: Behaviour) {
     world.configure(catalog(1));
     world.start_server(1, service, "v1", usual.clone());
     world.start_server(2, service, "v1", usual);
@@ -22,7 +22,7 @@
 }
 
 /// Makes the first request at either server do `act`.
-fn first(world: &World, act: Act) {
+fn first(world: &World, act: Behaviour) {
     // Only one of the two servers is used first; the other one's script must be the usual again.
     world.backends.script(address(1), [act.clone()]);
     world.backends.script(address(2), [act]);
@@ -30,13 +30,15 @@
 
 #[test]
 fn non_repeatable_request_is_sent_once_after_a_lost_response() {
-    for fate in [Act::LoseAnswer, Act::AnswerAnother, Act::Unsigned, Act::Silent] {
+    for fate in
+        [Behaviour::DropResponse, Behaviour::WrongRequestId, Behaviour::Unsigned, Behaviour::Silent]
+    {
         run_test(|world| async move {
             with_two_servers(&world, "s", ok_response()).await;
             first(&world, fate.clone());
             let answer = world.call(request("/once/", "r1")).await;
             let expected = match fate {
-                Act::Silent => StatusCode::GATEWAY_TIMEOUT,
+                Behaviour::Silent => StatusCode::GATEWAY_TIMEOUT,
                 _ => StatusCode::BAD_GATEWAY,
             };
             assert_eq!(answer.status, expected, "{fate:?}");
@@ -51,7 +53,7 @@
     for status in [503, 429, 421] {
         run_test(|world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", Act::NotRun(status));
+            world.start_server(1, "s", "v1", Behaviour::NotRun(status));
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..6 {
@@ -66,13 +68,13 @@
 #[test]
 fn refusal_that_nothing_ran_is_true() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::NotRun(503)).await;
+        with_two_servers(&world, "s", Behaviour::NotRun(503)).await;
         let answer = world.call(request("/once/", "r1")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.body.contains("\"ran\":false"), "{}", answer.body);
         assert!(answer.headers.contains_key("retry-after"));
         // One server loses the response, the other one rejects the request: it may have run.
-        first(&world, Act::LoseAnswer);
+        first(&world, Behaviour::DropResponse);
         let answer = world.call(request("/again/", "r2")).await;
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     });
@@ -81,12 +83,12 @@
 #[test]
 fn repeatable_request_survives_each_single_fault() {
     let faults = [
-        Act::LoseAnswer,
-        Act::Silent,
-        Act::AnswerAnother,
-        Act::Unsigned,
-        Act::NotRun(503),
-        Act::Answer(500, "broken".into()),
+        Behaviour::DropResponse,
+        Behaviour::Silent,
+        Behaviour::WrongRequestId,
+        Behaviour::Unsigned,
+        Behaviour::NotRun(503),
+        Behaviour::Answer(500, "broken".into()),
     ];
     for fate in faults {
         run_test(|world| async move {
@@ -105,7 +107,7 @@
 #[test]
 fn server_failure_is_passed_on_if_not_repeatable() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Answer(500, "broken".into())).await;
+        with_two_servers(&world, "s", Behaviour::Answer(500, "broken".into())).await;
         let answer = world.call(request("/once/", "r1")).await;
         assert_eq!((answer.status.as_u16(), answer.body.as_str()), (500, "broken"));
         assert_eq!(answer.headers["pondwalk-signature"], "proof");
@@ -115,7 +117,7 @@
 #[test]
 fn bytes_after_a_response_are_discarded() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Surplus("mine".into())).await;
+        with_two_servers(&world, "s", Behaviour::ExtraResponse("mine".into())).await;
         for number in 0..4 {
             let answer = world.call(request("/once/", &format!("r{number}"))).await;
             assert_eq!(answer.body, "mine");
@@ -140,12 +142,12 @@
     run_test(|world| async move {
         with_two_servers(&world, "s", stream(6, None)).await;
         let gap = Duration::from_millis(10);
-        first(&world, Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
+        first(&world, Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
         let answer = world.call(request("/stream/", "r1")).await;
         // The second server's script cuts the resumed stream again; a third send completes it.
         assert!(answer.body.starts_with(&events(1..=3)), "{}", answer.body);
-        let mut seen = world.backends.seen(address(1));
-        seen.extend(world.backends.seen(address(2)));
+        let mut seen = world.backends.requests(address(1));
+        seen.extend(world.backends.requests(address(2)));
         let resumed = seen.iter().find(|seen| seen.headers.contains_key("last-event-id"));
         assert_eq!(resumed.expect("a resumed send").headers["last-event-id"], "3");
     });
@@ -156,7 +158,7 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(10);
-        let cut = Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
+        let cut = Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
         world.start_server(1, "s", "v1", cut);
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
@@ -176,7 +178,7 @@
             1,
             "s",
             "v1",
-            Act::Stream { last: 6, gap, confidence: None, cut_in: None },
+            Behaviour::Stream { last: 6, gap, confidence: None, cut_in: None },
         );
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
@@ -192,7 +194,7 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(1_500);
-        let slow = Act::Stream { last: 4, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 4, gap, confidence: None, cut_in: None };
         world.start_server(1, "s", "v1", slow);
         world.start().await;
         let answer = world.call(request("/stream/", "r1")).await;
@@ -205,9 +207,9 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(1_500);
-        let slow = Act::Stream { last: 4, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 4, gap, confidence: None, cut_in: None };
         world.start_server(1, "s", "v1", slow);
-        world.start_server(2, "s", "v1", Act::NotRun(503));
+        world.start_server(2, "s", "v1", Behaviour::NotRun(503));
         world.start().await;
         for number in 0..4 {
             let answer = world.call(request("/stream/", &format!("r{number}"))).await;
@@ -222,11 +224,11 @@
         // Longer than the silence after which a stream is moved, and short enough that a stream
         // that is moved twice ends within its eight seconds.
         let gap = Duration::from_millis(1_400);
-        let slow = Act::Stream { last: 3, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 3, gap, confidence: None, cut_in: None };
         world.configure(catalog(1));
         for n in 1..=5 {
             world.start_server(n, "s", "v1", slow.clone());
-            world.backends.script(address(n), [Act::Answer(500, String::new())]);
+            world.backends.script(address(n), [Behaviour::Answer(500, String::new())]);
         }
         world.start().await;
         // Three sends are allowed, and the first requests use them up on failures.
@@ -245,7 +247,7 @@
 fn non_resumable_stream_ends_visibly_truncated() {
     run_test(|world| async move {
         let gap = Duration::from_millis(10);
-        let cut = Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
+        let cut = Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
         with_two_servers(&world, "s", cut).await;
         let answer = world.call(request("/fixed/", "r1")).await;
         assert_eq!((answer.body, answer.whole), (events(1..=3), false));
@@ -261,8 +263,8 @@
         let sent = with(request("/models/", "r1"), "pondwalk-model", "auto");
         let answer = world.call(sent).await;
         assert_eq!((answer.body, answer.whole), (events(1..=3), true));
-        let mut seen = world.backends.seen(address(1));
-        seen.extend(world.backends.seen(address(2)));
+        let mut seen = world.backends.requests(address(1));
+        seen.extend(world.backends.requests(address(2)));
         let models: Vec<&str> =
             seen.iter().map(|seen| seen.headers["pondwalk-model"].as_str()).collect();
         assert!(models.contains(&"small") && models.contains(&"large"), "{models:?}");
@@ -280,7 +282,7 @@
         };
         call("r1", 100).await;
         call("r2", 90_000).await;
-        let seen: Vec<_> = (1..=2).flat_map(|n| world.backends.seen(address(n))).collect();
+        let seen: Vec<_> = (1..=2).flat_map(|n| world.backends.requests(address(n))).collect();
         let ranks: Vec<&str> =
             seen.iter().map(|seen| seen.headers["pondwalk-priority"].as_str()).collect();
         assert!(
@@ -304,7 +306,7 @@
 #[test]
 fn no_request_outlives_its_deadline() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Silent).await;
+        with_two_servers(&world, "s", Behaviour::Silent).await;
         let started = tokio::time::Instant::now();
         let sent = with(request("/again/", "r1"), "pondwalk-deadline-ms", "3000");
         let answer = world.call(sent).await;
@@ -322,7 +324,7 @@
         for number in 0..4 {
             world.call(request("/once/", &format!("r{number}"))).await;
         }
-        assert_eq!(world.backends.seen(address(1)).len(), 0);
+        assert_eq!(world.backends.requests(address(1)).len(), 0);
     });
 }
 
@@ -330,14 +332,14 @@
 fn unrequested_content_encoding_is_not_passed_on() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "encoded".into()));
-        world.backends.tell(address(1), "content-encoding", "gzip");
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "encoded".into()));
+        world.backends.set_header(address(1), "content-encoding", "gzip");
         world.start().await;
         let answer = world.call(request("/once/x", "r1")).await;
         assert_eq!(answer.status.as_u16(), 502);
-        world.backends.tell(address(1), "content-encoding", "identity");
+        world.backends.set_header(address(1), "content-encoding", "identity");
         assert_eq!(world.call(request("/once/x", "r2")).await.body, "encoded");
-        world.backends.tell(address(1), "content-encoding", "gzip");
+        world.backends.set_header(address(1), "content-encoding", "gzip");
         let sent = with(request("/once/x", "r3"), "accept-encoding", "gzip");
         assert_eq!(world.call(sent).await.body, "encoded", "this caller asked for it");
     });
--- a/crates/direct/tests/cold_servers_and_evacuations.rs
+++ b/crates/direct/tests/cold_servers_and_evacuations.rs
@@ -7,7 +7,7 @@
 use common::{Answer, World, address, catalog, request, run_test_with, with};
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::catalog::Catalog;
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -18,8 +18,8 @@
 /// Requests that a cold server may get in a second: 14 x 1.5 + 5.
 const MAX_PER_SECOND: usize = 26;
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 /// The usual configuration, with services that warm up.
@@ -45,7 +45,7 @@
 
 /// Requests that were read by these servers.
 fn seen(world: &World, servers: std::ops::RangeInclusive<u16>) -> Vec<usize> {
-    servers.map(|n| world.backends.seen(address(n)).len()).collect()
+    servers.map(|n| world.backends.requests(address(n)).len()).collect()
 }
 
 fn fixture(world: &World) {
@@ -111,20 +111,20 @@
         world.start().await;
         world.store.put("evacuate/dc1", "{}");
         sleep(Duration::from_millis(900)).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(3)).await;
         call(&world, "away").await;
-        world.store.forget_history();
-        world.store.set_weather(Weather::Fair);
+        world.store.drop_history();
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(2)).await;
         call(&world, "back").await;
         assert_eq!(seen(&world, 1..=2), [0, 2]);
         // Revoked while the store is unreachable; the next full read shows it.
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         world.store.remove("evacuate/dc1");
         sleep(Duration::from_secs(1)).await;
-        world.store.forget_history();
-        world.store.set_weather(Weather::Fair);
+        world.store.drop_history();
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(6)).await;
         call(&world, "near").await;
         assert_eq!(seen(&world, 1..=2), [1, 2]);
@@ -239,7 +239,7 @@
         while began.elapsed() < Duration::from_millis(2_900) {
             sleep(Duration::from_millis(10)).await;
             for (n, arrivals) in arrivals.iter_mut().enumerate() {
-                let count = world.backends.seen(address(n as u16 + 1)).len();
+                let count = world.backends.requests(address(n as u16 + 1)).len();
                 arrivals.resize(count, began.elapsed());
             }
         }
@@ -254,7 +254,7 @@
         assert_eq!(served, outcomes.len(), "all are served");
         assert!(outcomes.iter().all(|(_, took, _)| *took < Duration::from_millis(500)));
         // A second after they are warm, they have their full share again.
-        let share = |n: u16| world.backends.seen(address(n)).len();
+        let share = |n: u16| world.backends.requests(address(n)).len();
         assert!((1..=3).all(|n| share(n) > 40), "{:?}", seen(&world, 1..=6));
     });
 }
@@ -330,7 +330,7 @@
         world.store.put("server/s1", &format!("m {} dc1 v1 ready 9000 1", address(1)));
         sleep(Duration::from_millis(1_200)).await;
         // The session is on the old version, whose only server is cold; the other server is warm.
-        let before = world.backends.seen(address(1)).len();
+        let before = world.backends.requests(address(1)).len();
         let answer = call("second").await;
         assert_eq!((answer.status.as_u16(), answer.whole), (200, true));
         assert_eq!(seen(&world, 1..=2), [before + 1, 0]);
--- a/crates/direct/tests/common/crashing.rs
+++ b/crates/direct/tests/common/crashing.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use pondwalk_direct::Entry;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::{
     task::spawn_local,
@@ -28,8 +28,8 @@
 /// Time from the beginning of a run to the server's crash.
 pub const CRASH_AFTER: Duration = Duration::from_millis(60);
 
-pub fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+pub fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 /// A kind of request: its path, service, and the servers' usual behaviour.
@@ -37,7 +37,7 @@
 pub struct Kind {
     pub path: &'static str,
     pub service: &'static str,
-    pub usual: Act,
+    pub usual: Behaviour,
 }
 
 pub fn repeatable() -> Kind {
@@ -95,8 +95,8 @@
 
 /// Runs that began after all entries must have detected the content.
 pub fn further_runs(world: &World) -> usize {
-    let runs = world.backends.lethal_runs();
-    let mut ends: Vec<Instant> = runs.iter().filter_map(|run| run.ended).collect();
+    let runs = world.backends.crashing_runs();
+    let mut ends: Vec<Instant> = runs.iter().filter_map(|run| run.crashed_at).collect();
     ends.sort();
     let Some(third) = ends.get(MAX_CRASHES - 1) else { return 0 };
     runs.iter().filter(|run| run.at > *third + DETECTION_TIME).count()
--- a/crates/direct/tests/common/limits.rs
+++ b/crates/direct/tests/common/limits.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use pondwalk_direct::Entry;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::{
     task::{JoinHandle, spawn_local},
     time::{Instant, sleep},
@@ -23,7 +23,7 @@
 
 /// Maximum number of requests in any window from `from` on.
 pub fn max_in_window(world: &World, n: u16, from: Instant) -> usize {
-    let seen = world.backends.seen(address(n));
+    let seen = world.backends.requests(address(n));
     let times: Vec<Instant> =
         seen.iter().filter_map(|one| one.at).filter(|at| *at >= from).collect();
     let mut first = 0;
@@ -39,7 +39,7 @@
 
 /// Requests that a server received from `from` on.
 pub fn count_from(world: &World, n: u16, from: Instant) -> usize {
-    let seen = world.backends.seen(address(n));
+    let seen = world.backends.requests(address(n));
     seen.iter().filter(|one| one.at.is_some_and(|at| at >= from)).count()
 }
 
@@ -47,7 +47,7 @@
 pub async fn start(
     world: &World,
     net: &Net,
-    (servers, service, usual): (u16, &str, Act),
+    (servers, service, usual): (u16, &str, Behaviour),
     entries: u16,
 ) -> Vec<Entry> {
     world.configure(catalog(1));
@@ -61,7 +61,7 @@
 
 /// Lets a server report a limit in all further responses.
 pub fn report_limit(world: &World, n: u16, limit: &str) {
-    world.backends.tell(address(n), "server-limit", limit);
+    world.backends.set_header(address(n), "server-limit", limit);
 }
 
 /// Requests of one kind at a constant rate.
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -26,9 +26,9 @@
     upstream::{BoxedDuplex, Connect},
 };
 use pondwalk_standin::{
-    backends::{Act, Backends, Lethal, Names},
-    memory_store::{MemoryStore, Weather},
-    usage_sink::{ReportAnswer, UsageCall, UsageSink},
+    backends::{Backends, Behaviour, CrashRule, HeaderNames},
+    memory_store::{FaultMode, MemoryStore},
+    usage_sink::{ReportResponse, UsageCall, UsageSink},
 };
 use tokio::{
     io::duplex,
@@ -101,11 +101,11 @@
         window: report.window,
         counts: report.counts,
     };
-    match platform.take(call, limit).await {
-        ReportAnswer::Taken => Ok(()),
-        ReportAnswer::Refused => Err(ReportError::StaleFencingToken),
-        ReportAnswer::TooMany => Err(ReportError::UnexpectedStatus(429)),
-        ReportAnswer::None => Err(ReportError::NoAnswer),
+    match platform.report(call, limit).await {
+        ReportResponse::Accepted => Ok(()),
+        ReportResponse::Refused => Err(ReportError::StaleFencingToken),
+        ReportResponse::TooManyRequests => Err(ReportError::UnexpectedStatus(429)),
+        ReportResponse::NoResponse => Err(ReportError::NoAnswer),
     }
 }
 
@@ -130,7 +130,7 @@
 impl World {
     fn new(settings: DirectSettings) -> Self {
         let dialect = Dialect::pondwalk();
-        let backends = Backends::new(Names {
+        let backends = Backends::new(HeaderNames {
             request_id: dialect.request_id.to_string(),
             expected_server: dialect.expected_server.to_string(),
             not_run: dialect.not_run.to_string(),
@@ -156,7 +156,7 @@
 
     /// Creates another entry in the same environment, with a store connection of its own.
     pub fn entry_with(&self, settings: DirectSettings, connect: Connect) -> Entry {
-        let connection = self.store.another_way();
+        let connection = self.store.new_connection();
         let port = port_of(&connection, &self.usage_sink, &self.catalogs);
         let event_log = EventLog::in_memory(&settings.name, 1_000);
         let name = settings.name.clone();
@@ -174,9 +174,12 @@
     }
 
     /// Sets the fault mode of one entry's store connection.
-    pub fn set_store_fault(&self, entry: &Entry, weather: Weather) {
+    pub fn set_store_fault(&self, entry: &Entry, weather: FaultMode) {
         let connections = self.connections.borrow();
-        connections.get(entry.name()).expect("an entry of this world").set_own_weather(weather);
+        connections
+            .get(entry.name())
+            .expect("an entry of this world")
+            .set_connection_fault_mode(weather);
     }
 
     /// Writes a configuration to the store.
@@ -195,7 +198,7 @@
     }
 
     /// Starts a backend server and lists it.
-    pub fn start_server(&self, n: u16, service: &str, version: &str, usual: Act) {
+    pub fn start_server(&self, n: u16, service: &str, version: &str, usual: Behaviour) {
         self.backends.start(address(n), &format!("s{n}"), usual);
         self.list_server(n, service, version, "ready");
     }
@@ -293,8 +296,8 @@
 }
 
 /// A stream of events from 1 to `last`.
-pub fn stream(last: u32, confidence: Option<u8>) -> Act {
-    Act::Stream { last, gap: Duration::from_millis(10), confidence, cut_in: None }
+pub fn stream(last: u32, confidence: Option<u8>) -> Behaviour {
+    Behaviour::Stream { last, gap: Duration::from_millis(10), confidence, cut_in: None }
 }
 
 /// Text of a range of events.
@@ -469,7 +472,7 @@
     /// Each server restarts some time later under a new identity, and is listed in the store.
     pub fn make_crashing(&self, service: &'static str, body: &str, after: Duration) {
         let store = self.store.clone();
-        let is_back = move |address: SocketAddr, id: &str| {
+        let on_restart = move |address: SocketAddr, id: &str| {
             let (stem, incarnation) = id.split_once('-').unwrap_or((id, "0"));
             let incarnation: u32 = incarnation.parse().expect("a number");
             let next = format!("{stem}-{}", incarnation + 1);
@@ -477,11 +480,11 @@
             store.put(&format!("server/{next}"), &format!("{service} {address} dc1 v1 ready"));
             next
         };
-        self.backends.add_lethal(Lethal {
+        self.backends.add_crash_rule(CrashRule {
             body: body.as_bytes().to_vec(),
             after,
-            back_after: DOWN_TIME,
-            is_back: Rc::new(is_back),
+            restart_delay: DOWN_TIME,
+            on_restart: Rc::new(on_restart),
         });
     }
 }
--- a/crates/direct/tests/crashing_requests.rs
+++ b/crates/direct/tests/crashing_requests.rs
@@ -24,7 +24,7 @@
     request, run_test, stream, with_body,
 };
 use pondwalk_direct::Entry;
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -48,7 +48,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, &Kind { path: "/open/x", ..repeatable() }, 5).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         let kind = Kind { path: "/open/x", ..repeatable() };
         repeat_request(&world, &entries, &kind, QUICK_RETRY, Duration::from_secs(20)).await;
         let further = further_runs(&world);
@@ -142,7 +142,8 @@
     run_test(|world| async move {
         let world = Rc::new(world);
         let net = Net::default();
-        let long = Act::Stream { last: 10, gap: RUN_TIME / 10, confidence: None, cut_in: None };
+        let long =
+            Behaviour::Stream { last: 10, gap: RUN_TIME / 10, confidence: None, cut_in: None };
         let kind = Kind { path: "/stream/x", service: "s", usual: long };
         let entries = start(&world, &net, &kind, entries).await;
         for round in 0..4 {
--- a/crates/direct/tests/crashing_requests_many_entries.rs
+++ b/crates/direct/tests/crashing_requests_many_entries.rs
@@ -15,7 +15,7 @@
     request, run_test, stream, total, with, with_body,
 };
 use pondwalk_direct::Entry;
-use pondwalk_standin::memory_store::Weather;
+use pondwalk_standin::memory_store::FaultMode;
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep, timeout},
@@ -81,7 +81,7 @@
             caller.await.expect("a caller");
         }
         let late = Instant::now() - Duration::from_secs(8);
-        let runs = world.backends.lethal_runs();
+        let runs = world.backends.crashing_runs();
         let late = runs.iter().filter(|run| run.at > late).count();
         assert!(
             late <= 5 * MAX_FURTHER_RUNS,
@@ -97,7 +97,7 @@
         let net = Net::default();
         let entries = start(&world, &net, &repeatable(), 5).await;
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(8)).await;
-        let before = world.backends.lethal_runs().len();
+        let before = world.backends.crashing_runs().len();
         for n in 0..5 {
             net.end(n);
         }
@@ -107,7 +107,7 @@
         let entries = net.start_many(&world, 5, "");
         sleep(Duration::from_secs(1)).await;
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(20)).await;
-        let after = world.backends.lethal_runs().len() - before;
+        let after = world.backends.crashing_runs().len() - before;
         assert!(after <= 2, "{after} runs after the restart");
     });
 }
@@ -171,7 +171,7 @@
             refused.body
         );
         assert!(refused.headers.contains_key("retry-after"));
-        let runs = world.backends.lethal_runs().len();
+        let runs = world.backends.crashing_runs().len();
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(45)).await;
         let last = world.call_at(&entries[0], crashing(&repeatable(), 3)).await;
         let pause: f64 =
@@ -179,7 +179,7 @@
         assert!(
             pause > 500.0,
             "{pause} s after {} runs",
-            world.backends.lethal_runs().len() - runs
+            world.backends.crashing_runs().len() - runs
         );
     });
 }
@@ -215,7 +215,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, &repeatable(), 5).await;
-        world.store.set_weather(Weather::AnswersLost);
+        world.store.set_fault_mode(FaultMode::AnswersLost);
         let before = world.store.calls();
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(10)).await;
         let calls = world.store.calls() - before;
@@ -229,8 +229,8 @@
         let entries = start(&world, &net, &repeatable(), 5).await;
         let t0 = Instant::now();
         repeat_request(&world, &entries, &repeatable(), SLOW, Duration::from_secs(200)).await;
-        for r in world.backends.lethal_runs() {
-            println!("run {:?} ended {:?}", r.at - t0, r.ended.map(|e| e - t0));
+        for r in world.backends.crashing_runs() {
+            println!("run {:?} ended {:?}", r.at - t0, r.crashed_at.map(|e| e - t0));
         }
         for e in &entries {
             for l in e
@@ -295,7 +295,11 @@
             sleep(QUICK_RETRY).await;
         }
         let further = further_runs(&world);
-        assert!(further <= MAX_FURTHER_RUNS, "{further} of {}", world.backends.lethal_runs().len());
+        assert!(
+            further <= MAX_FURTHER_RUNS,
+            "{further} of {}",
+            world.backends.crashing_runs().len()
+        );
     });
 }
 
@@ -351,7 +355,7 @@
             world.make_crashing("s", "the same", CRASH_AFTER);
             assert_eq!(call(1).await, 502);
             assert_eq!(call(2).await, 502);
-            world.backends.clear_lethal();
+            world.backends.clear_crash_rules();
             // The first entry knows of the success, and publishes it.
             sleep(Duration::from_millis(if entries.len() > 1 { 800 } else { 0 })).await;
             for n in 3..8 {
@@ -374,7 +378,7 @@
             };
             world.make_crashing("s", "lost with all servers", CRASH_AFTER);
             assert_eq!(call(0).await, 502);
-            world.backends.clear_lethal();
+            world.backends.clear_crash_rules();
             sleep(Duration::from_secs(2)).await;
             for n in 1..=30 {
                 world.backends.stop(address(n));
--- a/crates/direct/tests/draining_servers.rs
+++ b/crates/direct/tests/draining_servers.rs
@@ -12,7 +12,7 @@
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use common::{Answer, World, address, catalog, net::Net, request, run_test, stream};
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -23,12 +23,12 @@
 /// Interval between two requests.
 const GAP: Duration = Duration::from_millis(40);
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 /// Four equal servers of the service.
-fn four_servers(world: &World, service: &str, usual: &Act) {
+fn four_servers(world: &World, service: &str, usual: &Behaviour) {
     world.configure(catalog(1));
     for n in 1..=4 {
         world.start_server(n, service, "v1", usual.clone());
@@ -36,7 +36,7 @@
 }
 
 fn report_draining(world: &World, n: u16) {
-    world.backends.tell(address(n), "server-leaving", "1");
+    world.backends.set_header(address(n), "server-leaving", "1");
 }
 
 /// Requests that were sent one after the other, by id.
@@ -65,7 +65,7 @@
 
     /// Requests at a server that were sent too long after its signal.
     fn count_late(&self, world: &World, n: u16, signalled_at: Instant) -> usize {
-        let seen = world.backends.seen(address(n));
+        let seen = world.backends.requests(address(n));
         let sent = seen.iter().filter_map(|seen| self.at.get(&seen.headers["x-request-id"]));
         sent.filter(|at| **at > signalled_at + DRAIN_TIME).count()
     }
@@ -76,7 +76,7 @@
 async fn check_draining_during<F: Future<Output = ()>>(
     world: World,
     path: &str,
-    usual: Act,
+    usual: Behaviour,
     event: impl FnOnce(Rc<World>) -> F,
 ) {
     let world = Rc::new(world);
@@ -84,7 +84,7 @@
     world.start().await;
     let mut sent = Sent::default();
     sent.send(&world, path, Duration::from_secs(1)).await;
-    assert!(!world.backends.seen(address(1)).is_empty(), "it is used before");
+    assert!(!world.backends.requests(address(1)).is_empty(), "it is used before");
     report_draining(&world, 1);
     let signalled_at = Instant::now();
     event(Rc::clone(&world)).await;
@@ -115,7 +115,7 @@
 fn drain_signal_survives_store_outage() {
     run_test(|world| {
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
-            world.store.set_weather(Weather::Refused);
+            world.store.set_fault_mode(FaultMode::Refused);
         })
     });
 }
@@ -153,10 +153,10 @@
     run_test(|world| {
         check_draining_during(world, "/open/x", ok_response(), |world| async move {
             spawn_local(async move {
-                world.store.set_weather(Weather::Refused);
+                world.store.set_fault_mode(FaultMode::Refused);
                 sleep(Duration::from_secs(4)).await;
-                world.store.forget_history();
-                world.store.set_weather(Weather::Fair);
+                world.store.drop_history();
+                world.store.set_fault_mode(FaultMode::Normal);
                 world.list_server(1, "s", "v1", "ready");
             });
         })
@@ -165,7 +165,7 @@
 
 /// One request gets the signal in a response of the given kind; none of the following requests goes
 /// there.
-fn check_signal_in(path: &'static str, act: Act) {
+fn check_signal_in(path: &'static str, act: Behaviour) {
     run_test(move |world| async move {
         four_servers(&world, "s", &act);
         (1..=4).for_each(|n| report_draining(&world, n));
@@ -174,19 +174,19 @@
             world.call(request(path, &format!("r{n}"))).await;
         }
         for n in 1..=4 {
-            assert!(world.backends.seen(address(n)).len() <= 1, "{path} {act:?}");
+            assert!(world.backends.requests(address(n)).len() <= 1, "{path} {act:?}");
         }
     });
 }
 
 #[test]
 fn drain_signal_applies_in_every_kind_of_response() {
-    check_signal_in("/once/x", Act::Answer(200, "made".into()));
-    check_signal_in("/once/x", Act::Answer(500, "failed".into()));
-    check_signal_in("/again/x", Act::Answer(500, "failed".into()));
-    check_signal_in("/again/x", Act::NotRun(503));
-    check_signal_in("/once/x", Act::NotRun(429));
-    let cut = || Act::Stream {
+    check_signal_in("/once/x", Behaviour::Answer(200, "made".into()));
+    check_signal_in("/once/x", Behaviour::Answer(500, "failed".into()));
+    check_signal_in("/again/x", Behaviour::Answer(500, "failed".into()));
+    check_signal_in("/again/x", Behaviour::NotRun(503));
+    check_signal_in("/once/x", Behaviour::NotRun(429));
+    let cut = || Behaviour::Stream {
         last: 9,
         gap: Duration::from_millis(10),
         confidence: None,
@@ -266,7 +266,7 @@
         report_draining(&world, 1);
         world.start().await;
         assert_eq!(world.call(request("/open/x", "r1")).await.status.as_u16(), 200);
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         // It continues to serve for a while, and its end cannot be predicted.
         sleep(Duration::from_secs(6)).await;
         assert_eq!(world.call(request("/open/x", "r2")).await.status.as_u16(), 503);
@@ -286,7 +286,7 @@
         report_draining(&world, 1);
         world.start().await;
         world.call(request("/open/x", "r1")).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(4)).await;
         for n in 0..20 {
             world.backends.stop(address(1));
@@ -315,8 +315,8 @@
 fn all_draining_is_reported_only_if_true() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::NotRun(503));
-        world.start_server(2, "s", "v1", Act::NotRun(503));
+        world.start_server(1, "s", "v1", Behaviour::NotRun(503));
+        world.start_server(2, "s", "v1", Behaviour::NotRun(503));
         world.start().await;
         report_draining(&world, 1);
         let refused = world.call(request("/again/x", "r1")).await;
@@ -334,7 +334,7 @@
         four_servers(&world, "s", &ok_response());
         let entries = net.start_many(&world, 20, "");
         sleep(Duration::from_secs(5)).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         report_draining(&world, 1);
         for n in 0..12 {
             for (entry, number) in entries.iter().zip(0..) {
@@ -344,7 +344,7 @@
             sleep(GAP).await;
         }
         let mut from = HashMap::<String, usize>::new();
-        for seen in world.backends.seen(address(1)) {
+        for seen in world.backends.requests(address(1)) {
             let id = &seen.headers["x-request-id"];
             *from.entry(id[id.find('-').expect("one")..].to_owned()).or_default() += 1;
         }
@@ -357,7 +357,7 @@
 fn response_is_passed_on_if_no_other_server_remains() {
     for (path, service, act, status) in [
         ("/models/x", "m", stream(3, Some(5)), 200),
-        ("/again/x", "s", Act::Answer(500, "failed".into()), 500),
+        ("/again/x", "s", Behaviour::Answer(500, "failed".into()), 500),
     ] {
         run_test(move |world| async move {
             world.configure(catalog(1));
--- a/crates/direct/tests/log_limits.rs
+++ b/crates/direct/tests/log_limits.rs
@@ -10,7 +10,7 @@
 
 use common::{catalog, request, run_test};
 use pondwalk_direct::event_log::{EventLog, LogPriority};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use spdlog::{
     Record,
     sink::{GetSinkProp, Sink, SinkProp},
@@ -52,7 +52,7 @@
 fn each_log_line_is_one_json_object() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         world.start().await;
         world.call(request("/once/", "r1")).await;
         world.call(request("/nowhere/", "r2")).await;
@@ -72,7 +72,7 @@
 fn metrics_are_exposed_as_text() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         world.start().await;
         world.call(request("/once/", "r1")).await;
         let text = world.entry.metrics_text();
--- a/crates/direct/tests/peer_polling.rs
+++ b/crates/direct/tests/peer_polling.rs
@@ -11,7 +11,7 @@
     request, run_test, with,
 };
 use pondwalk_direct::{Entry, membership::Members};
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::time::sleep;
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
@@ -21,7 +21,7 @@
 
 async fn run_with_entries(world: &World, net: &Net, count: u16) -> Vec<Entry> {
     world.configure(catalog(1));
-    world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+    world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
     let mut entries = Vec::new();
     for n in 0..count {
         entries.push(net.start(world, n).await);
@@ -71,8 +71,8 @@
 
 #[test]
 fn unreachable_source_is_replaced_within_two_seconds() {
-    let silent = Weather::Silent(Duration::from_secs(30));
-    for weather in [silent, Weather::Refused] {
+    let silent = FaultMode::Silent(Duration::from_secs(30));
+    for weather in [silent, FaultMode::Refused] {
         run_test(|world| async move {
             let net = Net::default();
             let entries = run_with_entries(&world, &net, 4).await;
@@ -97,9 +97,9 @@
 #[test]
 fn entries_poll_peers_again_after_store_outage() {
     let outage = async |world: World| {
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(8)).await;
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(2)).await;
         world
     };
@@ -130,12 +130,12 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = run_with_entries(&world, &net, 5).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
             assert_eq!(status(&world, entry, "k1").await, 503);
         }
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(2)).await;
         for entry in &entries {
             assert_eq!(status(&world, entry, "k1").await, 200);
@@ -149,8 +149,8 @@
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
-            world.start_server(n, "s", "v1", Act::Answer(200, "old".into()));
-            world.start_server(10 + n, "s", "v2", Act::Answer(200, "new".into()));
+            world.start_server(n, "s", "v1", Behaviour::Answer(200, "old".into()));
+            world.start_server(10 + n, "s", "v2", Behaviour::Answer(200, "new".into()));
         }
         let entries = [net.start(&world, 0).await, net.start(&world, 1).await];
         let call = async |entry: &Entry, session: usize| {
@@ -178,13 +178,13 @@
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
-            world.start_server(n, "s", "v1", Act::Answer(200, "old".into()));
-            world.start_server(10 + n, "s", "v2", Act::Answer(500, "bad".into()));
+            world.start_server(n, "s", "v1", Behaviour::Answer(200, "old".into()));
+            world.start_server(10 + n, "s", "v2", Behaviour::Answer(500, "bad".into()));
         }
         let (finder, _other) = (net.start(&world, 0).await, net.start(&world, 1).await);
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(2)).await;
-        world.set_store_fault(&finder, Weather::Refused);
+        world.set_store_fault(&finder, FaultMode::Refused);
         for number in 0..60 {
             let session = format!("a{number}");
             let sent = with(request("/again/", "r"), "pondwalk-session", &session);
@@ -202,7 +202,7 @@
         let entries = run_with_entries(&world, &net, 14).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let source = Members::first_in_order(&names);
-        world.set_store_fault(&entries[source], Weather::Refused);
+        world.set_store_fault(&entries[source], FaultMode::Refused);
         net.cut.borrow_mut().extend((0..14).map(peer_address));
         world.configure(catalog_with_keys(2, &["k1"]));
         sleep(Duration::from_millis(1_900)).await;
--- a/crates/direct/tests/propagation_time.rs
+++ b/crates/direct/tests/propagation_time.rs
@@ -6,7 +6,7 @@
 
 use common::{World, catalog_with_keys, limits, net::Net, run_test};
 use pondwalk_direct::Entry;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
@@ -38,7 +38,7 @@
     },
     Change {
         name: "an additional server",
-        make: |world| world.start_server(9, "s", "v1", Act::Answer(200, "made".into())),
+        make: |world| world.start_server(9, "s", "v1", Behaviour::Answer(200, "made".into())),
         is_received: |line| line["event"] == "server_known" && line["server"] == "s9",
     },
     Change {
@@ -67,7 +67,7 @@
     let recorded = Rc::clone(&seen);
     run_test(move |world| async move {
         let net = Net::default();
-        let usual = Act::Answer(200, "made".into());
+        let usual = Behaviour::Answer(200, "made".into());
         let began = Instant::now();
         let entries = limits::start(&world, &net, (2, "s", usual), count).await;
         world.list_server_in("dc2", 3, "s", "v1", "ready");
--- a/crates/direct/tests/request_forwarding.rs
+++ b/crates/direct/tests/request_forwarding.rs
@@ -8,10 +8,10 @@
 use common::{World, address, catalog, events, request, run_test, run_test_with, stream, with};
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::time::sleep;
 
-async fn with_one_server(world: &World, usual: Act) {
+async fn with_one_server(world: &World, usual: Behaviour) {
     world.configure(catalog(1));
     world.start_server(1, "s", "v1", usual);
     world.start().await;
@@ -20,15 +20,15 @@
 #[test]
 fn request_is_forwarded_unchanged_with_own_headers() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        with_one_server(&world, Behaviour::Answer(200, "made".into())).await;
         let sent = with(request("/once/a%20b?x=1", "r1"), "pondwalk-workspace", "forged");
         let sent = with(sent, "connection", "x-private");
         let sent = with(sent, "x-private", "1");
         let answer = world.call(with(sent, "x-kept", "2")).await;
         assert_eq!((answer.status, answer.body.as_str()), (StatusCode::OK, "made"));
         assert_eq!(answer.headers["pondwalk-signature"], "proof");
-        let seen = &world.backends.seen(address(1))[0];
-        assert_eq!(seen.line, "POST /once/a%20b?x=1 HTTP/1.1");
+        let seen = &world.backends.requests(address(1))[0];
+        assert_eq!(seen.request_line, "POST /once/a%20b?x=1 HTTP/1.1");
         assert_eq!(seen.body, b"body");
         assert_eq!(seen.headers["pondwalk-workspace"], "w1");
         assert_eq!(seen.headers["pondwalk-expected-server"], "s1");
@@ -44,8 +44,8 @@
 fn longest_path_prefix_of_the_host_wins() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "s".into()));
-        world.start_server(2, "m", "v1", Act::Answer(200, "m".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "s".into()));
+        world.start_server(2, "m", "v1", Behaviour::Answer(200, "m".into()));
         world.start().await;
         assert_eq!(world.call(request("/again/x", "r1")).await.body, "s");
         assert_eq!(world.call(request("/again/deeper/x", "r2")).await.body, "m");
@@ -55,7 +55,7 @@
 #[test]
 fn only_disallowed_requests_are_refused() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, String::new())).await;
+        with_one_server(&world, Behaviour::Answer(200, String::new())).await;
         let status = async |request| world.call(request).await.status;
         assert_eq!(status(request("/nowhere/", "r")).await, StatusCode::NOT_FOUND);
         let unknown = with(request("/once/", "r"), "authorization", "Bearer no");
@@ -81,7 +81,7 @@
         let answer = world.call(request("/nowhere/", "r1")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
-        with_one_server(&world, Act::Answer(200, String::new())).await;
+        with_one_server(&world, Behaviour::Answer(200, String::new())).await;
         sleep(Duration::from_millis(500)).await;
         assert!(world.entry.is_ready());
         assert_eq!(world.call(request("/once/", "r2")).await.status, StatusCode::OK);
@@ -101,7 +101,7 @@
 #[test]
 fn work_stops_when_the_caller_disconnects() {
     run_test(|world| async move {
-        let slow = Act::Stream {
+        let slow = Behaviour::Stream {
             last: 100,
             gap: Duration::from_millis(100),
             confidence: None,
@@ -112,7 +112,7 @@
         sleep(Duration::from_millis(250)).await;
         drop(response);
         sleep(Duration::from_millis(450)).await;
-        assert!(world.backends.seen(address(1))[0].cancelled);
+        assert!(world.backends.requests(address(1))[0].cancelled);
     });
 }
 
@@ -125,7 +125,7 @@
 #[test]
 fn late_in_a_shutdown_only_short_requests_are_accepted() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        with_one_server(&world, Behaviour::Answer(200, "made".into())).await;
         let entry = world.entry.clone();
         tokio::task::spawn_local(async move { entry.drain().await });
         let stream = world.send(request("/stream/", "keeps the entry running")).await;
@@ -145,7 +145,7 @@
 #[test]
 fn without_late_calls_a_shutdown_accepts_nothing_late() {
     run_test_with("[policy]\nlate_calls=false\n", |world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        with_one_server(&world, Behaviour::Answer(200, "made".into())).await;
         let entry = world.entry.clone();
         tokio::task::spawn_local(async move { entry.drain().await });
         let stream = world.send(request("/stream/", "keeps the entry running")).await;
@@ -159,7 +159,7 @@
 #[test]
 fn shutdown_completes_requests_in_flight_and_accepts_no_more() {
     run_test(|world| async move {
-        let slow = Act::Stream {
+        let slow = Behaviour::Stream {
             last: 40,
             gap: Duration::from_millis(100),
             confidence: None,
@@ -171,7 +171,7 @@
         let stopping = tokio::task::spawn_local(async move { entry.drain().await });
         sleep(Duration::from_millis(100)).await;
         assert!(!world.entry.is_ready());
-        world.backends.script(address(1), [Act::Answer(200, "late".into())]);
+        world.backends.script(address(1), [Behaviour::Answer(200, "late".into())]);
         let answer = world.call(request("/once/", "r2")).await;
         assert_eq!(answer.body, "late");
         assert_eq!(answer.headers["connection"], "close");
--- a/crates/direct/tests/server_backoff.rs
+++ b/crates/direct/tests/server_backoff.rs
@@ -14,7 +14,7 @@
 
 use common::{Answer, World, address, catalog, request, run_test, stream, with, with_body};
 use pondwalk_direct::port::RollOutOrder;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::{
     task::{JoinHandle, spawn_local},
     time::{Instant, sleep},
@@ -26,11 +26,11 @@
 /// Time after a signal in which requests sent before it may still arrive.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
-fn servers(world: &World, count: u16, service: &str, usual: &Act) {
+fn servers(world: &World, count: u16, service: &str, usual: &Behaviour) {
     world.configure(catalog(1));
     for n in 1..=count {
         world.start_server(n, service, "v1", usual.clone());
@@ -39,11 +39,11 @@
 
 /// Lets a server reject all requests and ask for a backoff of `seconds`.
 fn reject_with_backoff(world: &World, n: u16, seconds: &str) {
-    world.backends.start(address(n), &format!("s{n}"), Act::NotRun(503));
-    world.backends.tell(address(n), "retry-after", seconds);
+    world.backends.start(address(n), &format!("s{n}"), Behaviour::NotRun(503));
+    world.backends.set_header(address(n), "retry-after", seconds);
 }
 
-fn serve_again(world: &World, n: u16, usual: Act) {
+fn serve_again(world: &World, n: u16, usual: Behaviour) {
     world.backends.start(address(n), &format!("s{n}"), usual);
 }
 
@@ -74,7 +74,7 @@
 }
 
 fn seen(world: &World, n: u16) -> usize {
-    world.backends.seen(address(n)).len()
+    world.backends.requests(address(n)).len()
 }
 
 /// Four servers reject all requests and ask for a backoff of `seconds`, while a request arrives
@@ -177,20 +177,20 @@
     run_test(|world| async move {
         let world = Rc::new(world);
         servers(&world, 1, "s", &ok_response());
-        let long = Act::Stream {
+        let long = Behaviour::Stream {
             last: 10,
             gap: Duration::from_millis(100),
             confidence: None,
             cut_in: None,
         };
-        world.backends.script(address(1), [long, Act::NotRun(503)]);
+        world.backends.script(address(1), [long, Behaviour::NotRun(503)]);
         world.start().await;
         let under_way = {
             let world = Rc::clone(&world);
             spawn_local(async move { world.call(request("/stream/x", "r1")).await })
         };
         sleep(Duration::from_millis(20)).await;
-        world.backends.tell(address(1), "retry-after", "5");
+        world.backends.set_header(address(1), "retry-after", "5");
         world.call(request("/again/x", "r2")).await;
         assert_eq!(seen(&world, 1), 2);
         assert_eq!(under_way.await.expect("a response").status.as_u16(), 200);
@@ -238,7 +238,7 @@
         world.start().await;
         world.call(request("/again/x", "first")).await;
         sleep(Duration::from_millis(1_700)).await;
-        let slow = Act::Stream {
+        let slow = Behaviour::Stream {
             last: 1,
             gap: Duration::from_millis(200),
             confidence: None,
@@ -314,12 +314,12 @@
 }
 
 /// A roll-out within 30 s to a version whose servers do `act` and ask for backoffs of two seconds.
-async fn roll_out_to(world: World, act: Act) -> String {
+async fn roll_out_to(world: World, act: Behaviour) -> String {
     let world = Rc::new(world);
     servers(&world, 3, "s", &ok_response());
     for n in 11..=12 {
         world.start_server(n, "s", "v2", act.clone());
-        world.backends.tell(address(n), "retry-after", "2");
+        world.backends.set_header(address(n), "retry-after", "2");
     }
     world.start().await;
     world.store.put("order/s", "v2 30");
@@ -331,14 +331,14 @@
         sleep(Duration::from_millis(40)).await;
     }
     let lines = world.entry.buffered_log_lines();
-    assert_eq!(lines.contains("version_turns_away"), matches!(act, Act::NotRun(_)));
+    assert_eq!(lines.contains("version_turns_away"), matches!(act, Behaviour::NotRun(_)));
     world.store.value("progress/s").expect("the progress is reported")
 }
 
 #[test]
 fn version_whose_servers_reject_everything_is_reverted() {
     run_test(|world| async move {
-        assert_eq!(roll_out_to(world, Act::NotRun(503)).await, "v2 Reverted");
+        assert_eq!(roll_out_to(world, Behaviour::NotRun(503)).await, "v2 Reverted");
     });
 }
 
@@ -350,10 +350,10 @@
 }
 
 /// Requests at the only server within the backoff that it asked for in such a response.
-async fn count_in_backoff(world: World, path: &'static str, act: Act) -> usize {
+async fn count_in_backoff(world: World, path: &'static str, act: Behaviour) -> usize {
     let world = Rc::new(world);
     servers(&world, 1, "s", &act);
-    world.backends.tell(address(1), "retry-after", "6");
+    world.backends.set_header(address(1), "retry-after", "6");
     world.start().await;
     world.call(request(path, "first")).await;
     let before = seen(&world, 1);
@@ -364,12 +364,12 @@
 
 #[test]
 fn backoff_applies_in_every_kind_of_response() {
-    let busy = || Act::Answer(503, "busy".into());
+    let busy = || Behaviour::Answer(503, "busy".into());
     for (path, act) in [
-        ("/once/x", Act::NotRun(429)),
+        ("/once/x", Behaviour::NotRun(429)),
         ("/once/x", busy()),
         ("/again/x", busy()),
-        ("/stream/x", Act::NotRun(503)),
+        ("/stream/x", Behaviour::NotRun(503)),
         ("/fixed/x", busy()),
     ] {
         run_test(move |world| async move {
@@ -382,7 +382,7 @@
 fn caller_rate_limit_is_not_a_backoff_signal() {
     for status in [200, 404, 429] {
         run_test(move |world| async move {
-            let act = Act::Answer(status, "for the caller".into());
+            let act = Behaviour::Answer(status, "for the caller".into());
             assert_eq!(count_in_backoff(world, "/once/x", act).await, 125, "{status}");
         });
     }
@@ -400,7 +400,7 @@
             assert_eq!(refused.status.as_u16(), 503, "{}", refused.body);
             sleep(Duration::from_millis(400)).await;
             // Shortly after, another request breaks there, as if the server had crashed.
-            world.backends.script(address(1), [Act::LoseAnswer]);
+            world.backends.script(address(1), [Behaviour::DropResponse]);
             let other = request("/once/x", &format!("other{n}"));
             world.call(with_body(other, &format!("other {n}"))).await;
             sleep(Duration::from_millis(100)).await;
--- a/crates/direct/tests/server_rate_limits.rs
+++ b/crates/direct/tests/server_rate_limits.rs
@@ -15,7 +15,7 @@
     request, run_test, stream,
 };
 use pondwalk_direct::Entry;
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -23,8 +23,8 @@
 
 const ENTRIES: u16 = 4;
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 fn load(path: &'static str, seconds: u64) -> Load {
@@ -34,7 +34,7 @@
 /// Four servers and four entries; the first server reports a limit.
 async fn one_limits(
     world: World,
-    (service, usual): (&str, Act),
+    (service, usual): (&str, Behaviour),
     limit: &str,
 ) -> (Rc<World>, Net, Vec<Entry>) {
     let net = Net::default();
@@ -44,7 +44,7 @@
 }
 
 /// One of four servers reports a limit of 1.7 requests a second under a load of one kind.
-fn check_limit_is_kept(path: &'static str, service: &'static str, usual: Act) {
+fn check_limit_is_kept(path: &'static str, service: &'static str, usual: Behaviour) {
     run_test(|world| async move {
         let (world, _net, entries) = one_limits(world, (service, usual), "1.7").await;
         let named = Instant::now();
@@ -82,13 +82,13 @@
 fn resumed_streams_keep_the_limit() {
     run_test(|world| async move {
         let (world, _net, entries) = one_limits(world, ("s", stream(3, None)), "0.5").await;
-        let cut = Act::Stream {
+        let cut = Behaviour::Stream {
             last: 9,
             gap: Duration::from_millis(10),
             confidence: None,
             cut_in: Some(2),
         };
-        (2..=4).for_each(|n| world.backends.does(address(n), cut.clone()));
+        (2..=4).for_each(|n| world.backends.set_behaviour(address(n), cut.clone()));
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load("/stream/x", 10)).await).await;
         check(&world, 1, 0.5, named);
@@ -99,7 +99,9 @@
 fn retries_after_failures_keep_the_limit() {
     run_test(|world| async move {
         let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.4").await;
-        (2..=4).for_each(|n| world.backends.does(address(n), Act::Answer(500, "failed".into())));
+        (2..=4).for_each(|n| {
+            world.backends.set_behaviour(address(n), Behaviour::Answer(500, "failed".into()))
+        });
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
         check(&world, 1, 1.4, named);
@@ -179,7 +181,7 @@
         let lowered = Instant::now();
         answers(load_evenly(&world, &entries, load("/again/x", 12)).await).await;
         check(&world, 1, 1.2, lowered);
-        world.backends.tell_no_more(address(1), "server-limit");
+        world.backends.remove_header(address(1), "server-limit");
         answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         let lifted = Instant::now();
         answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
@@ -225,7 +227,7 @@
 fn limit_is_kept_during_store_outage() {
     run_test(|world| async move {
         let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.7").await;
-        world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
+        world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(1)));
         sleep(Duration::from_millis(500)).await;
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load("/open/x", 15)).await).await;
@@ -268,7 +270,7 @@
 fn failure_is_passed_on_if_only_limited_servers_remain() {
     run_test(|world| async move {
         let net = Net::default();
-        let failed = Act::Answer(500, "failed".into());
+        let failed = Behaviour::Answer(500, "failed".into());
         let entries = start(&world, &net, (2, "s", failed), ENTRIES).await;
         (1..=2).for_each(|n| report_limit(&world, n, "2"));
         let world = Rc::new(world);
@@ -309,15 +311,18 @@
 
 #[test]
 fn foreign_response_does_not_lift_a_limit() {
-    for act in
-        [Act::Unsigned, Act::AnswerAnother, Act::NotRun(503), Act::Answer(500, "failed".into())]
-    {
+    for act in [
+        Behaviour::Unsigned,
+        Behaviour::WrongRequestId,
+        Behaviour::NotRun(503),
+        Behaviour::Answer(500, "failed".into()),
+    ] {
         run_test(move |world| async move {
             let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1").await;
             answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
             let named = Instant::now();
-            world.backends.tell_no_more(address(1), "server-limit");
-            world.backends.does(address(1), act.clone());
+            world.backends.remove_header(address(1), "server-limit");
+            world.backends.set_behaviour(address(1), act.clone());
             answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
             check(&world, 1, 1.0, named);
         });
@@ -363,7 +368,7 @@
 fn retries_after_silence_keep_the_limit() {
     run_test(|world| async move {
         let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.4").await;
-        (2..=4).for_each(|n| world.backends.does(address(n), Act::Silent));
+        (2..=4).for_each(|n| world.backends.set_behaviour(address(n), Behaviour::Silent));
         let named = Instant::now();
         answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
         check(&world, 1, 1.4, named);
--- a/crates/direct/tests/server_rate_limits_many_entries.rs
+++ b/crates/direct/tests/server_rate_limits_many_entries.rs
@@ -12,14 +12,14 @@
 };
 use pondwalk_decide::direct::{granter_order, server_hash};
 use pondwalk_direct::Entry;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
 };
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 fn load(seconds: u64) -> Load {
--- a/crates/direct/tests/signal_logging.rs
+++ b/crates/direct/tests/signal_logging.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{World, address, catalog, request, run_test, stream};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use serde_json::Value;
 use tokio::time::sleep;
 
@@ -21,7 +21,7 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", stream(3, None));
-        world.backends.tell(address(1), "server-leaving", "1");
+        world.backends.set_header(address(1), "server-leaving", "1");
         world.start().await;
         world.call(request("/stream/", "r1")).await;
         let events = lines(&world, "server_told_leaving");
@@ -36,8 +36,8 @@
 fn requested_backoff_is_logged_with_its_duration() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::NotRun(503));
-        world.backends.tell(address(1), "retry-after", "2.5");
+        world.start_server(1, "s", "v1", Behaviour::NotRun(503));
+        world.backends.set_header(address(1), "retry-after", "2.5");
         world.start().await;
         world.call(request("/again/x", "r1")).await;
         let events = lines(&world, "server_asked_backoff");
@@ -53,9 +53,9 @@
     for value in ["-3", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", "NaN", "", "0", "-inf", "3s"] {
         run_test(move |world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", Act::NotRun(503));
-            world.backends.tell(address(1), "retry-after", value);
-            world.backends.tell(address(1), "server-leaving", "0");
+            world.start_server(1, "s", "v1", Behaviour::NotRun(503));
+            world.backends.set_header(address(1), "retry-after", value);
+            world.backends.set_header(address(1), "server-leaving", "0");
             world.start().await;
             world.call(request("/again/x", "r1")).await;
             assert_eq!(lines(&world, "server_asked_backoff").len(), 0, "{value}");
@@ -71,12 +71,12 @@
         world.start_server(1, "s", "v1", stream(3, None));
         world.start().await;
         for (number, value) in ["1.7", "1.7", "0.4"].into_iter().enumerate() {
-            world.backends.tell(address(1), "server-limit", value);
+            world.backends.set_header(address(1), "server-limit", value);
             world.call(request("/stream/", &format!("r{number}"))).await;
             sleep(Duration::from_secs(5)).await;
         }
         assert!(world.entry.metrics_text().contains("pondwalk_servers_limited 1"));
-        world.backends.tell_no_more(address(1), "server-limit");
+        world.backends.remove_header(address(1), "server-limit");
         world.call(request("/stream/", "r3")).await;
         let named = lines(&world, "server_named_limit");
         let limits: Vec<_> = named.iter().map(|line| (&line["request"], &line["per_s"])).collect();
--- a/crates/direct/tests/slow_callers.rs
+++ b/crates/direct/tests/slow_callers.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Response, body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::{io::duplex, task::spawn_local, time::sleep};
 
 /// Bytes that a connection between caller and entry, or entry and server, buffers.
@@ -39,8 +39,13 @@
     answer
 }
 
-fn endless() -> Act {
-    Act::Stream { last: 1_000_000, gap: Duration::from_micros(10), confidence: None, cut_in: None }
+fn endless() -> Behaviour {
+    Behaviour::Stream {
+        last: 1_000_000,
+        gap: Duration::from_micros(10),
+        confidence: None,
+        cut_in: None,
+    }
 }
 
 #[test]
@@ -53,7 +58,7 @@
         sleep(Duration::from_secs(60)).await;
         let whole: usize = common::events(1..=600).len();
         assert_eq!(
-            world.backends.taken_bytes(address(1)),
+            world.backends.streamed_bytes(address(1)),
             whole,
             "the server still holds some of it"
         );
@@ -74,13 +79,13 @@
             answers.push(open(&world, "/fixed/", &format!("slow{n}"), 512).await);
         }
         sleep(Duration::from_secs(6)).await;
-        let buffered = world.backends.taken_bytes(address(1)) / callers;
+        let buffered = world.backends.streamed_bytes(address(1)) / callers;
         assert!(buffered > 32 * 1024, "{buffered} bytes: nothing is buffered for a slow caller");
         assert!(
             buffered <= MAX_BUFFERED_BYTES + CONNECTION_BYTES,
             "{buffered} bytes are buffered for each slow caller"
         );
-        world.backends.does(address(1), Act::Answer(200, "made".into()));
+        world.backends.set_behaviour(address(1), Behaviour::Answer(200, "made".into()));
         assert_eq!(world.call(request("/again/", "quick")).await.status, 200);
         drop(answers);
     });
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -14,7 +14,7 @@
     request, run_test, with,
 };
 use pondwalk_direct::Entry;
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     task::spawn_local,
@@ -32,7 +32,7 @@
 
 async fn start(world: &World, count: u16) -> Vec<Entry> {
     world.configure(catalog(1));
-    world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+    world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
     let entries = Net::default().start_many(world, count, "");
     sleep(Duration::from_secs(6)).await;
     entries
@@ -72,7 +72,7 @@
     run_test(|world| async move {
         let entries = start(&world, 40).await;
         for entry in &entries {
-            world.set_store_fault(entry, Weather::Narrow(NARROW));
+            world.set_store_fault(entry, FaultMode::LimitedBandwidth(NARROW));
         }
         // At different points of the interval between two requests.
         for (round, pause_ms) in [1_000, 1_130, 1_270, 1_390].into_iter().enumerate() {
@@ -89,7 +89,7 @@
 fn entries_with_wide_links_distribute_large_changes() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         let net = Net::default();
         let seeds = peer_address(0);
         let start = |n: u16| {
@@ -99,7 +99,7 @@
         };
         let entries: Vec<(Entry, u64)> = (0..32).map(start).collect();
         for (entry, link_mbps) in &entries {
-            world.set_store_fault(entry, Weather::Narrow(link_mbps * NARROW / 10));
+            world.set_store_fault(entry, FaultMode::LimitedBandwidth(link_mbps * NARROW / 10));
         }
         sleep(Duration::from_secs(6)).await;
         let (wide, narrow): (Vec<_>, Vec<_>) =
@@ -122,7 +122,7 @@
         run_test(|world| async move {
             let entries = start(&world, 40).await;
             let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            world.store.set_fault_mode(FaultMode::Late(answer));
             sleep(Duration::from_secs(10)).await;
             let times = world.entry_times();
             let bound = answer + times.normal_confirmation_age() + STEP;
@@ -141,7 +141,7 @@
     for answer_ms in [10, 500, 2_000, 3_500] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_fault_mode(FaultMode::Late(Duration::from_millis(answer_ms)));
             for _ in 0..60 {
                 sleep(Duration::from_millis(500)).await;
                 for entry in &entries {
@@ -158,7 +158,7 @@
     for answer_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_fault_mode(FaultMode::Late(Duration::from_millis(answer_ms)));
             sleep(Duration::from_secs(7)).await;
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(Duration::from_secs(5)).await;
@@ -175,9 +175,9 @@
     for answer_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+            world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
             let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            world.store.set_fault_mode(FaultMode::Late(answer));
             let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
             let entry = Net::default().start_with(&world, 9, &seeds);
             // It first polls the seed for 0.9 s.
@@ -211,7 +211,7 @@
     run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         let impostor = sending_slowly(&[("catalog", "1")]);
         net.impostors.borrow_mut().insert(peer_address(0), impostor);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
@@ -227,9 +227,9 @@
         run_test(|world| async move {
             let entries = start(&world, 20).await;
             for n in 11..=13 {
-                world.start_server(n, "s", "v2", Act::Answer(200, "new".into()));
+                world.start_server(n, "s", "v2", Behaviour::Answer(200, "new".into()));
             }
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_fault_mode(FaultMode::Late(Duration::from_millis(answer_ms)));
             sleep(Duration::from_secs(7)).await;
             world.store.put("order/s", "v2 24");
             sleep(Duration::from_secs(24)).await;
@@ -246,8 +246,8 @@
     for answer_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
+            world.store.set_fault_mode(FaultMode::Late(Duration::from_millis(answer_ms)));
             let entries = Net::default().start_many(&world, 20, "");
             sleep(Duration::from_secs(20)).await;
             for entry in &entries {
@@ -266,7 +266,7 @@
         run_test(|world| async move {
             let entries = start(&world, 20).await;
             let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            world.store.set_fault_mode(FaultMode::Late(answer));
             sleep(Duration::from_secs(7)).await;
             world.list_server(1, "s", "v1", "draining");
             sleep(answer + world.entry_times().normal_confirmation_age() + STEP).await;
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -15,7 +15,7 @@
     Entry,
     membership::{FAN_OUT, Members, StateMessage, TreeRole, root_count, tree_role},
 };
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use quickcheck::{Gen, QuickCheck};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::{
@@ -30,7 +30,7 @@
 fn set_up(world: &World, servers: u16) {
     world.configure(catalog(1));
     for n in 1..=servers {
-        world.start_server(n, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(n, "s", "v1", Behaviour::Answer(200, "made".into()));
     }
 }
 
@@ -208,7 +208,7 @@
         set_up(&world, 3);
         let entries = net.start_many(&world, 12, "");
         sleep(Duration::from_secs(6)).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(1)).await;
         let seeds = format!("[membership]\nseeds={},{}\n", peer_address(0), peer_address(1));
         let late = net.start_with(&world, 50, &seeds);
@@ -230,7 +230,7 @@
     run_test(|world| async move {
         let net = Net::default();
         set_up(&world, 1);
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let isolated = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(3)).await;
@@ -326,7 +326,7 @@
         for _ in 0..20 {
             let among: Vec<&str> = left.iter().map(|n| names[*n]).collect();
             let first = left.remove(Members::first_in_order(&among));
-            world.set_store_fault(&entries[first], Weather::Refused);
+            world.set_store_fault(&entries[first], FaultMode::Refused);
         }
         sleep(Duration::from_secs(6)).await;
         let before = world.store.calls();
@@ -345,7 +345,7 @@
         let net = Net::default();
         set_up(&world, 3);
         for n in 11..=13 {
-            world.start_server(n, "s", "v2", Act::Answer(200, "new".into()));
+            world.start_server(n, "s", "v2", Behaviour::Answer(200, "new".into()));
         }
         let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(5)).await;
@@ -366,7 +366,7 @@
         sleep(Duration::from_secs(5)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let first = Members::first_in_order(&names);
-        world.set_store_fault(&entries[first], Weather::Silent(Duration::from_secs(60)));
+        world.set_store_fault(&entries[first], FaultMode::Silent(Duration::from_secs(60)));
         net.end(first as u16);
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
@@ -381,15 +381,15 @@
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=3 {
-            world.start_server(n, "s", "v1", Act::Answer(200, "old".into()));
-            world.start_server(10 + n, "s", "v2", Act::Answer(500, "bad".into()));
+            world.start_server(n, "s", "v1", Behaviour::Answer(200, "old".into()));
+            world.start_server(10 + n, "s", "v2", Behaviour::Answer(500, "bad".into()));
         }
         let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(3)).await;
         // Neither the entry that found it nor any other can write it to the store.
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         let finder = entries.last().expect("some");
         let mut number = 0;
         while !finder.buffered_log_lines().contains("version_tripped") && number < 400 {
@@ -441,10 +441,10 @@
         let entries = net.start_many(&world, MANY_ENTRIES, "");
         sleep(Duration::from_secs(6)).await;
         // The first listings lapse after three heartbeats of 1.2 s.
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_millis(3_600)).await;
         (1..=3).for_each(|n| world.store.remove(&format!("server/s{n}")));
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_millis(700)).await;
         for entry in &entries {
             assert_eq!(status(&world, entry, "k1").await, 200, "{}", entry.name());
@@ -461,7 +461,7 @@
         sleep(Duration::from_secs(6)).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
-        world.set_store_fault(&entries[root], Weather::Refused);
+        world.set_store_fault(&entries[root], FaultMode::Refused);
         sleep(Duration::from_millis(1_100)).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(1_000)).await;
@@ -502,7 +502,7 @@
         let current = whole_state(&[("catalog", "1"), ("server/s1", &server)], 100);
         let older = whole_state(&[], 40);
         net.impostors.borrow_mut().insert(peer_address(0), sending(vec![current, older]));
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(1)).await;
@@ -525,7 +525,7 @@
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
         let isolated = if root == 0 { 1 } else { 0 };
-        world.set_store_fault(&entries[isolated], Weather::Refused);
+        world.set_store_fault(&entries[isolated], FaultMode::Refused);
         net.cut.borrow_mut().extend((0..12).map(peer_address));
         net.silence_open_connections();
         sleep(Duration::from_secs(3)).await;
--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -6,12 +6,12 @@
 
 use common::{World, address, catalog, catalog_with_keys, request, run_test, run_test_with, with};
 use hyper::StatusCode;
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::time::sleep;
 
 async fn with_one_server(world: &World) {
     world.configure(catalog(1));
-    world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+    world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
     world.start().await;
 }
 
@@ -22,17 +22,17 @@
 
 #[test]
 fn keys_are_honoured_only_while_confirmed() {
-    let silent = Weather::Silent(Duration::from_secs(1));
-    for weather in [Weather::Refused, silent] {
+    let silent = FaultMode::Silent(Duration::from_secs(1));
+    for weather in [FaultMode::Refused, silent] {
         run_test(|world| async move {
             with_one_server(&world).await;
-            world.store.set_weather(weather);
+            world.store.set_fault_mode(weather);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
             sleep(Duration::from_secs(3)).await;
             assert_eq!(status(&world, "k1").await, 503, "{weather:?}");
             assert!(!world.entry.is_ready());
-            world.store.set_weather(Weather::Fair);
+            world.store.set_fault_mode(FaultMode::Normal);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
         });
@@ -43,7 +43,7 @@
 fn non_strict_deployment_honours_known_keys_longer() {
     run_test_with("strict_keys=false\nlenient_key_bound_ms=20000", |world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(15)).await;
         assert_eq!(status(&world, "k1").await, 200);
         assert!(world.entry.is_ready());
@@ -58,7 +58,7 @@
 fn strict_deployment_ignores_the_longer_bound() {
     run_test_with("strict_keys=true\nlenient_key_bound_ms=20000", |world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(6)).await;
         assert_eq!(status(&world, "k1").await, 503);
     });
@@ -68,7 +68,7 @@
 fn anonymous_requests_are_served_during_store_outage() {
     run_test(|world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(30)).await;
         let mut open = request("/open/", "r1");
         open.headers_mut().remove("authorization");
@@ -94,8 +94,8 @@
 fn key_removed_during_a_request_stops_its_next_send() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Silent);
-        world.start_server(2, "s", "v1", Act::Silent);
+        world.start_server(1, "s", "v1", Behaviour::Silent);
+        world.start_server(2, "s", "v1", Behaviour::Silent);
         world.start().await;
         let waiting = world.send(request("/again/", "r"));
         let revoking = async {
@@ -124,20 +124,20 @@
 fn changes_are_found_after_lost_history() {
     run_test(|world| async move {
         with_one_server(&world).await;
-        world.start_server(2, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(2, "s", "v1", Behaviour::Answer(200, "made".into()));
         sleep(Duration::from_millis(500)).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_millis(100)).await;
         world.store.remove("server/s1");
         world.configure(catalog_with_keys(2, &["k1"]));
-        world.store.forget_history();
-        world.store.set_weather(Weather::Fair);
+        world.store.drop_history();
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(1)).await;
-        let before = world.backends.seen(address(1)).len();
+        let before = world.backends.requests(address(1)).len();
         for _ in 0..4 {
             assert_eq!(status(&world, "k1").await, 200);
         }
-        assert_eq!(world.backends.seen(address(1)).len(), before);
+        assert_eq!(world.backends.requests(address(1)).len(), before);
         assert_eq!(status(&world, "k2").await, 401);
     });
 }
@@ -153,10 +153,10 @@
     });
 }
 
-async fn roll_out(world: &World, new: Act) {
+async fn roll_out(world: &World, new: Behaviour) {
     world.configure(catalog(1));
     for number in 1..=3 {
-        world.start_server(number, "s", "v1", Act::Answer(200, "old".into()));
+        world.start_server(number, "s", "v1", Behaviour::Answer(200, "old".into()));
         world.start_server(10 + number, "s", "v2", new.clone());
     }
     world.start().await;
@@ -167,7 +167,7 @@
 /// Sends `count` requests of new sessions over time; counts the responses and failures of the new
 /// version.
 async fn requests(world: &World, count: usize, label: &str) -> usize {
-    let seen = || (11..=13).map(|n| world.backends.seen(address(n)).len()).sum::<usize>();
+    let seen = || (11..=13).map(|n| world.backends.requests(address(n)).len()).sum::<usize>();
     let before = seen();
     for number in 0..count {
         let session = format!("{label}{number}");
@@ -180,7 +180,7 @@
 #[test]
 fn good_version_takes_over_in_steps_and_is_reported_complete() {
     run_test(|world| async move {
-        roll_out(&world, Act::Answer(200, "new".into())).await;
+        roll_out(&world, Behaviour::Answer(200, "new".into())).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 InProgress"));
         let at_trial = requests(&world, 150, "a").await;
         assert!((4..=30).contains(&at_trial), "{at_trial} of 150");
@@ -193,13 +193,13 @@
 
 #[test]
 fn bad_version_is_left_at_once_and_reported_reverted() {
-    for weather in [Weather::Fair, Weather::Refused, Weather::AnswersLost] {
+    for weather in [FaultMode::Normal, FaultMode::Refused, FaultMode::AnswersLost] {
         run_test(|world| async move {
-            roll_out(&world, Act::Answer(500, "bad".into())).await;
-            world.store.set_weather(weather);
+            roll_out(&world, Behaviour::Answer(500, "bad".into())).await;
+            world.store.set_fault_mode(weather);
             let bad = requests(&world, 60, "a").await + requests(&world, 20, "b").await;
             assert!((4..=16).contains(&bad), "{bad} with {weather:?}");
-            world.store.set_weather(Weather::Fair);
+            world.store.set_fault_mode(FaultMode::Normal);
             sleep(Duration::from_secs(3)).await;
             assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
             assert_eq!(requests(&world, 30, "c").await, 0);
@@ -210,12 +210,12 @@
 #[test]
 fn reverted_version_gets_nothing_in_the_next_roll_out() {
     run_test(|world| async move {
-        roll_out(&world, Act::Answer(500, "bad".into())).await;
+        roll_out(&world, Behaviour::Answer(500, "bad".into())).await;
         requests(&world, 60, "a").await;
         // Long enough for its failures to expire.
         sleep(Duration::from_secs(60)).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
-        world.start_server(21, "s", "v3", Act::Answer(200, "newer".into()));
+        world.start_server(21, "s", "v3", Behaviour::Answer(200, "newer".into()));
         world.store.put("order/s", "v3 20");
         sleep(Duration::from_secs(2)).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v3 InProgress"));
@@ -228,8 +228,8 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         for number in 1..=3 {
-            world.start_server(number, "s", "v1", Act::Answer(200, "old".into()));
-            world.start_server(10 + number, "s", "v2", Act::Answer(200, "new".into()));
+            world.start_server(number, "s", "v1", Behaviour::Answer(200, "old".into()));
+            world.start_server(10 + number, "s", "v2", Behaviour::Answer(200, "new".into()));
         }
         world.start().await;
         let call = async |session: &str| {
@@ -252,8 +252,8 @@
         world.store.put("order/s", "v2 20");
         world.store.put("progress/s", "v2 Reverted");
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "old".into()));
-        world.start_server(11, "s", "v2", Act::Answer(200, "new".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "old".into()));
+        world.start_server(11, "s", "v2", Behaviour::Answer(200, "new".into()));
         world.start().await;
         assert_eq!(requests(&world, 40, "a").await, 0);
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
@@ -264,7 +264,7 @@
 fn refusal_log_shows_its_reason() {
     run_test(|world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(6)).await;
         let answer = world.call(request("/once/", "r-17")).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -281,10 +281,10 @@
 fn server_lapsed_during_outage_serves_for_a_grace_period() {
     run_test(|world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_millis(1_000)).await;
         assert_eq!(status(&world, "k1").await, 200, "it may still return");
         world.list_server(1, "s", "v1", "ready");
@@ -297,10 +297,10 @@
 fn server_missing_after_outage_gets_nothing_two_seconds_later() {
     run_test(|world| async move {
         with_one_server(&world).await;
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_millis(2_400)).await;
         assert_eq!(status(&world, "k1").await, 503, "it is gone");
     });
@@ -319,7 +319,7 @@
 #[test]
 fn retry_after_grows_with_the_outage_at_a_new_entry() {
     run_test(|world| async move {
-        world.store.set_weather(Weather::Refused);
+        world.store.set_fault_mode(FaultMode::Refused);
         world.start().await;
         let mut pauses = Vec::new();
         for wait_s in [0, 2, 20] {
@@ -335,7 +335,7 @@
 #[test]
 fn version_that_breaks_every_request_is_reported_reverted() {
     run_test(|world| async move {
-        roll_out(&world, Act::LoseAnswer).await;
+        roll_out(&world, Behaviour::DropResponse).await;
         let broken = requests(&world, 80, "a").await;
         sleep(Duration::from_secs(25)).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"), "{broken}");
--- a/crates/direct/tests/store_outage_recovery.rs
+++ b/crates/direct/tests/store_outage_recovery.rs
@@ -8,8 +8,8 @@
 use common::{World, limits, net::Net, run_test};
 use pondwalk_direct::Entry;
 use pondwalk_standin::{
-    backends::Act,
-    memory_store::{StoreCopy, Weather},
+    backends::Behaviour,
+    memory_store::{FaultMode, StoreSnapshot},
 };
 use tokio::time::{Instant, sleep};
 
@@ -43,16 +43,16 @@
     world: &World,
     entries: &[Entry],
     outage: Duration,
-    copy: Option<StoreCopy>,
+    copy: Option<StoreSnapshot>,
 ) -> Return {
-    world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
+    world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(30)));
     sleep(outage).await;
     assert_eq!(ready(entries), 0, "keys are refused by then");
     let calls = world.store.calls();
     if let Some(copy) = copy {
         world.store.restore(copy);
     }
-    world.store.set_weather(Weather::Fair);
+    world.store.set_fault_mode(FaultMode::Normal);
     let back = Instant::now();
     let mut seen = Return::default();
     while back.elapsed() < COUNTING_TIME {
@@ -84,10 +84,10 @@
 fn recovery_after(count: u16, outage: Duration, is_restored: bool) {
     run_test(move |world| async move {
         let net = Net::default();
-        let usual = Act::Answer(200, "made".into());
+        let usual = Behaviour::Answer(200, "made".into());
         let entries = limits::start(&world, &net, (2, "s", usual), count).await;
         assert_eq!(ready(&entries), entries.len());
-        let copy = is_restored.then(|| world.store.copy());
+        let copy = is_restored.then(|| world.store.snapshot());
         for n in 0..10 {
             world.store.put(&format!("other/{n}"), "written after the copy");
         }
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -10,8 +10,8 @@
 };
 use pondwalk_direct::{Entry, membership::Members};
 use pondwalk_standin::{
-    backends::Act,
-    memory_store::{StoreCopy, Weather},
+    backends::Behaviour,
+    memory_store::{FaultMode, StoreSnapshot},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::time::sleep;
@@ -28,7 +28,7 @@
 async fn start(world: &World, net: &Net, count: u16) -> Vec<Entry> {
     world.configure(catalog(1));
     for n in 1..=3 {
-        world.start_server(n, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(n, "s", "v1", Behaviour::Answer(200, "made".into()));
     }
     let entries = net.start_many(world, count, "");
     sleep(Duration::from_secs(6)).await;
@@ -42,13 +42,13 @@
 }
 
 /// Makes the store unreachable for `away`, and restores it from the copy.
-async fn restore(world: &World, copy: &StoreCopy, away: Duration) {
+async fn restore(world: &World, copy: &StoreSnapshot, away: Duration) {
     if !away.is_zero() {
-        world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
+        world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(30)));
         sleep(away).await;
     }
     world.store.restore(copy.clone());
-    world.store.set_weather(Weather::Fair);
+    world.store.set_fault_mode(FaultMode::Normal);
 }
 
 async fn status(world: &World, entry: &Entry, key: &str) -> u16 {
@@ -75,13 +75,13 @@
 
 /// Requests that reach a server which no entry should use any more.
 async fn sent_to(world: &World, entries: &[Entry], n: u16) -> usize {
-    let before = world.backends.seen(address(n)).len();
+    let before = world.backends.requests(address(n)).len();
     for entry in entries {
         for number in 0..6 {
             world.call_at(entry, request("/again/", &format!("r{number}"))).await;
         }
     }
-    world.backends.seen(address(n)).len() - before
+    world.backends.requests(address(n)).len() - before
 }
 
 /// Writes changes, which must be in force at all these entries within a time.
@@ -101,7 +101,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         write_lost_changes(&world);
         sleep(IN_FORCE).await;
         restore(&world, &copy, away).await;
@@ -136,7 +136,7 @@
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, count).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             write_lost_changes(&world);
             sleep(IN_FORCE).await;
             restore(&world, &copy, Duration::ZERO).await;
@@ -155,10 +155,10 @@
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             write_lost_changes(&world);
             sleep(IN_FORCE).await;
-            world.set_store_fault(&entries[position], Weather::Silent(Duration::from_secs(30)));
+            world.set_store_fault(&entries[position], FaultMode::Silent(Duration::from_secs(30)));
             restore(&world, &copy, AWAY).await;
             sleep(SETTLED).await;
             assert_changes_reach(&world, &entries, 2 * IN_FORCE).await;
@@ -172,9 +172,9 @@
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             write_lost_changes(&world);
-            world.store.set_weather(Weather::Late(Duration::from_millis(late_ms)));
+            world.store.set_fault_mode(FaultMode::Late(Duration::from_millis(late_ms)));
             sleep(2 * SETTLED).await;
             world.store.restore(copy);
             sleep(2 * SETTLED).await;
@@ -193,10 +193,10 @@
     run_test(|world| async move {
         let net = Net::default();
         let mut entries = start(&world, &net, 8).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         write_lost_changes(&world);
         sleep(IN_FORCE).await;
-        world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
+        world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(30)));
         sleep(AWAY).await;
         entries.extend((8..12).map(|n| net.start_later(&world, n)));
         sleep(Duration::from_millis(300)).await;
@@ -215,15 +215,15 @@
             let entries = start(&world, &net, 5).await;
             let mut rng = SmallRng::seed_from_u64(seed);
             let mut version = 1;
-            let mut copy = world.store.copy();
+            let mut copy = world.store.snapshot();
             for _ in 0..30 {
                 match rng.random_range(0..6) {
-                    0 => copy = world.store.copy(),
+                    0 => copy = world.store.snapshot(),
                     1 => {
                         let away = Duration::from_millis(rng.random_range(0..3_000));
                         restore(&world, &copy, if rng.random() { away } else { Duration::ZERO })
                             .await;
-                        copy = world.store.copy();
+                        copy = world.store.snapshot();
                     }
                     2 => write_lost_changes(&world),
                     3 => {
@@ -247,7 +247,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         world.configure(catalog_with_keys(2, &["k1"]));
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
@@ -265,7 +265,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         world.list_server(1, "s", "v1", "draining");
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
@@ -281,7 +281,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         world.list_server(1, "s", "v1", "draining");
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
@@ -302,7 +302,7 @@
             for n in 1..=3 {
                 world.store.remove(&format!("server/s{n}"));
             }
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             for n in 1..=3 {
                 world.list_server(n, "s", "v1", "ready");
             }
@@ -320,7 +320,7 @@
 
 /// Requests that reach the servers of the evacuated data centre.
 async fn sent_to_evacuated(world: &World, entries: &[Entry]) -> usize {
-    let seen = || (1..=3).map(|n| world.backends.seen(address(n)).len()).sum::<usize>();
+    let seen = || (1..=3).map(|n| world.backends.requests(address(n)).len()).sum::<usize>();
     let before = seen();
     sent_to(world, entries, 1).await;
     seen() - before
@@ -328,9 +328,9 @@
 
 /// Evacuates all data centres but one, and restores the store from a copy without that evacuation.
 async fn lose_evacuation(world: &World, entries: &[Entry]) {
-    world.backends.start(address(9), "s9", Act::Answer(200, "made".into()));
+    world.backends.start(address(9), "s9", Behaviour::Answer(200, "made".into()));
     world.list_server_in("dc2", 9, "s", "v1", "ready");
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     world.store.put("evacuate/dc1", "");
     sleep(IN_FORCE).await;
     assert_eq!(sent_to_evacuated(world, entries).await, 0, "before");
@@ -370,7 +370,7 @@
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 3).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             let later: Vec<Entry> = (3..3 + count).map(|n| net.start_later(&world, n)).collect();
             sleep(Duration::from_secs(6)).await;
             let listed = |entry: &Entry| {
@@ -394,7 +394,7 @@
 fn all_entries_missing_in_the_copy_are_listed_again() {
     run_test(|world| async move {
         let net = Net::default();
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         let entries = start(&world, &net, 24).await;
         let calls = world.store.calls();
         restore(&world, &copy, AWAY).await;
@@ -413,7 +413,11 @@
 }
 
 /// Runs a roll-out to its end, and restores the store from a copy taken `copy_after` the order.
-fn outcome_after_restoration(second: Act, copy_after: Duration, count: u16) -> Option<String> {
+fn outcome_after_restoration(
+    second: Behaviour,
+    copy_after: Duration,
+    count: u16,
+) -> Option<String> {
     let found = Rc::new(RefCell::new(None));
     let recorded = Rc::clone(&found);
     run_test(move |world| async move {
@@ -426,7 +430,7 @@
         let mut copy = None;
         for n in 0..900 {
             if copy.is_none() && Duration::from_millis(n * 40) >= copy_after {
-                copy = Some(world.store.copy());
+                copy = Some(world.store.snapshot());
             }
             let entry = &entries[n as usize % entries.len()];
             let sent =
@@ -451,7 +455,7 @@
 
 #[test]
 fn lost_completed_roll_out_is_reported_again() {
-    let good = Act::Answer(200, "new".into());
+    let good = Behaviour::Answer(200, "new".into());
     let copy_after = Duration::from_secs(8);
     let outcome = outcome_after_restoration(good, copy_after, 4);
     assert_eq!(outcome.as_deref(), Some("v2 Completed"));
@@ -459,14 +463,14 @@
 
 #[test]
 fn roll_out_with_lost_beginning_is_reported_again() {
-    let good = Act::Answer(200, "new".into());
+    let good = Behaviour::Answer(200, "new".into());
     let outcome = outcome_after_restoration(good, Duration::ZERO, 4);
     assert_eq!(outcome.as_deref(), Some("v2 Completed"));
 }
 
 #[test]
 fn lost_reverted_roll_out_is_reported_again() {
-    let bad = Act::Answer(500, "bad".into());
+    let bad = Behaviour::Answer(500, "bad".into());
     let outcome = outcome_after_restoration(bad, Duration::ZERO, 4);
     assert_eq!(outcome.as_deref(), Some("v2 Reverted"));
 }
@@ -477,7 +481,7 @@
         let net = Net::default();
         let kind = crashing::repeatable();
         let entries = crashing::start(&world, &net, &kind, 5).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         crashing::repeat_request(
             &world,
             &entries,
@@ -499,7 +503,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         write_lost_changes(&world);
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
@@ -520,16 +524,16 @@
         let entries = start(&world, &net, 5).await;
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let root = Members::first_in_order(&names);
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         write_lost_changes(&world);
         sleep(IN_FORCE).await;
         // The root that most others poll is the last to read the restored store.
-        world.set_store_fault(&entries[root], Weather::Silent(Duration::from_secs(30)));
+        world.set_store_fault(&entries[root], FaultMode::Silent(Duration::from_secs(30)));
         restore(&world, &copy, Duration::ZERO).await;
         world.configure(catalog_with_keys(2, &["k1"]));
         world.list_server(1, "s", "v1", "draining");
         sleep(Duration::from_millis(1_500)).await;
-        world.set_store_fault(&entries[root], Weather::Fair);
+        world.set_store_fault(&entries[root], FaultMode::Normal);
         sleep(IN_FORCE).await;
         assert_in_force(&world, &entries).await;
     });
@@ -542,9 +546,9 @@
         let net = Net::default();
         let entries = start(&world, &net, count).await;
         for n in 11..=13 {
-            world.start_server(n, "s", "v2", Act::Answer(500, "bad".into()));
+            world.start_server(n, "s", "v2", Behaviour::Answer(500, "bad".into()));
         }
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         world.store.put("order/s", "v2 20");
         sleep(IN_FORCE).await;
         for _ in 0..times {
@@ -579,7 +583,7 @@
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         lose_evacuation(&world, &entries).await;
-        let copy = world.store.copy();
+        let copy = world.store.snapshot();
         world.store.put("evacuate/dc1", "");
         sleep(IN_FORCE).await;
         restore(&world, &copy, AWAY).await;
--- a/crates/direct/tests/suspended_machine.rs
+++ b/crates/direct/tests/suspended_machine.rs
@@ -11,7 +11,7 @@
     net::Net,
     request, run_test, with,
 };
-use pondwalk_standin::{backends::Act, memory_store::Weather};
+use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::time::sleep;
 
 /// Longer than a key is honoured without a confirmation.
@@ -26,11 +26,11 @@
 fn key_removed_during_suspension_is_refused_after_resume() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         world.start().await;
         assert_eq!(status(&world, &world.entry, "k2").await, 200);
         // The store does not respond until the first request has arrived.
-        world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
+        world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(1)));
         world.configure(catalog_with_keys(2, &["k1"]));
         world.entry.simulate_suspension(SUSPENSION);
         assert_eq!(status(&world, &world.entry, "k2").await, 503);
@@ -39,7 +39,7 @@
             !world.entry.is_ready(),
             "callers are refused until the store has confirmed the state"
         );
-        world.store.set_weather(Weather::Fair);
+        world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(3)).await;
         assert_eq!(status(&world, &world.entry, "k2").await, 401);
         assert_eq!(status(&world, &world.entry, "k1").await, 200);
@@ -50,13 +50,13 @@
 fn suspended_request_is_not_sent_with_a_stale_key() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::NotRun(503));
-        world.start_server(2, "s", "v1", Act::Silent);
+        world.start_server(1, "s", "v1", Behaviour::NotRun(503));
+        world.start_server(2, "s", "v1", Behaviour::Silent);
         world.start().await;
         let asking = world.call(request("/again/x", "r1"));
         let resuming = async {
             sleep(Duration::from_millis(300)).await;
-            world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
+            world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(1)));
             world.entry.simulate_suspension(Duration::from_secs(5));
         };
         let (answer, ()) = tokio::join!(asking, resuming);
@@ -70,7 +70,7 @@
     run_test(|world| async move {
         let net = Net::default();
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         let entries = net.start_many(&world, 4, "");
         sleep(Duration::from_secs(5)).await;
         for entry in &entries {
--- a/crates/direct/tests/unresponsive_versions.rs
+++ b/crates/direct/tests/unresponsive_versions.rs
@@ -5,11 +5,11 @@
 use std::{rc::Rc, time::Duration};
 
 use common::{World, address, catalog, request, run_test, with};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::{task::spawn_local, time::sleep};
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
 /// Rolls out a version within thirty seconds, with three servers of the old version and two of the
@@ -25,7 +25,7 @@
     for n in 0..800 {
         if n == 450 {
             for server in falls_silent {
-                let alternating = (0..400).flat_map(|_| [Act::Silent, ok_response()]);
+                let alternating = (0..400).flat_map(|_| [Behaviour::Silent, ok_response()]);
                 world.backends.script(address(*server), alternating);
             }
         }
--- a/crates/direct/tests/usage_reports.rs
+++ b/crates/direct/tests/usage_reports.rs
@@ -7,9 +7,9 @@
 use common::{World, catalog, net::Net, request, run_test, total};
 use pondwalk_direct::Entry;
 use pondwalk_standin::{
-    backends::Act,
-    memory_store::{StoreCopy, Weather},
-    usage_sink::Reach,
+    backends::Behaviour,
+    memory_store::{FaultMode, StoreSnapshot},
+    usage_sink::SinkFaultMode,
 };
 use tokio::time::{Instant, sleep};
 
@@ -36,7 +36,7 @@
         let net = Net::default();
         world.configure(catalog(1));
         for n in 1..=4 {
-            world.start_server(n, "s", "v1", Act::Answer(200, "made".into()));
+            world.start_server(n, "s", "v1", Behaviour::Answer(200, "made".into()));
         }
         let started = Instant::now();
         let entries = net.start_many(world, count, USAGE);
@@ -82,8 +82,8 @@
         let entry = self.entries.remove(position);
         let number = entry.name().trim_start_matches('e').parse().expect("a number");
         self.net.end(number);
-        self.world.set_store_fault(&entry, Weather::Silent(Duration::from_secs(3_600)));
-        self.world.usage_sink.cut(Some(entry.name()));
+        self.world.set_store_fault(&entry, FaultMode::Silent(Duration::from_secs(3_600)));
+        self.world.usage_sink.drop_calls_from(Some(entry.name()));
         entry
     }
 
@@ -100,7 +100,7 @@
     }
 
     fn assert_consistent_reports(&self) {
-        assert_eq!(self.world.usage_sink.broken(), Vec::<String>::new());
+        assert_eq!(self.world.usage_sink.violations(), Vec::<String>::new());
     }
 }
 
@@ -115,7 +115,7 @@
             all.wait_until_due().await;
             assert_eq!(all.windows_off_by(0.0), NOTHING, "{count} entries");
             all.assert_consistent_reports();
-            let taken = world.usage_sink.taken();
+            let taken = world.usage_sink.accepted();
             for one in &taken {
                 let due_ms = (one.call.window + 1 + DUE_AFTER) * WINDOW_MS - START_MS;
                 assert!(one.at <= all.started + Duration::from_millis(due_ms));
@@ -133,7 +133,7 @@
     run_test(|world| async move {
         let mut all = Deployment::start(&world, 3).await;
         world.backends.stop(common::address(1));
-        world.start_server(1, "s", "v1", Act::Answer(500, "failed".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(500, "failed".into()));
         all.ask_for(Duration::from_secs(20), 20).await;
         assert!(total(&all.entries, "pondwalk_further_sends_total") > 0);
         all.wait_until_due().await;
@@ -177,10 +177,10 @@
         let mut all = Deployment::start(&world, 24).await;
         all.ask_for(Duration::from_secs(12), 40).await;
         let before = all.holder();
-        world.set_store_fault(&all.entries[before], Weather::Refused);
+        world.set_store_fault(&all.entries[before], FaultMode::Refused);
         all.ask_for(Duration::from_secs(20), 40).await;
         assert_ne!(all.holder(), before);
-        world.set_store_fault(&all.entries[before], Weather::Fair);
+        world.set_store_fault(&all.entries[before], FaultMode::Normal);
         all.ask_for(Duration::from_secs(15), 40).await;
         all.wait_until_due().await;
         assert_eq!(all.windows_off_by(0.0), NOTHING);
@@ -194,7 +194,7 @@
         let mut all = Deployment::start(&world, 24).await;
         all.ask_for(Duration::from_secs(12), 40).await;
         let before = all.entries[all.holder()].name().to_owned();
-        world.usage_sink.cut(Some(&before));
+        world.usage_sink.drop_calls_from(Some(&before));
         all.ask_for(Duration::from_secs(30), 40).await;
         all.wait_until_due().await;
         let missed = all.windows_off_by(0.0).len();
@@ -205,14 +205,16 @@
 
 #[test]
 fn late_or_unanswered_reports_are_repeated_unchanged() {
-    let late = Reach::LateBy(Duration::from_secs(4));
-    for reach in [Reach::AnswersLost, Reach::TooMany, Reach::Silent, late] {
+    let late = SinkFaultMode::Delayed(Duration::from_secs(4));
+    for reach in
+        [SinkFaultMode::AnswersLost, SinkFaultMode::TooManyRequests, SinkFaultMode::Silent, late]
+    {
         run_test(|world| async move {
             let mut all = Deployment::start(&world, 24).await;
             all.ask_for(Duration::from_secs(12), 40).await;
-            world.usage_sink.set_reach(reach);
+            world.usage_sink.set_fault_mode(reach);
             all.ask_for(Duration::from_secs(6), 40).await;
-            world.usage_sink.set_reach(Reach::Fair);
+            world.usage_sink.set_fault_mode(SinkFaultMode::Normal);
             all.ask_for(Duration::from_secs(15), 40).await;
             all.wait_until_due().await;
             assert_eq!(all.windows_off_by(0.0), NOTHING, "{reach:?}");
@@ -224,15 +226,15 @@
 #[test]
 fn reports_catch_up_after_store_outage_or_lost_responses() {
     let seconds = Duration::from_secs;
-    let away = [Weather::Silent(seconds(1)), Weather::Refused, Weather::AnswersLost];
+    let away = [FaultMode::Silent(seconds(1)), FaultMode::Refused, FaultMode::AnswersLost];
     for weather in away {
         run_test(|world| async move {
             let mut all = Deployment::start(&world, 24).await;
             all.ask_for(seconds(12), 40).await;
-            world.store.set_weather(weather);
+            world.store.set_fault_mode(weather);
             // Keys are honoured only for the first seconds of that, so some requests are refused.
             all.ask_for(seconds(5), 40).await;
-            world.store.set_weather(Weather::Fair);
+            world.store.set_fault_mode(FaultMode::Normal);
             all.ask_for(seconds(15), 40).await;
             all.wait_until_due().await;
             assert_eq!(all.windows_off_by(0.0), NOTHING, "{weather:?}");
@@ -270,11 +272,11 @@
     run_test(|world| async move {
         let mut all = Deployment::start(&world, 3).await;
         all.ask_for(Duration::from_secs(12), 40).await;
-        let before = world.usage_sink.taken().last().expect("a report").call.fencing_token;
+        let before = world.usage_sink.accepted().last().expect("a report").call.fencing_token;
         for _ in 0..3 {
             all.end(0);
         }
-        world.usage_sink.cut(None);
+        world.usage_sink.drop_calls_from(None);
         all.net.cut.borrow_mut().clear();
         let at_start = START_MS + all.started.elapsed().as_millis() as u64;
         all.entries = all.net.start_many(&world, 3, USAGE);
@@ -286,7 +288,7 @@
         let first = *all.served.keys().next().expect("some were asked");
         all.served.remove(&first);
         assert_eq!(all.windows_off_by(0.0), NOTHING);
-        assert!(world.usage_sink.taken().last().expect("a report").call.fencing_token > before);
+        assert!(world.usage_sink.accepted().last().expect("a report").call.fencing_token > before);
         all.assert_consistent_reports();
     });
 }
@@ -306,12 +308,12 @@
 }
 
 /// The store is unreachable for a while, and is restored from a copy.
-async fn restore(world: &World, copy: &StoreCopy) {
+async fn restore(world: &World, copy: &StoreSnapshot) {
     // As long as writers wait for a response.
-    world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
+    world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(1)));
     sleep(Duration::from_millis(2_400)).await;
     world.store.restore(copy.clone());
-    world.store.set_weather(Weather::Fair);
+    world.store.set_fault_mode(FaultMode::Normal);
 }
 
 #[test]
@@ -320,7 +322,7 @@
         run_test(|world| async move {
             let mut all = Deployment::start(&world, 5).await;
             all.ask_for(Duration::from_secs(copy_after_s), 20).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             all.ask_for(Duration::from_secs(9), 20).await;
             restore(&world, &copy).await;
             all.ask_for(Duration::from_secs(25), 20).await;
@@ -340,7 +342,7 @@
         run_test(|world| async move {
             let mut all = Deployment::start(&world, 5).await;
             all.ask_for(Duration::from_secs(copy_after_s), 20).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             all.ask_for(Duration::from_secs(9), 20).await;
             let holder = all.holder();
             all.end(holder);
@@ -358,7 +360,7 @@
         run_test(|world| async move {
             let mut all = Deployment::start(&world, 4).await;
             all.ask_for(Duration::from_secs(copy_after_s), 20).await;
-            let copy = world.store.copy();
+            let copy = world.store.snapshot();
             let holder = all.holder();
             all.end(holder);
             all.ask_for(Duration::from_secs(14), 20).await;
@@ -372,7 +374,7 @@
             sleep(Duration::from_secs(10)).await;
             all.ask_for(Duration::from_secs(15), 20).await;
             all.wait_until_due().await;
-            let broken = world.usage_sink.broken();
+            let broken = world.usage_sink.violations();
             let of_numbers = broken.iter().filter(|violation| violation.contains("the number"));
             assert_eq!(of_numbers.count(), 0, "{broken:?}");
         });
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod trace;
 
 pub use driver::PolicyName;
-pub use report::{Report, Unmet};
+pub use report::{Report, UnmetOutcome};
 pub use simulation::replay;
 pub use trace::{Trace, TraceError};
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -157,14 +157,14 @@
 
 /// A stated outcome that does not hold.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Unmet {
+pub struct UnmetOutcome {
     /// What was stated.
     pub outcome: Outcome,
     /// What was seen; `None` if the report has no such figure.
     pub seen: Option<f64>,
 }
 
-impl fmt::Display for Unmet {
+impl fmt::Display for UnmetOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Outcome { path, comparison, bound } = &self.outcome;
         write!(f, "{path}: stated {comparison} {bound}, ")?;
@@ -196,13 +196,13 @@
     }
 
     /// Outcomes that do not hold.
-    pub fn unmet(&self, outcomes: &Outcomes) -> Vec<Unmet> {
+    pub fn unmet(&self, outcomes: &Outcomes) -> Vec<UnmetOutcome> {
         let report = self.to_json();
         let mut unmet = Vec::new();
         for outcome in &outcomes.0 {
             let seen = figure(&report, &outcome.path);
             if !seen.is_some_and(|seen| outcome.is_met(seen)) {
-                unmet.push(Unmet { outcome: outcome.clone(), seen });
+                unmet.push(UnmetOutcome { outcome: outcome.clone(), seen });
             }
         }
         unmet
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -10,7 +10,7 @@
 use crate::{
     callers::DEADLINE,
     deployment::data_centre_of,
-    records::{End, Exchange, Records, Route, Run, Span, TimeUs},
+    records::{End, Exchange, Records, Route, RunRecord, Span, TimeUs},
     repeater::number_in,
 };
 
@@ -175,7 +175,8 @@
         let runs = runs.get(exchange.id.as_str()).into_iter().flatten();
         // NB: that a server's process has ended by itself is noticed a moment after its callers do.
         let until_us = exchange.ended_us + us(SLACK);
-        let killed = |run: &&&Run| records.was_killed(&run.server, exchange.sent_us, until_us);
+        let killed =
+            |run: &&&RunRecord| records.was_killed(&run.server, exchange.sent_us, until_us);
         let ran = runs.clone().count() > 0 && runs.filter(killed).count() == 0;
         (exchange.end == End::Cut && had_time && ran)
             .then(|| format!("{} ran and was cut", exchange.id))
@@ -307,7 +308,7 @@
 /// A server that names a limit gets no more than that allows from the entries that have heard it, all together.
 pub fn limits_of_servers_are_kept(records: &Records) -> Finding {
     let by_id = records.by_id();
-    let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+    let mut runs: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in &records.runs {
         runs.entry(&run.server).or_default().push(run);
     }
@@ -325,7 +326,7 @@
 fn limited_windows<'a>(
     records: &Records,
     by_id: &HashMap<&str, &Exchange>,
-    runs: &[&'a Run],
+    runs: &[&'a RunRecord],
 ) -> Vec<(&'a str, f64, usize)> {
     let mut heard_us: BTreeMap<usize, TimeUs> = BTreeMap::new();
     let mut counted: Vec<TimeUs> = Vec::new();
@@ -426,7 +427,7 @@
 /// that have been undisturbed, once that must be known.
 pub fn requests_that_end_servers_are_left(records: &Records) -> Finding {
     let by_id = records.by_id();
-    let mut runs_of: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+    let mut runs_of: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in records.runs.iter().filter(|run| run.ran) {
         if let Some(number) = number_in(&run.request) {
             runs_of.entry(number).or_default().push(run);
@@ -435,7 +436,7 @@
     let known = runs_of.iter().filter(|(_, runs)| runs.len() >= ENDS);
     finding("requests that end servers are left", known, |(number, runs)| {
         let known_us = runs[ENDS - 1].at_us + us(KNOWN_AFTER + SLACK);
-        let is_further = |run: &&&Run| {
+        let is_further = |run: &&&RunRecord| {
             let Some(exchange) = by_id.get(run.request.as_str()) else { return false };
             let settled_us = exchange.sent_us.saturating_sub(us(SETTLE));
             run.at_us > known_us && records.was_calm(exchange.entry, settled_us, run.at_us)
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -16,7 +16,9 @@
 };
 
 use anyhow::ensure;
-use pondwalk_standin::platform_store::{RouteOrder, WarmUpOrder, WeatherOrder, configuration};
+use pondwalk_standin::platform_store::{
+    FaultModeOrder, RouteSpec, WarmUpSpec, configuration_entry,
+};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -44,7 +46,7 @@
 const START_LIMIT: Duration = Duration::from_secs(20);
 
 /// How servers warm up.
-const WARM_UP: WarmUpOrder = WarmUpOrder { time: COLD_TIME, requests_per_s: COLD_REQUESTS_PER_S };
+const WARM_UP: WarmUpSpec = WarmUpSpec { time: COLD_TIME, requests_per_s: COLD_REQUESTS_PER_S };
 
 /// Everything that runs.
 pub struct Deployment {
@@ -136,14 +138,14 @@
     /// Writes a configuration with another key, and without the oldest.
     pub async fn configure(&self) -> anyhow::Result<()> {
         let version = self.version.get() + 1;
-        let route = |route: Route| RouteOrder {
+        let route = |route: Route| RouteSpec {
             prefix: route.path().to_owned(),
             kind: kind_of(route),
             service: service_of(route),
         };
         let keys: Vec<String> = [version, version.saturating_sub(1)].map(key_text).to_vec();
         let routes = Route::ALL.map(route);
-        let (key, value) = configuration(version, HOST_NAME, &routes, &keys, WARM_UP);
+        let (key, value) = configuration_entry(version, HOST_NAME, &routes, &keys, WARM_UP);
         self.put(&key, value.to_string()).await?;
         self.records.borrow_mut().configured_us.insert(version, now_us());
         self.version.set(version);
@@ -161,7 +163,7 @@
 
     async fn wait_for_store(&self) -> anyhow::Result<()> {
         let limit = Instant::now() + START_LIMIT;
-        while self.set_weather(WeatherOrder::Fair).await.is_err() {
+        while self.set_weather(FaultModeOrder::Fair).await.is_err() {
             ensure!(Instant::now() < limit, "the store does not answer");
             sleep(READY_LOOK).await;
         }
--- a/crates/soak/src/deployment/servers.rs
+++ b/crates/soak/src/deployment/servers.rs
@@ -22,7 +22,7 @@
     checks::COLD_TIME,
     child::Child,
     proxy::Proxy,
-    records::{Run, Span, now_us},
+    records::{RunRecord, Span, now_us},
 };
 
 /// Time for which a server works on after it has said that it leaves.
@@ -261,7 +261,7 @@
         spawn_local(async move {
             let mut lines = BufReader::new(output).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                match serde_json::from_str::<Run>(&line) {
+                match serde_json::from_str::<RunRecord>(&line) {
                     Ok(run) => records.borrow_mut().runs.push(run),
                     Err(error) => eprintln!("soak: a server told `{line}`: {error}"),
                 }
--- a/crates/soak/src/deployment/store.rs
+++ b/crates/soak/src/deployment/store.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode, client::conn::http1, header::HOST};
 use hyper_util::rt::TokioIo;
-use pondwalk_standin::platform_store::WeatherOrder;
+use pondwalk_standin::platform_store::FaultModeOrder;
 use tokio::{
     net::TcpStream,
     task::spawn_local,
@@ -24,11 +24,11 @@
 
 impl Deployment {
     /// Lets calls to the store fare so for a while.
-    pub async fn disturb_store(&self, order: WeatherOrder, time: Duration) -> anyhow::Result<()> {
+    pub async fn disturb_store(&self, order: FaultModeOrder, time: Duration) -> anyhow::Result<()> {
         let from_us = now_us();
         self.set_weather(order).await?;
         sleep(time).await;
-        self.set_weather(WeatherOrder::Fair).await?;
+        self.set_weather(FaultModeOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
@@ -45,12 +45,12 @@
     pub async fn restore_store(&self, away: Duration, age: Duration) -> anyhow::Result<()> {
         let from_us = now_us();
         if !away.is_zero() {
-            self.set_weather(WeatherOrder::Silent { ms: SILENCE_MS }).await?;
+            self.set_weather(FaultModeOrder::Silent { ms: SILENCE_MS }).await?;
             sleep(away).await;
         }
         let age_ms = age.as_millis().to_string();
         call(self.store, Method::POST, "/order/restore", age_ms.into()).await?;
-        self.set_weather(WeatherOrder::Fair).await?;
+        self.set_weather(FaultModeOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
@@ -79,7 +79,7 @@
     }
 
     /// Lets calls to the store fare so from now on.
-    pub(super) async fn set_weather(&self, order: WeatherOrder) -> anyhow::Result<()> {
+    pub(super) async fn set_weather(&self, order: FaultModeOrder) -> anyhow::Result<()> {
         let body = serde_json::to_vec(&order)?;
         call(self.store, Method::POST, "/order/weather", body.into()).await
     }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-pub use pondwalk_standin::platform_server::{Run, now_us};
+pub use pondwalk_standin::platform_server::{RunRecord, now_us};
 
 /// Time of day in microseconds.
 pub type TimeUs = u64;
@@ -84,7 +84,7 @@
     /// Requests that have ended.
     pub exchanges: Vec<Exchange>,
     /// Requests that servers have read.
-    pub runs: Vec<Run>,
+    pub runs: Vec<RunRecord>,
     /// When each configuration was acknowledged.
     pub configured_us: HashMap<Version, TimeUs>,
     /// When it was acknowledged that a server leaves.
@@ -135,8 +135,8 @@
     }
 
     /// Runs by the request's id, those that a server refused left out.
-    pub fn runs_by_id(&self) -> HashMap<&str, Vec<&Run>> {
-        let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
+    pub fn runs_by_id(&self) -> HashMap<&str, Vec<&RunRecord>> {
+        let mut by_id: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
         for run in self.runs.iter().filter(|run| run.ran) {
             by_id.entry(&run.request).or_default().push(run);
         }
--- a/crates/soak/src/repeater.rs
+++ b/crates/soak/src/repeater.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use pondwalk_standin::platform_server::LETHAL_BODY;
+use pondwalk_standin::platform_server::CRASHING_BODY;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{Instant, sleep, timeout};
@@ -58,7 +58,7 @@
         let (route, number) = (self.route, self.number);
         let (id, key) = (format!("{MARK}{number:04x}{tries:07x}"), deployment.version());
         let dialect = pondwalk_platform::dialect();
-        let body = format!("{LETHAL_BODY}, {number}");
+        let body = format!("{CRASHING_BODY}, {number}");
         let Ok(request) = request(&dialect, &id, route, key, body) else { return };
         let sent_us = now_us();
         let exchanged = exchange(&mut sender, request, &id, route, &dialect);
--- a/crates/soak/src/roles.rs
+++ b/crates/soak/src/roles.rs
@@ -5,7 +5,9 @@
 use anyhow::Context;
 use nix::unistd::getppid;
 use pondwalk_config::{DirectSettings, RawFile};
-use pondwalk_standin::{backends::Act, memory_store::MemoryStore, platform_server, platform_store};
+use pondwalk_standin::{
+    backends::Behaviour, memory_store::MemoryStore, platform_server, platform_store,
+};
 use tokio::{net::TcpListener, runtime::Builder, task::LocalSet};
 
 /// Events of a stream.
@@ -50,8 +52,8 @@
 
 /// Runs a backend server.
 pub fn server(id: String, address: SocketAddr, streams: bool) -> anyhow::Result<()> {
-    let stream = Act::Stream { last: EVENTS, gap: EVENT_GAP, confidence: None, cut_in: None };
-    let usual = if streams { stream } else { Act::Echo };
+    let stream = Behaviour::Stream { last: EVENTS, gap: EVENT_GAP, confidence: None, cut_in: None };
+    let usual = if streams { stream } else { Behaviour::Echo };
     on_one_thread(async move {
         let listener = TcpListener::bind(address).await.context("the server's port")?;
         Ok(platform_server::serve(id, usual, listener).await?)
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -3,8 +3,8 @@
 use std::{fmt, time::Duration};
 
 use pondwalk_standin::{
-    platform_server::{LIMITING, TURNING_AWAY},
-    platform_store::WeatherOrder,
+    platform_server::{RATE_LIMIT_DURATION, REJECTION_DURATION},
+    platform_store::FaultModeOrder,
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
@@ -39,7 +39,7 @@
     /// An entry stands still for a while.
     Pause(usize, Duration),
     /// Calls to the store fare so for a while.
-    Weather(WeatherOrder, Duration),
+    Weather(FaultModeOrder, Duration),
     /// The store forgets its history.
     Forget,
     /// The store is away for a while, and comes back from a copy that is older by the second time.
@@ -112,8 +112,8 @@
         Act::KillServer(_, time) => time + COLD_TIME,
         Act::Cool(_) => COLD_TIME,
         Act::Stop(_) | Act::Replace(_) | Act::Leave(_) => LONGEST_LEAVING,
-        Act::TurnAway(_) => TURNING_AWAY,
-        Act::Limit(_) => LIMITING,
+        Act::TurnAway(_) => REJECTION_DURATION,
+        Act::Limit(_) => RATE_LIMIT_DURATION,
         Act::Kill(_) => RESTART,
         Act::Forget | Act::Configure | Act::Litter => Duration::ZERO,
         Act::SilenceStore | Act::ResetStore | Act::SilenceServer(_) => Duration::ZERO,
@@ -171,10 +171,10 @@
 fn weather(rng: &mut Pcg64Mcg) -> Act {
     let ms = rng.random_range(300..LONGEST_WEATHER_MS);
     let order = match rng.random_range(0..4) {
-        0 => WeatherOrder::Refused,
-        1 => WeatherOrder::Silent { ms: 30_000 },
-        2 => WeatherOrder::Late { ms: rng.random_range(50..4_000) },
-        _ => WeatherOrder::AnswersLost,
+        0 => FaultModeOrder::Refused,
+        1 => FaultModeOrder::Silent { ms: 30_000 },
+        2 => FaultModeOrder::Late { ms: rng.random_range(50..4_000) },
+        _ => FaultModeOrder::AnswersLost,
     };
     Act::Weather(order, Duration::from_millis(ms))
 }
--- a/crates/soak/tests/checks_notice.rs
+++ b/crates/soak/tests/checks_notice.rs
@@ -4,7 +4,7 @@
 
 use pondwalk_soak::{
     checks::{self, CHECKS, Check},
-    records::{End, Exchange, Records, Route, Run, Span, TimeUs},
+    records::{End, Exchange, Records, Route, RunRecord, Span, TimeUs},
 };
 
 /// Time of the tests, well after the start of all clocks.
@@ -30,9 +30,9 @@
     End::Answered { status, is_whole: true }
 }
 
-fn run(id: &str, at_s: f64) -> Run {
+fn run(id: &str, at_s: f64) -> RunRecord {
     let (server, request) = ("s0".to_owned(), id.to_owned());
-    Run { server, request, ran: true, at_us: at(at_s), ..Run::default() }
+    RunRecord { server, request, ran: true, at_us: at(at_s), ..RunRecord::default() }
 }
 
 /// A run in which all is as promised: ten requests that ran and were answered.
@@ -182,7 +182,7 @@
         records.cold.insert("s1".to_owned(), vec![Span { from_us: at(10.0), to_us: at(16.0) }]);
         for number in 0..requests {
             let at_s = 13.0 + number as f64 * 0.06;
-            let run = Run { server: "s1".to_owned(), ..run(&format!("c{number}"), at_s) };
+            let run = RunRecord { server: "s1".to_owned(), ..run(&format!("c{number}"), at_s) };
             records.runs.push(run);
         }
     };
@@ -306,7 +306,11 @@
             let (id, time) = (format!("l{number}"), 30.0 + 0.25 * f64::from(number));
             records.exchanges.push(exchange(&id, time, answered(200)));
             let server = "s1".to_owned();
-            records.runs.push(Run { server, limit_per_s: Some(limit_per_s), ..run(&id, time) });
+            records.runs.push(RunRecord {
+                server,
+                limit_per_s: Some(limit_per_s),
+                ..run(&id, time)
+            });
         }
     };
     let broken_by = |requests, limit_per_s| {
--- a/crates/standin/src/backends.rs
+++ b/crates/standin/src/backends.rs
@@ -25,7 +25,7 @@
 
 /// Names of the headers that scripts set and look for, in lower case.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct HeaderNames {
     /// Id of the request.
     pub request_id: String,
     /// Server that the request is meant for.
@@ -42,7 +42,7 @@
 
 /// What a server does with one request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Behaviour {
     /// Answers with this status and body.
     Answer(u16, String),
     /// Answers with the request's id, so that callers can tell their own answers.
@@ -61,22 +61,22 @@
     /// Turns the request away without running it.
     NotRun(u16),
     /// Runs it and closes without a word.
-    LoseAnswer,
+    DropResponse,
     /// Runs it and never answers.
     Silent,
     /// Answers as if to another request.
-    AnswerAnother,
+    WrongRequestId,
     /// Answers without its proof.
     Unsigned,
     /// Answers, and sends a second answer behind it.
-    Surplus(String),
+    ExtraResponse(String),
 }
 
 /// One request as a server saw it.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// First line.
-    pub line: String,
+    pub request_line: String,
     /// Headers, names in lower case.
     pub headers: HashMap<String, String>,
     /// Body.
@@ -86,7 +86,7 @@
     /// Whether it was run.
     pub ran: bool,
     /// Further headers that its answer carries.
-    pub told: Vec<(String, String)>,
+    pub extra_headers: Vec<(String, String)>,
     /// Whether the connection was closed before the answer was whole.
     pub cancelled: bool,
 }
@@ -94,90 +94,90 @@
 #[derive(Debug)]
 struct Server {
     id: String,
-    script: RefCell<VecDeque<Act>>,
-    usual: RefCell<Act>,
-    seen: RefCell<Vec<Seen>>,
+    script: RefCell<VecDeque<Behaviour>>,
+    default_behaviour: RefCell<Behaviour>,
+    requests: RefCell<Vec<ReceivedRequest>>,
     /// Headers that all its answers carry besides.
-    tells: RefCell<Vec<(String, String)>>,
+    response_headers: RefCell<Vec<(String, String)>>,
     /// Whether its process has ended, with all that it was working on.
-    ended: Cell<bool>,
-    ending: Notify,
+    has_crashed: Cell<bool>,
+    crash_notify: Notify,
     /// Bytes of streams that were taken from it.
-    taken_bytes: Cell<usize>,
+    streamed_bytes: Cell<usize>,
 }
 
 impl Server {
-    fn end(&self) {
-        self.ended.set(true);
-        self.ending.notify_waiters();
+    fn crash(&self) {
+        self.has_crashed.set(true);
+        self.crash_notify.notify_waiters();
     }
 
     /// Waits until its process ends.
-    async fn has_ended(&self) {
-        let ending = self.ending.notified();
-        if !self.ended.get() {
-            ending.await;
+    async fn crashed(&self) {
+        let crash_notify = self.crash_notify.notified();
+        if !self.has_crashed.get() {
+            crash_notify.await;
         }
     }
 }
 
 /// Told of a server that is back at its address with the identity that it had; returns the one that it has
 /// from now on.
-pub type IsBack = Rc<dyn Fn(SocketAddr, &str) -> String>;
+pub type OnRestart = Rc<dyn Fn(SocketAddr, &str) -> String>;
 
 /// What ends every server that runs it.
 #[derive(Clone)]
-pub struct Lethal {
+pub struct CrashRule {
     /// Beginning of the body of such a request.
     pub body: Vec<u8>,
     /// Time from the beginning of its run until the server ends.
     pub after: Duration,
     /// Time until the server is back.
-    pub back_after: Duration,
+    pub restart_delay: Duration,
     /// Told of each server that is back.
-    pub is_back: IsBack,
+    pub on_restart: OnRestart,
 }
 
 /// A request that ends servers, as it reached one.
 #[derive(Debug, Clone, Copy)]
-pub struct LethalRun {
+pub struct CrashingRun {
     /// When it reached the server.
     pub at: Instant,
     /// When the server ended under it, if it has.
-    pub ended: Option<Instant>,
+    pub crashed_at: Option<Instant>,
 }
 
 /// All servers, by address.
 #[derive(Clone)]
 pub struct Backends {
-    names: Names,
+    header_names: HeaderNames,
     servers: Rc<RefCell<HashMap<SocketAddr, Rc<Server>>>>,
-    lethal: Rc<RefCell<Vec<Lethal>>>,
-    lethal_runs: Rc<RefCell<Vec<LethalRun>>>,
+    crash_rules: Rc<RefCell<Vec<CrashRule>>>,
+    crashing_runs: Rc<RefCell<Vec<CrashingRun>>>,
 }
 
 impl Backends {
     /// No servers yet.
-    pub fn new(names: Names) -> Self {
+    pub fn new(header_names: HeaderNames) -> Self {
         Backends {
-            names,
+            header_names,
             servers: Rc::default(),
-            lethal: Rc::default(),
-            lethal_runs: Rc::default(),
+            crash_rules: Rc::default(),
+            crashing_runs: Rc::default(),
         }
     }
 
-    /// Starts a server that does `usual` unless told otherwise.
-    pub fn start(&self, address: SocketAddr, id: &str, usual: Act) {
+    /// Starts a server that does `default_behaviour` unless told otherwise.
+    pub fn start(&self, address: SocketAddr, id: &str, default_behaviour: Behaviour) {
         let server = Server {
             id: id.to_owned(),
             script: RefCell::default(),
-            usual: RefCell::new(usual),
-            seen: RefCell::default(),
-            tells: RefCell::default(),
-            ended: Cell::new(false),
-            ending: Notify::new(),
-            taken_bytes: Cell::default(),
+            default_behaviour: RefCell::new(default_behaviour),
+            requests: RefCell::default(),
+            response_headers: RefCell::default(),
+            has_crashed: Cell::new(false),
+            crash_notify: Notify::new(),
+            streamed_bytes: Cell::default(),
         };
         self.servers.borrow_mut().insert(address, Rc::new(server));
     }
@@ -190,93 +190,102 @@
     /// Ends a server as a crash does: what it was working on breaks off too.
     pub fn crash(&self, address: SocketAddr) {
         if let Some(server) = self.servers.borrow_mut().remove(&address) {
-            server.end();
+            server.crash();
         }
     }
 
     /// Lets a request end every server that runs it from now on.
-    pub fn add_lethal(&self, lethal: Lethal) {
-        self.lethal.borrow_mut().push(lethal);
+    pub fn add_crash_rule(&self, rule: CrashRule) {
+        self.crash_rules.borrow_mut().push(rule);
     }
 
     /// Lets all requests go well from now on.
-    pub fn clear_lethal(&self) {
-        self.lethal.borrow_mut().clear();
+    pub fn clear_crash_rules(&self) {
+        self.crash_rules.borrow_mut().clear();
     }
 
     /// Requests of that kind that have reached servers, in order.
-    pub fn lethal_runs(&self) -> Vec<LethalRun> {
-        self.lethal_runs.borrow().clone()
+    pub fn crashing_runs(&self) -> Vec<CrashingRun> {
+        self.crashing_runs.borrow().clone()
     }
 
     /// Notes such a request, and ends its server some time later. Returns whether it is one.
-    fn meet_lethal(&self, address: SocketAddr, server: &Rc<Server>, seen: &Seen) -> bool {
-        let lethal =
-            self.lethal.borrow().iter().find(|one| seen.body.starts_with(&one.body)).cloned();
-        let Some(lethal) = lethal else { return false };
-        let place = self.lethal_runs.borrow().len();
-        self.lethal_runs.borrow_mut().push(LethalRun { at: Instant::now(), ended: None });
+    fn apply_crash_rule(
+        &self,
+        address: SocketAddr,
+        server: &Rc<Server>,
+        request: &ReceivedRequest,
+    ) -> bool {
+        let rule = self
+            .crash_rules
+            .borrow()
+            .iter()
+            .find(|rule| request.body.starts_with(&rule.body))
+            .cloned();
+        let Some(rule) = rule else { return false };
+        let index = self.crashing_runs.borrow().len();
+        self.crashing_runs.borrow_mut().push(CrashingRun { at: Instant::now(), crashed_at: None });
         let (backends, server) = (self.clone(), Rc::clone(server));
         spawn_local(async move {
-            sleep(lethal.after).await;
-            if server.ended.get() {
+            sleep(rule.after).await;
+            if server.has_crashed.get() {
                 return;
             }
-            backends.lethal_runs.borrow_mut()[place].ended = Some(Instant::now());
+            backends.crashing_runs.borrow_mut()[index].crashed_at = Some(Instant::now());
             backends.crash(address);
-            sleep(lethal.back_after).await;
-            let id = (lethal.is_back)(address, &server.id);
-            let usual = server.usual.borrow().clone();
-            backends.start(address, &id, usual);
+            sleep(rule.restart_delay).await;
+            let id = (rule.on_restart)(address, &server.id);
+            let default_behaviour = server.default_behaviour.borrow().clone();
+            backends.start(address, &id, default_behaviour);
         });
         true
     }
 
     /// Tells a server what to do with its next requests.
-    pub fn script(&self, address: SocketAddr, acts: impl IntoIterator<Item = Act>) {
+    pub fn script(&self, address: SocketAddr, behaviours: impl IntoIterator<Item = Behaviour>) {
         if let Some(server) = self.servers.borrow().get(&address) {
-            server.script.borrow_mut().extend(acts);
+            server.script.borrow_mut().extend(behaviours);
         }
     }
 
     /// Lets all answers of a server carry a header from now on, in place of one of that name.
-    pub fn tell(&self, address: SocketAddr, name: &str, value: &str) {
-        self.tell_no_more(address, name);
+    pub fn set_header(&self, address: SocketAddr, name: &str, value: &str) {
+        self.remove_header(address, name);
         if let Some(server) = self.servers.borrow().get(&address) {
-            server.tells.borrow_mut().push((name.to_owned(), value.to_owned()));
+            server.response_headers.borrow_mut().push((name.to_owned(), value.to_owned()));
         }
     }
 
     /// Takes a header off the answers of a server.
-    pub fn tell_no_more(&self, address: SocketAddr, name: &str) {
+    pub fn remove_header(&self, address: SocketAddr, name: &str) {
         if let Some(server) = self.servers.borrow().get(&address) {
-            server.tells.borrow_mut().retain(|(told, _)| told != name);
+            server.response_headers.borrow_mut().retain(|(existing, _)| existing != name);
         }
     }
 
     /// Lets a server do something else with its requests from now on.
-    pub fn does(&self, address: SocketAddr, usual: Act) {
+    pub fn set_behaviour(&self, address: SocketAddr, default_behaviour: Behaviour) {
         if let Some(server) = self.servers.borrow().get(&address) {
-            server.usual.replace(usual);
+            server.default_behaviour.replace(default_behaviour);
         }
     }
 
     /// Bytes of streams that were taken from a server.
-    pub fn taken_bytes(&self, address: SocketAddr) -> usize {
-        self.servers.borrow().get(&address).map_or(0, |server| server.taken_bytes.get())
+    pub fn streamed_bytes(&self, address: SocketAddr) -> usize {
+        self.servers.borrow().get(&address).map_or(0, |server| server.streamed_bytes.get())
     }
 
     /// Requests that a server has read.
-    pub fn seen(&self, address: SocketAddr) -> Vec<Seen> {
+    pub fn requests(&self, address: SocketAddr) -> Vec<ReceivedRequest> {
         let servers = self.servers.borrow();
-        servers.get(&address).map(|server| server.seen.borrow().clone()).unwrap_or_default()
+        servers.get(&address).map(|server| server.requests.borrow().clone()).unwrap_or_default()
     }
 
     /// The same from the one at `from` on.
-    pub fn seen_from(&self, address: SocketAddr, from: usize) -> Vec<Seen> {
+    pub fn requests_from(&self, address: SocketAddr, from: usize) -> Vec<ReceivedRequest> {
         let servers = self.servers.borrow();
-        let seen = servers.get(&address).map(|server| server.seen.borrow());
-        seen.map(|seen| seen.iter().skip(from).cloned().collect()).unwrap_or_default()
+        let requests = servers.get(&address).map(|server| server.requests.borrow());
+        requests.map(|requests| requests.iter().skip(from).cloned().collect()).unwrap_or_default()
     }
 
     /// Runs at all servers.
@@ -284,7 +293,7 @@
         let servers = self.servers.borrow();
         let runs = servers
             .values()
-            .map(|server| server.seen.borrow().iter().filter(|seen| seen.ran).count());
+            .map(|server| server.requests.borrow().iter().filter(|request| request.ran).count());
         runs.sum()
     }
 
@@ -297,7 +306,7 @@
         spawn_local(async move {
             select! {
                 biased;
-                () = server.has_ended() => {}
+                () = server.crashed() => {}
                 () = backends.serve(address, &server, far) => {}
             }
         });
@@ -305,84 +314,94 @@
     }
 
     async fn serve(&self, address: SocketAddr, server: &Rc<Server>, io: DuplexStream) {
-        serve(server, &self.names, io, |seen| self.meet_lethal(address, server, seen)).await;
+        serve(server, &self.header_names, io, |request| {
+            self.apply_crash_rule(address, server, request)
+        })
+        .await;
     }
 }
 
 async fn serve(
     server: &Server,
-    names: &Names,
+    header_names: &HeaderNames,
     mut io: DuplexStream,
-    is_lethal: impl FnOnce(&Seen) -> bool,
+    crashes_server: impl FnOnce(&ReceivedRequest) -> bool,
 ) {
-    let Some(seen) = read_request(&mut io).await else { return };
+    let Some(request) = read_request(&mut io).await else { return };
     let scripted = server.script.borrow_mut().pop_front();
-    let mut act = scripted.unwrap_or_else(|| server.usual.borrow().clone());
-    let expected = seen.headers.get(&names.expected_server);
-    let another = expected.is_some_and(|expected| *expected != server.id);
-    let ran = !another && !matches!(act, Act::NotRun(_));
-    let index = server.seen.borrow().len();
-    let told = server.tells.borrow().clone();
-    server.seen.borrow_mut().push(Seen { ran, told, at: Some(Instant::now()), ..seen.clone() });
-    if ran && is_lethal(&seen) && !matches!(act, Act::Stream { .. }) {
-        act = Act::Silent;
+    let mut behaviour = scripted.unwrap_or_else(|| server.default_behaviour.borrow().clone());
+    let expected = request.headers.get(&header_names.expected_server);
+    let is_misdirected = expected.is_some_and(|expected| *expected != server.id);
+    let ran = !is_misdirected && !matches!(behaviour, Behaviour::NotRun(_));
+    let index = server.requests.borrow().len();
+    let extra_headers = server.response_headers.borrow().clone();
+    server.requests.borrow_mut().push(ReceivedRequest {
+        ran,
+        extra_headers,
+        at: Some(Instant::now()),
+        ..request.clone()
+    });
+    if ran && crashes_server(&request) && !matches!(behaviour, Behaviour::Stream { .. }) {
+        behaviour = Behaviour::Silent;
     }
-    let act = if another { Act::NotRun(421) } else { act };
-    let told = told_by(server);
-    let taken_bytes = &server.taken_bytes;
-    let reply = Reply { names, seen: &seen, told: &told, taken_bytes };
-    let whole = answer(&reply, &act, &mut io).await.is_ok();
-    server.seen.borrow_mut()[index].cancelled = !whole;
+    let behaviour = if is_misdirected { Behaviour::NotRun(421) } else { behaviour };
+    let extra_headers = header_lines(server);
+    let streamed_bytes = &server.streamed_bytes;
+    let reply =
+        Reply { header_names, request: &request, extra_headers: &extra_headers, streamed_bytes };
+    let whole = answer(&reply, &behaviour, &mut io).await.is_ok();
+    server.requests.borrow_mut()[index].cancelled = !whole;
 }
 
 /// Lines of a head that a server's answers carry besides.
-fn told_by(server: &Server) -> String {
-    let tells = server.tells.borrow();
-    tells.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect()
+fn header_lines(server: &Server) -> String {
+    let response_headers = server.response_headers.borrow();
+    response_headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect()
 }
 
 /// What an answer is made from.
 struct Reply<'a> {
-    names: &'a Names,
-    seen: &'a Seen,
+    header_names: &'a HeaderNames,
+    request: &'a ReceivedRequest,
     /// Further lines of its head.
-    told: &'a str,
+    extra_headers: &'a str,
     /// Bytes of streams that were taken so far.
-    taken_bytes: &'a Cell<usize>,
+    streamed_bytes: &'a Cell<usize>,
 }
 
-async fn answer(reply: &Reply<'_>, act: &Act, io: &mut DuplexStream) -> io::Result<()> {
-    let Reply { names, seen, told, .. } = reply;
-    match act {
-        Act::Echo => io.write_all(&plain(reply, 200, id_of(names, seen))).await,
-        Act::Answer(status, body) => io.write_all(&plain(reply, *status, body)).await,
-        Act::Surplus(body) => {
+async fn answer(reply: &Reply<'_>, behaviour: &Behaviour, io: &mut DuplexStream) -> io::Result<()> {
+    let Reply { header_names, request, extra_headers, .. } = reply;
+    match behaviour {
+        Behaviour::Echo => io.write_all(&plain(reply, 200, id_of(header_names, request))).await,
+        Behaviour::Answer(status, body) => io.write_all(&plain(reply, *status, body)).await,
+        Behaviour::ExtraResponse(body) => {
             io.write_all(&plain(reply, 200, body)).await?;
             io.write_all(&plain(reply, 200, "surplus")).await
         }
-        Act::NotRun(status) => {
-            let not_run = &names.not_run;
-            let head =
-                format!("HTTP/1.1 {status} X\r\n{not_run}: 1\r\n{told}content-length: 0\r\n\r\n");
+        Behaviour::NotRun(status) => {
+            let not_run = &header_names.not_run;
+            let head = format!(
+                "HTTP/1.1 {status} X\r\n{not_run}: 1\r\n{extra_headers}content-length: 0\r\n\r\n"
+            );
             io.write_all(head.as_bytes()).await
         }
-        Act::LoseAnswer => Ok(()),
-        Act::Silent => wait_for_close(io).await,
-        Act::AnswerAnother => {
-            let mut other = (*seen).clone();
-            other.headers.insert(names.request_id.clone(), "another".into());
-            let reply = Reply { seen: &other, ..*reply };
+        Behaviour::DropResponse => Ok(()),
+        Behaviour::Silent => wait_for_close(io).await,
+        Behaviour::WrongRequestId => {
+            let mut other = (*request).clone();
+            other.headers.insert(header_names.request_id.clone(), "another".into());
+            let reply = Reply { request: &other, ..*reply };
             io.write_all(&plain(&reply, 200, "another's")).await
         }
-        Act::Unsigned => {
-            let id = id_of(names, seen);
+        Behaviour::Unsigned => {
+            let id = id_of(header_names, request);
             let head = format!(
-                "HTTP/1.1 200 X\r\n{}: {id}\r\n{told}content-length: 2\r\n\r\nno",
-                names.request_id
+                "HTTP/1.1 200 X\r\n{}: {id}\r\n{extra_headers}content-length: 2\r\n\r\nno",
+                header_names.request_id
             );
             io.write_all(head.as_bytes()).await
         }
-        Act::Stream { last, gap, confidence, cut_in } => {
+        Behaviour::Stream { last, gap, confidence, cut_in } => {
             stream(reply, (*last, *gap, *confidence, *cut_in), io).await
         }
     }
@@ -393,19 +412,23 @@
     (last, gap, confidence, cut_in): (u32, Duration, Option<u8>, Option<u32>),
     io: &mut DuplexStream,
 ) -> io::Result<()> {
-    let Reply { names, seen, told, taken_bytes } = reply;
+    let Reply { header_names, request, extra_headers, streamed_bytes } = reply;
     let mut head = format!(
-        "HTTP/1.1 200 X\r\n{}: {}\r\n{}: proof\r\n{told}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n",
-        names.request_id,
-        id_of(names, seen),
-        names.signature,
+        "HTTP/1.1 200 X\r\n{}: {}\r\n{}: proof\r\n{extra_headers}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n",
+        header_names.request_id,
+        id_of(header_names, request),
+        header_names.signature,
     );
     if let Some(confidence) = confidence {
-        head.push_str(&format!("{}: {confidence}\r\n", names.confidence));
+        head.push_str(&format!("{}: {confidence}\r\n", header_names.confidence));
     }
     head.push_str("\r\n");
     io.write_all(head.as_bytes()).await?;
-    let from = seen.headers.get(&names.last_event_id).and_then(|id| id.parse().ok()).unwrap_or(0);
+    let from = request
+        .headers
+        .get(&header_names.last_event_id)
+        .and_then(|id| id.parse().ok())
+        .unwrap_or(0);
     for number in from + 1..=last {
         sleep(gap).await;
         let event = format!("id: {number}\ndata: piece {number}\n\n");
@@ -415,7 +438,7 @@
             return Ok(());
         }
         io.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await?;
-        taken_bytes.set(taken_bytes.get() + event.len());
+        streamed_bytes.set(streamed_bytes.get() + event.len());
     }
     io.write_all(b"0\r\n\r\n").await
 }
@@ -428,22 +451,22 @@
 }
 
 fn plain(reply: &Reply<'_>, status: u16, body: &str) -> Vec<u8> {
-    let Reply { names, seen, told, .. } = reply;
+    let Reply { header_names, request, extra_headers, .. } = reply;
     let head = format!(
-        "HTTP/1.1 {status} X\r\n{}: {}\r\n{}: proof\r\n{told}content-length: {}\r\n\r\n{body}",
-        names.request_id,
-        id_of(names, seen),
-        names.signature,
+        "HTTP/1.1 {status} X\r\n{}: {}\r\n{}: proof\r\n{extra_headers}content-length: {}\r\n\r\n{body}",
+        header_names.request_id,
+        id_of(header_names, request),
+        header_names.signature,
         body.len(),
     );
     head.into_bytes()
 }
 
-fn id_of<'a>(names: &Names, seen: &'a Seen) -> &'a str {
-    seen.headers.get(&names.request_id).map(String::as_str).unwrap_or_default()
+fn id_of<'a>(header_names: &HeaderNames, request: &'a ReceivedRequest) -> &'a str {
+    request.headers.get(&header_names.request_id).map(String::as_str).unwrap_or_default()
 }
 
-async fn read_request(io: &mut DuplexStream) -> Option<Seen> {
+async fn read_request(io: &mut DuplexStream) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     let end = loop {
         if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -455,7 +478,7 @@
     };
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let mut lines = head.split("\r\n");
-    let line = lines.next()?.to_owned();
+    let request_line = lines.next()?.to_owned();
     let pairs = lines.filter_map(|line| line.split_once(':'));
     let headers: HashMap<String, String> =
         pairs.map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned())).collect();
@@ -466,5 +489,5 @@
             return None;
         }
     }
-    Some(Seen { line, headers, body, ..Seen::default() })
+    Some(ReceivedRequest { request_line, headers, body, ..ReceivedRequest::default() })
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -75,13 +75,13 @@
 
 /// What became of a request at the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineEnd {
+pub enum RunStatus {
     /// It is still running, or its caller went away.
-    Open,
+    Running,
     /// It ended whole.
-    Whole,
+    Completed,
     /// It failed or broke off.
-    Broken,
+    Failed,
 }
 
 /// One line of the engine's own log.
@@ -92,7 +92,7 @@
     /// Version that ran it.
     pub version: String,
     /// What became of it.
-    pub end: EngineEnd,
+    pub status: RunStatus,
 }
 
 #[derive(Debug, Default)]
@@ -103,12 +103,12 @@
     orders: Mutex<Orders>,
 }
 
-/// Orders taken, and whether their fence is checked.
+/// Orders accepted, and whether their fence is checked.
 #[derive(Debug, Default)]
 struct Orders {
     checks_fence: bool,
     highest_fence: u64,
-    taken: Vec<EngineOrder>,
+    accepted: Vec<EngineOrder>,
 }
 
 /// One line of the engine's log of orders.
@@ -138,7 +138,7 @@
         let shared = Arc::new(Shared { profiles: Mutex::new(profiles), ..Shared::default() });
         let route = Route::new()
             .at("/v1/chat/completions", post(complete))
-            .at("/v1/orders", post(take_order))
+            .at("/v1/orders", post(accept_order))
             .data(shared.clone());
         Ok(Engine { shared, listening: listen(address, route).await? })
     }
@@ -154,13 +154,13 @@
     }
 
     /// Makes it check the fence of orders.
-    pub fn check_fences(&self) {
+    pub fn enable_fence_check(&self) {
         lock(&self.shared.orders).checks_fence = true;
     }
 
     /// Orders that it carried out.
     pub fn orders(&self) -> Vec<EngineOrder> {
-        lock(&self.shared.orders).taken.clone()
+        lock(&self.shared.orders).accepted.clone()
     }
 
     /// Its own log so far.
@@ -183,7 +183,7 @@
     let id = request.header(REQUEST_ID_HEADER).unwrap_or_default().to_owned();
     let line = log_start(&shared, id, version.clone());
     if faults.fail {
-        log_end(&shared, line, EngineEnd::Broken);
+        log_end(&shared, line, RunStatus::Failed);
         return status(StatusCode::INTERNAL_SERVER_ERROR);
     }
     let answer = Answer::new(&body, version, profile, faults);
@@ -193,8 +193,8 @@
         async move {
             let mut answer = answer?;
             let event = answer.next_event().await;
-            if let Some(end) = answer.end() {
-                log_end(&shared, line, end);
+            if let Some(status) = answer.final_status() {
+                log_end(&shared, line, status);
             }
             Some((event?, Some(answer)))
         }
@@ -207,7 +207,7 @@
 }
 
 #[handler]
-async fn take_order(body: Body, shared: Data<&Arc<Shared>>) -> Response {
+async fn accept_order(body: Body, shared: Data<&Arc<Shared>>) -> Response {
     let body: Value = body.into_json().await.unwrap_or_default();
     let order = EngineOrder {
         fence: body["fence"].as_u64().unwrap_or(0),
@@ -225,18 +225,18 @@
     } else if let Some(profile) = profiles.values().next().copied() {
         profiles.entry(order.version.clone()).or_insert(profile);
     }
-    orders.taken.push(order);
+    orders.accepted.push(order);
     status(StatusCode::OK)
 }
 
 fn log_start(shared: &Shared, request: String, version: String) -> usize {
     let mut log = lock(&shared.log);
-    log.push(EngineLogLine { request, version, end: EngineEnd::Open });
+    log.push(EngineLogLine { request, version, status: RunStatus::Running });
     log.len() - 1
 }
 
-fn log_end(shared: &Shared, line: usize, end: EngineEnd) {
-    lock(&shared.log)[line].end = end;
+fn log_end(shared: &Shared, line: usize, status: RunStatus) {
+    lock(&shared.log)[line].status = status;
 }
 
 fn status(status: StatusCode) -> Response {
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-use super::{EngineEnd, EngineFaults, VersionProfile};
+use super::{EngineFaults, RunStatus, VersionProfile};
 
 /// Spread of qualities around the version's mean.
 const QUALITY_SPREAD: f64 = 0.08;
@@ -21,7 +21,7 @@
     prompt_tokens: u64,
     tokens: u64,
     sent: u64,
-    end: Option<EngineEnd>,
+    status: Option<RunStatus>,
     closed: bool,
 }
 
@@ -46,14 +46,14 @@
             profile,
             faults,
             sent: 0,
-            end: None,
+            status: None,
             closed: false,
         }
     }
 
     /// How it ended, once it has.
-    pub fn end(&self) -> Option<EngineEnd> {
-        self.end
+    pub fn final_status(&self) -> Option<RunStatus> {
+        self.status
     }
 
     /// The next event, or `None` once all are out; an error breaks the connection.
@@ -63,12 +63,12 @@
         }
         if self.faults.cut_after == Some(self.sent) {
             self.closed = true;
-            self.end = Some(EngineEnd::Broken);
+            self.status = Some(RunStatus::Failed);
             return Some(Err(io::ErrorKind::ConnectionReset.into()));
         }
         if self.sent == self.tokens {
             self.closed = true;
-            self.end = Some(EngineEnd::Whole);
+            self.status = Some(RunStatus::Completed);
             return Some(Ok(self.last_events()));
         }
         self.pause().await;
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -120,7 +120,7 @@
         let (reply, wrote) = self.answer(path, &body)?;
         if wrote {
             self.shared.changed.notify_waiters();
-            return self.unless_lost(reply);
+            return self.apply_lost_answer(reply);
         }
         Ok(reply)
     }
@@ -139,7 +139,7 @@
         }
     }
 
-    fn unless_lost(&self, reply: String) -> Result<String, StoreError> {
+    fn apply_lost_answer(&self, reply: String) -> Result<String, StoreError> {
         let mut faults = lock(&self.shared.faults);
         if faults.lost_answers == 0 {
             return Ok(reply);
--- a/crates/standin/src/memory_store.rs
+++ b/crates/standin/src/memory_store.rs
@@ -22,10 +22,10 @@
 
 /// How calls fare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Weather {
+pub enum FaultMode {
     /// They are answered at once.
     #[default]
-    Fair,
+    Normal,
     /// They are refused; nothing is done.
     Refused,
     /// They get no answer for this long, and then fail; nothing is done.
@@ -35,36 +35,36 @@
     /// They are done at once, and answered after this long.
     Late(Duration),
     /// Answers come over a link that carries so many bytes a second, one after the other.
-    Narrow(u64),
+    LimitedBandwidth(u64),
     /// Writes take effect, and their answers are lost.
     AnswersLost,
 }
 
 /// Time after which writers give up an answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of an answer that a narrow link carries before those of another.
-const PIECE_BYTES: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// What a change did.
-type Written = Option<Vec<u8>>;
+type NewValue = Option<Vec<u8>>;
 
 #[derive(Debug, Default)]
 struct State {
-    weather: Weather,
+    fault_mode: FaultMode,
     era: Era,
     revision: u64,
     keys: BTreeMap<String, (Vec<u8>, u64)>,
-    history: Vec<(u64, String, Written)>,
-    forgotten: u64,
+    history: Vec<(u64, String, NewValue)>,
+    dropped_up_to: u64,
     calls: u64,
 }
 
 /// What the store held at some time.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     revision: u64,
     keys: BTreeMap<String, (Vec<u8>, u64)>,
-    history: Vec<(u64, String, Written)>,
+    history: Vec<(u64, String, NewValue)>,
 }
 
 /// The store.
@@ -73,9 +73,9 @@
     state: Rc<RefCell<State>>,
     changed: Rc<Notify>,
     /// How the calls on this way fare, if otherwise than all calls.
-    own_weather: Rc<Cell<Option<Weather>>>,
+    connection_fault_mode: Rc<Cell<Option<FaultMode>>>,
     /// When the link on this way will have carried all answers so far.
-    link_free: Rc<Cell<Option<Instant>>>,
+    link_free_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl MemoryStore {
@@ -101,23 +101,27 @@
     }
 
     /// Sets how calls fare from now on.
-    pub fn set_weather(&self, weather: Weather) {
-        self.state.borrow_mut().weather = weather;
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        self.state.borrow_mut().fault_mode = fault_mode;
         self.changed.notify_waiters();
     }
 
     /// The same store on a way of its own, which can fare differently.
-    pub fn another_way(&self) -> MemoryStore {
-        MemoryStore { own_weather: Rc::default(), link_free: Rc::default(), ..self.clone() }
+    pub fn new_connection(&self) -> MemoryStore {
+        MemoryStore {
+            connection_fault_mode: Rc::default(),
+            link_free_at: Rc::default(),
+            ..self.clone()
+        }
     }
 
     /// Sets how calls on this way fare from now on.
-    pub fn set_own_weather(&self, weather: Weather) {
-        self.own_weather.set(Some(weather));
+    pub fn set_connection_fault_mode(&self, fault_mode: FaultMode) {
+        self.connection_fault_mode.set(Some(fault_mode));
         self.changed.notify_waiters();
     }
 
-    /// Writes a key, as operators and servers do, whatever the weather.
+    /// Writes a key, as operators and servers do, whatever the fault_mode.
     pub fn put(&self, key: &str, value: &str) {
         self.state.borrow_mut().apply(key, Some(value.as_bytes().to_vec()));
         self.changed.notify_waiters();
@@ -137,18 +141,18 @@
     }
 
     /// Drops the history up to now.
-    pub fn forget_history(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
-        state.forgotten = state.revision;
+        state.dropped_up_to = state.revision;
         state.history.clear();
         drop(state);
         self.changed.notify_waiters();
     }
 
     /// What the store holds now, to be restored later.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.state.borrow();
-        StoreCopy {
+        StoreSnapshot {
             revision: state.revision,
             keys: state.keys.clone(),
             history: state.history.clone(),
@@ -157,25 +161,29 @@
 
     /// Goes back to a copy, in an era of its own. What was written since is gone, and its revisions
     /// are given out again.
-    pub fn restore(&self, copy: StoreCopy) {
+    pub fn restore(&self, snapshot: StoreSnapshot) {
         let mut state = self.state.borrow_mut();
         state.era += 1;
-        state.revision = copy.revision;
-        state.keys = copy.keys;
-        state.history = copy.history;
+        state.revision = snapshot.revision;
+        state.keys = snapshot.keys;
+        state.history = snapshot.history;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Goes back to a copy, after which the keys that `is_written_again` names are written as they were.
-    pub fn restore_but(&self, copy: StoreCopy, is_written_again: impl Fn(&str) -> bool) {
+    /// Goes back to a copy, after which the keys that `is_rewritten` names are written as they were.
+    pub fn restore_and_rewrite(
+        &self,
+        snapshot: StoreSnapshot,
+        is_rewritten: impl Fn(&str) -> bool,
+    ) {
         let written = |keys: &BTreeMap<String, (Vec<u8>, u64)>| -> BTreeMap<String, Vec<u8>> {
-            let own = keys.iter().filter(|(key, _)| is_written_again(key));
+            let own = keys.iter().filter(|(key, _)| is_rewritten(key));
             own.map(|(key, (value, _))| (key.clone(), value.clone())).collect()
         };
         let before = written(&self.state.borrow().keys);
-        let copied = written(&copy.keys);
-        self.restore(copy);
+        let copied = written(&snapshot.keys);
+        self.restore(snapshot);
         let mut state = self.state.borrow_mut();
         for key in copied.keys().filter(|key| !before.contains_key(*key)) {
             state.apply(key, None);
@@ -200,9 +208,9 @@
     }
 
     async fn list(&self, prefix: &str, progress: &ReadProgress) -> Result<Listing, StoreError> {
-        self.meet_weather().await?;
+        self.apply_fault_mode().await?;
         let listing = self.state.borrow().listing(prefix);
-        self.carry(listing.entries.iter().map(|entry| entry.value.len()).sum(), progress).await;
+        self.transfer(listing.entries.iter().map(|entry| entry.value.len()).sum(), progress).await;
         Ok(listing)
     }
 
@@ -213,59 +221,59 @@
         wait: Duration,
         progress: &ReadProgress,
     ) -> Result<WatchReply, StoreError> {
-        self.meet_weather().await?;
+        self.apply_fault_mode().await?;
         let until = Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
             let reply = self.state.borrow().changes(prefix, since);
             if let Some(reply) = reply {
-                self.carry(reply_bytes(&reply), progress).await;
+                self.transfer(reply_bytes(&reply), progress).await;
                 return Ok(reply);
             }
             if timeout_at(until, changed).await.is_err() {
                 let position = self.state.borrow().position();
-                self.carry(0, progress).await;
+                self.transfer(0, progress).await;
                 return Ok(WatchReply::Changes(Vec::new(), position));
             }
-            if !self.weather().lets_watches_wait() {
-                return self.meet_weather().await.and(Err(StoreError::ResponseLost));
+            if !self.fault_mode().allows_watches_to_wait() {
+                return self.apply_fault_mode().await.and(Err(StoreError::ResponseLost));
             }
         }
     }
 
     async fn commit(&self, changes: Vec<Change>) -> Result<Position, StoreError> {
-        self.meet_weather().await?;
-        let done = self.state.borrow_mut().commit(changes);
-        if done.is_ok() {
+        self.apply_fault_mode().await?;
+        let result = self.state.borrow_mut().commit(changes);
+        if result.is_ok() {
             self.changed.notify_waiters();
         }
-        match self.weather() {
-            Weather::AnswersLost if done.is_ok() => return Err(StoreError::ResponseLost),
-            Weather::Late(time) => {
-                sleep(time.min(WRITE_LIMIT)).await;
-                if time > WRITE_LIMIT {
+        match self.fault_mode() {
+            FaultMode::AnswersLost if result.is_ok() => return Err(StoreError::ResponseLost),
+            FaultMode::Late(time) => {
+                sleep(time.min(WRITE_TIMEOUT)).await;
+                if time > WRITE_TIMEOUT {
                     return Err(StoreError::ResponseLost);
                 }
             }
             _ => {}
         }
-        done
+        result
     }
 
-    fn weather(&self) -> Weather {
-        self.own_weather.get().unwrap_or(self.state.borrow().weather)
+    fn fault_mode(&self) -> FaultMode {
+        self.connection_fault_mode.get().unwrap_or(self.state.borrow().fault_mode)
     }
 
-    async fn meet_weather(&self) -> Result<(), StoreError> {
+    async fn apply_fault_mode(&self) -> Result<(), StoreError> {
         self.state.borrow_mut().calls += 1;
-        match self.weather() {
-            weather if weather.lets_watches_wait() => Ok(()),
-            Weather::Refused => Err(StoreError::Unreachable),
-            Weather::Silent(time) => {
+        match self.fault_mode() {
+            fault_mode if fault_mode.allows_watches_to_wait() => Ok(()),
+            FaultMode::Refused => Err(StoreError::Unreachable),
+            FaultMode::Silent(time) => {
                 sleep(time).await;
                 Err(StoreError::ResponseLost)
             }
-            Weather::Slow(time) => {
+            FaultMode::Slow(time) => {
                 sleep(time).await;
                 Ok(())
             }
@@ -274,35 +282,37 @@
     }
 
     /// Lets an answer of so many bytes come over the link.
-    async fn carry(&self, bytes: usize, progress: &ReadProgress) {
-        match self.weather() {
-            Weather::Late(time) => sleep(time).await,
-            Weather::Narrow(bytes_per_s) => self.carry_narrowly(bytes, bytes_per_s, progress).await,
+    async fn transfer(&self, bytes: usize, progress: &ReadProgress) {
+        match self.fault_mode() {
+            FaultMode::Late(time) => sleep(time).await,
+            FaultMode::LimitedBandwidth(bytes_per_s) => {
+                self.transfer_at_rate(bytes, bytes_per_s, progress).await
+            }
             _ => {}
         }
     }
 
     /// Lets it come in pieces, between which those of other answers come.
-    async fn carry_narrowly(&self, bytes: usize, bytes_per_s: u64, progress: &ReadProgress) {
+    async fn transfer_at_rate(&self, bytes: usize, bytes_per_s: u64, progress: &ReadProgress) {
         let mut left = bytes;
         while left > 0 {
-            let piece = left.min(PIECE_BYTES);
-            let time = Duration::from_secs_f64(piece as f64 / bytes_per_s as f64);
+            let chunk = left.min(CHUNK_BYTES);
+            let time = Duration::from_secs_f64(chunk as f64 / bytes_per_s as f64);
             let now = Instant::now();
-            let done = self.link_free.get().map_or(now, |free| free.max(now)) + time;
-            self.link_free.set(Some(done));
+            let done = self.link_free_at.get().map_or(now, |free| free.max(now)) + time;
+            self.link_free_at.set(Some(done));
             sleep_until(done).await;
-            progress.record(piece);
-            left -= piece;
+            progress.record(chunk);
+            left -= chunk;
         }
     }
 }
 
-impl Weather {
+impl FaultMode {
     /// Whether a watch that has found nothing yet goes on waiting in it.
-    fn lets_watches_wait(self) -> bool {
-        let undisturbed = matches!(self, Weather::Fair | Weather::AnswersLost);
-        undisturbed || matches!(self, Weather::Late(_) | Weather::Narrow(_))
+    fn allows_watches_to_wait(self) -> bool {
+        let is_undelayed = matches!(self, FaultMode::Normal | FaultMode::AnswersLost);
+        is_undelayed || matches!(self, FaultMode::Late(_) | FaultMode::LimitedBandwidth(_))
     }
 }
 
@@ -333,14 +343,14 @@
 
     /// Makes all changes, if all their conditions hold.
     fn commit(&mut self, changes: Vec<Change>) -> Result<Position, StoreError> {
-        let holds = changes.iter().all(|change| {
+        let conditions_hold = changes.iter().all(|change| {
             let current = self.keys.get(&change.key).map(|(_, revision)| *revision);
             match change.expect {
                 Expect::Absent => current.is_none(),
                 Expect::Revision(revision) => current == Some(revision),
             }
         });
-        if !holds {
+        if !conditions_hold {
             return Err(StoreError::Conflict);
         }
         for change in changes {
@@ -349,7 +359,7 @@
         Ok(self.position())
     }
 
-    fn apply(&mut self, key: &str, value: Written) {
+    fn apply(&mut self, key: &str, value: NewValue) {
         self.revision += 1;
         let revision = self.revision;
         self.history.push((revision, key.to_owned(), value.clone()));
@@ -365,7 +375,7 @@
 
     /// What a watch after `since` has to tell, if anything.
     fn changes(&self, prefix: &str, since: u64) -> Option<WatchReply> {
-        if since < self.forgotten || since > self.revision {
+        if since < self.dropped_up_to || since > self.revision {
             return Some(WatchReply::HistoryGone);
         }
         let newer = self.history.iter().filter(|(revision, _, _)| *revision > since);
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -24,25 +24,25 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, task::spawn_local, time::sleep};
 
-use crate::memory_store::{MemoryStore, StoreCopy, Weather};
+use crate::memory_store::{FaultMode, MemoryStore, StoreSnapshot};
 
 /// Keys in one page of a reading.
-const PAGE: usize = 50;
+const PAGE_KEYS: usize = 50;
 /// Header in which each answer names the era of the store.
 const ERA_HEADER: &str = "store-era";
-/// Time between two copies of the store.
-const COPY_INTERVAL: Duration = Duration::from_millis(250);
-/// Copies that are kept.
-const MOST_COPIES: usize = 32;
+/// Time between two snapshots of the store.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// Snapshots that are kept.
+const MAX_SNAPSHOTS: usize = 32;
 /// Starts of the keys that operators and servers write again after a restoration.
-const WRITTEN_AGAIN: [&str; 2] = ["op/", "servers/"];
+const REWRITTEN_PREFIXES: [&str; 2] = ["op/", "servers/"];
 /// Start of the paths of orders.
 const ORDER_PREFIX: &str = "/order/";
 
 /// An order on how calls are to fare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum WeatherOrder {
+pub enum FaultModeOrder {
     /// They are answered at once.
     Fair,
     /// They are refused.
@@ -52,30 +52,30 @@
         /// Until the connection is closed.
         ms: u64,
     },
-    /// They are done at once and answered so many milliseconds later.
+    /// They are is_applied at once and answered so many milliseconds later.
     Late {
         /// Until the answer.
         ms: u64,
     },
-    /// Writes are done and not answered.
+    /// Writes are is_applied and not answered.
     AnswersLost,
 }
 
-impl From<WeatherOrder> for Weather {
-    fn from(order: WeatherOrder) -> Self {
+impl From<FaultModeOrder> for FaultMode {
+    fn from(order: FaultModeOrder) -> Self {
         match order {
-            WeatherOrder::Fair => Weather::Fair,
-            WeatherOrder::Refused => Weather::Refused,
-            WeatherOrder::Silent { ms } => Weather::Silent(Duration::from_millis(ms)),
-            WeatherOrder::Late { ms } => Weather::Late(Duration::from_millis(ms)),
-            WeatherOrder::AnswersLost => Weather::AnswersLost,
+            FaultModeOrder::Fair => FaultMode::Normal,
+            FaultModeOrder::Refused => FaultMode::Refused,
+            FaultModeOrder::Silent { ms } => FaultMode::Silent(Duration::from_millis(ms)),
+            FaultModeOrder::Late { ms } => FaultMode::Late(Duration::from_millis(ms)),
+            FaultModeOrder::AnswersLost => FaultMode::AnswersLost,
         }
     }
 }
 
 /// A route of a configuration.
 #[derive(Debug, Clone)]
-pub struct RouteOrder {
+pub struct RouteSpec {
     /// Start of its paths.
     pub prefix: String,
     /// Word for what may be repeated.
@@ -86,7 +86,7 @@
 
 /// How backend servers warm up.
 #[derive(Debug, Clone, Copy)]
-pub struct WarmUpOrder {
+pub struct WarmUpSpec {
     /// Time for which a server is cold after its start.
     pub time: Duration,
     /// Requests a second that it bears meanwhile.
@@ -94,14 +94,14 @@
 }
 
 /// Key and value of a configuration with these routes of one host, and these keys of one workspace.
-pub fn configuration(
+pub fn configuration_entry(
     version: u64,
     host: &str,
-    routes: &[RouteOrder],
+    routes: &[RouteSpec],
     keys: &[String],
-    warm_up: WarmUpOrder,
+    warm_up: WarmUpSpec,
 ) -> (String, Value) {
-    let row = |route: &RouteOrder| {
+    let row = |route: &RouteSpec| {
         json!({
             "name": route.prefix.trim_matches('/'), "hostname": host, "path_prefix": route.prefix,
             "type": route.kind, "backend": route.service, "timeout_ms": 10_000,
@@ -164,7 +164,7 @@
 #[derive(Debug, Deserialize)]
 struct Transaction {
     expected_revision: Vec<Condition>,
-    write: Vec<Written>,
+    write: Vec<Write>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -174,70 +174,73 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Written {
+struct Write {
     private_key: String,
     data: String,
 }
 
 /// Serves the store on connections to `listener`, on the current thread's local tasks.
 pub async fn serve(store: MemoryStore, listener: TcpListener) -> io::Result<()> {
-    let copies = Copies::default();
-    spawn_local(keep_copies(store.clone(), copies.clone()));
+    let snapshots = Snapshots::default();
+    spawn_local(take_snapshots(store.clone(), snapshots.clone()));
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
-        let (store, copies) = (store.clone(), copies.clone());
+        let (store, snapshots) = (store.clone(), snapshots.clone());
         spawn_local(async move {
-            let service = service_fn(move |request| answer(store.clone(), copies.clone(), request));
+            let service =
+                service_fn(move |request| handle(store.clone(), snapshots.clone(), request));
             // NB: a connection whose answer is lost is closed without one.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// Copies of the store, the latest last.
-type Copies = Rc<RefCell<VecDeque<StoreCopy>>>;
+/// Snapshots of the store, the latest last.
+type Snapshots = Rc<RefCell<VecDeque<StoreSnapshot>>>;
 
-/// Takes copies for as long as the store runs.
-async fn keep_copies(store: MemoryStore, copies: Copies) {
+/// Takes snapshots for as long as the store runs.
+async fn take_snapshots(store: MemoryStore, snapshots: Snapshots) {
     loop {
-        copies.borrow_mut().push_back(store.copy());
-        if copies.borrow().len() > MOST_COPIES {
-            copies.borrow_mut().pop_front();
+        snapshots.borrow_mut().push_back(store.snapshot());
+        if snapshots.borrow().len() > MAX_SNAPSHOTS {
+            snapshots.borrow_mut().pop_front();
         }
-        sleep(COPY_INTERVAL).await;
+        sleep(SNAPSHOT_INTERVAL).await;
     }
 }
 
-/// Restores the store from a copy of about this age; tells whether there is one.
-fn restore(store: &MemoryStore, copies: &Copies, age: Duration) -> bool {
-    let back = (age.as_millis() / COPY_INTERVAL.as_millis()) as usize;
-    let copies = copies.borrow();
-    let Some(copy) = copies.iter().rev().nth(back).or(copies.front()) else { return false };
-    let is_written_again = |key: &str| WRITTEN_AGAIN.iter().any(|start| key.starts_with(start));
-    store.restore_but(copy.clone(), is_written_again);
+/// Restores the store from a snapshot of about this age; tells whether there is one.
+fn restore(store: &MemoryStore, snapshots: &Snapshots, age: Duration) -> bool {
+    let index = (age.as_millis() / SNAPSHOT_INTERVAL.as_millis()) as usize;
+    let snapshots = snapshots.borrow();
+    let Some(snapshot) = snapshots.iter().rev().nth(index).or(snapshots.front()) else {
+        return false;
+    };
+    let is_rewritten = |key: &str| REWRITTEN_PREFIXES.iter().any(|start| key.starts_with(start));
+    store.restore_and_rewrite(snapshot.clone(), is_rewritten);
     true
 }
 
-async fn answer(
+async fn handle(
     store: MemoryStore,
-    copies: Copies,
+    snapshots: Snapshots,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, StoreError> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| StoreError::Malformed)?.to_bytes();
     let path = parts.uri.path().to_owned();
     if let Some(order) = path.strip_prefix(ORDER_PREFIX) {
-        return Ok(take_order(&store, &copies, &parts.method, order, &body));
+        return Ok(apply_order(&store, &snapshots, &parts.method, order, &body));
     }
     let query = query(parts.uri.query().unwrap_or_default());
-    let answered = match path.as_str() {
+    let result = match path.as_str() {
         "/api/kv-range" => range(&store, &query).await,
         "/api/kv-watch" => watch(&store, &query).await,
         "/api/kv-txn" => transact(&store, &body).await,
         _ => Ok((StatusCode::NOT_FOUND, Value::Null)),
     };
-    let mut response = match answered {
+    let mut response = match result {
         Ok((status, value)) => respond(status, &value),
         Err(StoreError::Unreachable) => respond(StatusCode::SERVICE_UNAVAILABLE, &Value::Null),
         Err(error) => return Err(error),
@@ -246,15 +249,15 @@
     Ok(response)
 }
 
-fn take_order(
+fn apply_order(
     store: &MemoryStore,
-    copies: &Copies,
+    snapshots: &Snapshots,
     method: &Method,
     order: &str,
     body: &Bytes,
 ) -> Response<Full<Bytes>> {
     let text = String::from_utf8_lossy(body);
-    let done = match (method, order.split_once('/')) {
+    let is_applied = match (method, order.split_once('/')) {
         (&Method::PUT, Some(("key", key))) => {
             store.put(key, &text);
             true
@@ -264,23 +267,23 @@
             true
         }
         (&Method::POST, None) if order == "forget" => {
-            store.forget_history();
+            store.drop_history();
             true
         }
         (&Method::POST, None) if order == "restore" => match text.parse() {
-            Ok(age_ms) => restore(store, copies, Duration::from_millis(age_ms)),
+            Ok(age_ms) => restore(store, snapshots, Duration::from_millis(age_ms)),
             Err(_) => false,
         },
         (&Method::POST, None) if order == "weather" => match serde_json::from_str(&text) {
-            Ok(weather) => {
-                store.set_weather(WeatherOrder::into(weather));
+            Ok(fault_mode) => {
+                store.set_fault_mode(FaultModeOrder::into(fault_mode));
                 true
             }
             Err(_) => false,
         },
         _ => false,
     };
-    respond(if done { StatusCode::OK } else { StatusCode::BAD_REQUEST }, &Value::Null)
+    respond(if is_applied { StatusCode::OK } else { StatusCode::BAD_REQUEST }, &Value::Null)
 }
 
 async fn range(
@@ -291,8 +294,8 @@
     let after = query.get("since_revision").cloned().unwrap_or_default();
     let listing = (store.port().list)(prefix).await?;
     let left: Vec<&StoreEntry> = listing.entries.iter().filter(|entry| entry.key > after).collect();
-    let page: Vec<Value> = left.iter().take(PAGE).map(|entry| item(entry)).collect();
-    let truncated = left.len() > PAGE;
+    let page: Vec<Value> = left.iter().take(PAGE_KEYS).map(|entry| item(entry)).collect();
+    let truncated = left.len() > PAGE_KEYS;
     let body = json!({
         "entries": page, "truncated": truncated, "position_revision": listing.position.revision
     });
@@ -327,11 +330,11 @@
         .map(|condition| (condition.private_key.as_str(), condition.revision))
         .collect();
     let mut changes = Vec::new();
-    for written in &transaction.write {
-        let revision = expected.get(written.private_key.as_str()).copied().unwrap_or(0);
+    for write in &transaction.write {
+        let revision = expected.get(write.private_key.as_str()).copied().unwrap_or(0);
         changes.push(Change {
-            key: written.private_key.clone(),
-            value: STANDARD.decode(&written.data).map_err(|_| StoreError::Malformed)?,
+            key: write.private_key.clone(),
+            value: STANDARD.decode(&write.data).map_err(|_| StoreError::Malformed)?,
             expect: if revision == 0 { Expect::Absent } else { Expect::Revision(revision) },
             lease: None,
         });
--- a/crates/standin/src/rating.rs
+++ b/crates/standin/src/rating.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct Shared {
     delay: Duration,
-    up: AtomicBool,
+    available: AtomicBool,
     rated: AtomicU64,
 }
 
@@ -37,8 +37,8 @@
 impl RatingService {
     /// Starts a service at an address that takes `delay` for each rating.
     pub async fn start(address: SocketAddr, delay: Duration) -> io::Result<Self> {
-        let up = AtomicBool::new(true);
-        let shared = Arc::new(Shared { delay, up, rated: AtomicU64::new(0) });
+        let available = AtomicBool::new(true);
+        let shared = Arc::new(Shared { delay, available, rated: AtomicU64::new(0) });
         let route = Route::new().at("/v1/rate", post(rate)).data(shared.clone());
         Ok(RatingService { shared, listening: listen(address, route).await? })
     }
@@ -48,24 +48,24 @@
         self.listening.address
     }
 
-    /// Takes it down or brings it up.
-    pub fn set_up(&self, up: bool) {
-        self.shared.up.store(up, Ordering::Relaxed);
+    /// Takes it down or brings it available.
+    pub fn set_available(&self, available: bool) {
+        self.shared.available.store(available, Ordering::Relaxed);
     }
 
     /// Ratings given.
-    pub fn rated(&self) -> u64 {
+    pub fn rating_count(&self) -> u64 {
         self.shared.rated.load(Ordering::Relaxed)
     }
 }
 
 #[handler]
 async fn rate(body: Json<Value>, shared: Data<&Arc<Shared>>) -> Response {
-    if !shared.up.load(Ordering::Relaxed) {
+    if !shared.available.load(Ordering::Relaxed) {
         return Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).finish();
     }
     tokio::time::sleep(shared.delay).await;
-    let Some(quality) = quality_of(body["answer"].as_str().unwrap_or_default()) else {
+    let Some(quality) = parse_quality(body["answer"].as_str().unwrap_or_default()) else {
         return Response::builder().status(StatusCode::UNPROCESSABLE_ENTITY).finish();
     };
     shared.rated.fetch_add(1, Ordering::Relaxed);
@@ -73,7 +73,7 @@
 }
 
 /// Reads the quality at the start of an answer.
-pub fn quality_of(answer: &str) -> Option<f64> {
+pub fn parse_quality(answer: &str) -> Option<f64> {
     let (quality, _) = answer.strip_prefix('[')?.split_once(']')?;
     quality.parse().ok()
 }
