--- a/crates/standin/src/usage_sink.rs
+++ b/crates/standin/src/usage_sink.rs
@@ -1,6 +1,6 @@
 //! The platform's address for calls that one entry makes for all, in memory and on tokio's clock.
 //!
-//! It takes reports of usage, fares as it is told to, and says which of the platform's rules were broken:
+//! It takes reports of usage, fares as it is told to, and says which of the platform's rules were violations:
 //! two reports of one window that differ, one number used by two holders, a lower number after a higher
 //! one, and holders that act by turns within the lease.
 
@@ -31,36 +31,36 @@
 
 /// What the caller hears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportAnswer {
-    /// It was taken.
-    Taken,
+pub enum ReportResponse {
+    /// It was accepted.
+    Accepted,
     /// A higher number has been seen.
     Refused,
     /// Too many calls are made.
-    TooMany,
+    TooManyRequests,
     /// Nothing.
-    None,
+    NoResponse,
 }
 
 /// How calls fare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Reach {
+pub enum SinkFaultMode {
     /// They are carried out and answered at once.
     #[default]
-    Fair,
+    Normal,
     /// They are turned away.
-    TooMany,
+    TooManyRequests,
     /// They are lost without a word.
     Silent,
     /// They are carried out, and their answers lost.
     AnswersLost,
     /// They are carried out only after this long, without an answer.
-    LateBy(Duration),
+    Delayed(Duration),
 }
 
 /// A call that was carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
+pub struct AcceptedCall {
     /// The call.
     pub call: UsageCall,
     /// When it was carried out.
@@ -71,34 +71,34 @@
 
 #[derive(Debug, Default)]
 struct State {
-    taken: Vec<Taken>,
+    accepted: Vec<AcceptedCall>,
     /// Calls that arrived, whatever became of them.
     calls: u64,
-    highest: u64,
-    broken: Vec<String>,
+    highest_token: u64,
+    violations: Vec<String>,
 }
 
 /// The platform's address.
 #[derive(Debug, Clone, Default)]
 pub struct UsageSink {
     state: Rc<RefCell<State>>,
-    reach: Rc<Cell<Reach>>,
+    fault_mode: Rc<Cell<SinkFaultMode>>,
     /// Entry whose calls alone are lost, if any is.
-    cut: Rc<RefCell<Option<String>>>,
+    dropped_holder: Rc<RefCell<Option<String>>>,
 }
 
 /// Time for which a holder is not to be passed over, as the tests' deployments have it.
-const LEASE: Duration = Duration::from_secs(3);
+const LEASE_TIME: Duration = Duration::from_secs(3);
 
 impl UsageSink {
     /// Sets how calls fare from now on.
-    pub fn set_reach(&self, reach: Reach) {
-        self.reach.set(reach);
+    pub fn set_fault_mode(&self, fault_mode: SinkFaultMode) {
+        self.fault_mode.set(fault_mode);
     }
 
     /// Loses the calls of one entry from now on, or of none.
-    pub fn cut(&self, holder: Option<&str>) {
-        *self.cut.borrow_mut() = holder.map(str::to_owned);
+    pub fn drop_calls_from(&self, holder: Option<&str>) {
+        *self.dropped_holder.borrow_mut() = holder.map(str::to_owned);
     }
 
     /// Calls that arrived so far.
@@ -107,95 +107,99 @@
     }
 
     /// Calls that were carried out, in order.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.state.borrow().taken.clone()
+    pub fn accepted(&self) -> Vec<AcceptedCall> {
+        self.state.borrow().accepted.clone()
     }
 
     /// What was reported, by window.
     pub fn reported(&self) -> BTreeMap<u64, BTreeMap<String, u64>> {
-        let taken = self.taken().into_iter();
-        taken.map(|taken| (taken.call.window, taken.call.counts)).collect()
+        let accepted = self.accepted().into_iter();
+        accepted.map(|accepted| (accepted.call.window, accepted.call.counts)).collect()
     }
 
     /// The holder whose call was carried out last.
     pub fn holder(&self) -> Option<String> {
-        self.state.borrow().taken.last().map(|taken| taken.call.holder.clone())
+        self.state.borrow().accepted.last().map(|accepted| accepted.call.holder.clone())
     }
 
-    /// Rules that were broken.
-    pub fn broken(&self) -> Vec<String> {
-        self.state.borrow().broken.clone()
+    /// Rules that were violations.
+    pub fn violations(&self) -> Vec<String> {
+        self.state.borrow().violations.clone()
     }
 
     /// Takes a call; the caller waits for `limit` at most.
-    pub async fn take(&self, call: UsageCall, limit: Duration) -> ReportAnswer {
+    pub async fn report(&self, call: UsageCall, limit: Duration) -> ReportResponse {
         self.state.borrow_mut().calls += 1;
-        let is_cut = self.cut.borrow().as_deref() == Some(call.holder.as_str());
-        let reach = if is_cut { Reach::Silent } else { self.reach.get() };
-        match reach {
-            Reach::Fair => return self.carry_out(call, true),
-            Reach::TooMany => return ReportAnswer::TooMany,
-            Reach::Silent => {}
-            Reach::AnswersLost => {
-                self.carry_out(call, true);
+        let is_dropped = self.dropped_holder.borrow().as_deref() == Some(call.holder.as_str());
+        let fault_mode = if is_dropped { SinkFaultMode::Silent } else { self.fault_mode.get() };
+        match fault_mode {
+            SinkFaultMode::Normal => return self.accept(call, true),
+            SinkFaultMode::TooManyRequests => return ReportResponse::TooManyRequests,
+            SinkFaultMode::Silent => {}
+            SinkFaultMode::AnswersLost => {
+                self.accept(call, true);
             }
-            Reach::LateBy(late) => {
+            SinkFaultMode::Delayed(delay) => {
                 let platform = self.clone();
                 spawn_local(async move {
-                    sleep(late).await;
-                    platform.carry_out(call, false);
+                    sleep(delay).await;
+                    platform.accept(call, false);
                 });
             }
         }
         sleep(limit).await;
-        ReportAnswer::None
+        ReportResponse::NoResponse
     }
 
-    fn carry_out(&self, call: UsageCall, is_prompt: bool) -> ReportAnswer {
+    fn accept(&self, call: UsageCall, is_prompt: bool) -> ReportResponse {
         let mut state = self.state.borrow_mut();
-        state.check_number(&call, is_prompt);
-        if call.fencing_token < state.highest {
-            return ReportAnswer::Refused;
+        state.check_fencing_token(&call, is_prompt);
+        if call.fencing_token < state.highest_token {
+            return ReportResponse::Refused;
         }
-        state.highest = call.fencing_token;
-        state.check_words(&call);
-        let taken = Taken { call, at: Instant::now(), is_prompt };
-        state.check_turns(&taken);
-        state.taken.push(taken);
-        ReportAnswer::Taken
+        state.highest_token = call.fencing_token;
+        state.check_counts(&call);
+        let accepted = AcceptedCall { call, at: Instant::now(), is_prompt };
+        state.check_alternation(&accepted);
+        state.accepted.push(accepted);
+        ReportResponse::Accepted
     }
 }
 
 impl State {
-    fn check_number(&mut self, call: &UsageCall, is_prompt: bool) {
+    fn check_fencing_token(&mut self, call: &UsageCall, is_prompt: bool) {
         let (holder, token) = (&call.holder, call.fencing_token);
-        let has_other_user =
-            |taken: &Taken| taken.call.fencing_token == token && taken.call.holder != *holder;
-        if self.taken.iter().any(has_other_user) {
-            self.broken.push(format!("{holder} uses the number {token} of another holder"));
+        let is_of_other_holder = |accepted: &AcceptedCall| {
+            accepted.call.fencing_token == token && accepted.call.holder != *holder
+        };
+        if self.accepted.iter().any(is_of_other_holder) {
+            self.violations.push(format!("{holder} uses the number {token} of another holder"));
         }
-        if is_prompt && token < self.highest {
-            self.broken.push(format!("{holder} calls under {token} after {}", self.highest));
+        if is_prompt && token < self.highest_token {
+            self.violations
+                .push(format!("{holder} calls under {token} after {}", self.highest_token));
         }
     }
 
-    fn check_words(&mut self, call: &UsageCall) {
-        let differs =
-            |taken: &Taken| taken.call.window == call.window && taken.call.counts != call.counts;
-        if self.taken.iter().any(differs) {
-            self.broken.push(format!("two reports of window {} differ", call.window));
+    fn check_counts(&mut self, call: &UsageCall) {
+        let differs = |accepted: &AcceptedCall| {
+            accepted.call.window == call.window && accepted.call.counts != call.counts
+        };
+        if self.accepted.iter().any(differs) {
+            self.violations.push(format!("two reports of window {} differ", call.window));
         }
     }
 
-    fn check_turns(&mut self, latest: &Taken) {
-        let within = |taken: &&Taken| latest.at < taken.at + LEASE && taken.is_prompt;
-        let lately: Vec<&Taken> = self.taken.iter().filter(within).collect();
-        let own = lately.iter().position(|taken| taken.call.holder == latest.call.holder);
-        let is_back = own.is_some_and(|own| {
-            lately[own..].iter().any(|taken| taken.call.holder != latest.call.holder)
+    fn check_alternation(&mut self, latest: &AcceptedCall) {
+        let within =
+            |accepted: &&AcceptedCall| latest.at < accepted.at + LEASE_TIME && accepted.is_prompt;
+        let recent: Vec<&AcceptedCall> = self.accepted.iter().filter(within).collect();
+        let own = recent.iter().position(|accepted| accepted.call.holder == latest.call.holder);
+        let has_returned = own.is_some_and(|own| {
+            recent[own..].iter().any(|accepted| accepted.call.holder != latest.call.holder)
         });
-        if latest.is_prompt && is_back {
-            self.broken.push(format!("{} is back within the lease", latest.call.holder));
+        if latest.is_prompt && has_returned {
+            self.violations.push(format!("{} is back within the lease", latest.call.holder));
         }
     }
 }
