--- a/crates/standin/src/backends.rs
+++ b/crates/standin/src/backends.rs
@@ -1,7 +1,8 @@
-//! Backend servers on connections in memory, each following a script.
+//! Scripted backend servers on in-memory connections.
 //!
-//! They check the identity that a request expects, tell whether they ran it, stream and resume
-//! events, and fail as real ones do: answers lost, spoiled, cut, surplus, or never given.
+//! The servers check the identity that a request expects, mark responses without a run, stream and
+//! resume events, and fail as real servers do: with responses that are lost, wrong, cut off,
+//! surplus or never sent.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,74 +21,74 @@
     time::{Instant, sleep},
 };
 
-/// Bytes that a connection holds in one direction.
-const CONNECTION_BYTES: usize = 64 * 1024;
+/// Buffer size of a connection in each direction.
+const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Names of the headers that scripts set and look for, in lower case.
+/// Names of the headers that servers read and write, in lower case.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
     /// Id of the request.
     pub request_id: String,
-    /// Server that the request is meant for.
+    /// Id of the server that the request is meant for.
     pub expected_server: String,
-    /// Mark of an answer without a run.
+    /// Mark of a response to a request that was not run.
     pub not_run: String,
-    /// Proof of the server.
+    /// Proof that the response is the server's.
     pub signature: String,
-    /// Model's confidence.
+    /// Model's confidence in its answer.
     pub confidence: String,
-    /// Last event that the caller has.
+    /// Number of the last event that the caller received.
     pub last_event_id: String,
 }
 
-/// What a server does with one request.
+/// How a server handles a request.
 #[derive(Debug, Clone)]
 pub enum Behaviour {
-    /// Answers with this status and body.
+    /// Responds with this status and body.
     Answer(u16, String),
-    /// Answers with the request's id, so that callers can tell their own answers.
+    /// Responds with the request's id, so that callers can verify that the response is theirs.
     Echo,
-    /// Streams events from after the caller's last to `last`, with this confidence.
+    /// Streams the events after the caller's last event.
     Stream {
         /// Number of the last event.
         last: u32,
         /// Time between events.
         gap: Duration,
-        /// Confidence told, if any.
+        /// Reported confidence, if any.
         confidence: Option<u8>,
-        /// Event in whose middle the connection is cut, if any.
+        /// Number of the event in whose middle the connection is closed, if any.
         cut_in: Option<u32>,
     },
-    /// Turns the request away without running it.
+    /// Rejects the request with this status, without running it.
     NotRun(u16),
-    /// Runs it and closes without a word.
+    /// Runs the request and closes the connection without a response.
     DropResponse,
-    /// Runs it and never answers.
+    /// Runs the request and never responds.
     Silent,
-    /// Answers as if to another request.
+    /// Responds with the id of another request.
     WrongRequestId,
-    /// Answers without its proof.
+    /// Responds without the signature.
     Unsigned,
-    /// Answers, and sends a second answer behind it.
+    /// Responds with this body, followed by a second response.
     ExtraResponse(String),
 }
 
-/// One request as a server saw it.
+/// A request that a server received.
 #[derive(Debug, Clone, Default)]
 pub struct ReceivedRequest {
-    /// First line.
+    /// Request line.
     pub request_line: String,
-    /// Headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: HashMap<String, String>,
     /// Body.
     pub body: Vec<u8>,
-    /// When it was read.
+    /// Time at which the request was read.
     pub at: Option<Instant>,
-    /// Whether it was run.
+    /// Whether the server ran the request.
     pub ran: bool,
-    /// Further headers that its answer carries.
+    /// Extra headers of the response.
     pub extra_headers: Vec<(String, String)>,
-    /// Whether the connection was closed before the answer was whole.
+    /// Whether the connection was closed before the whole response was sent.
     pub cancelled: bool,
 }
 
@@ -97,12 +98,12 @@
     script: RefCell<VecDeque<Behaviour>>,
     default_behaviour: RefCell<Behaviour>,
     requests: RefCell<Vec<ReceivedRequest>>,
-    /// Headers that all its answers carry besides.
+    /// Extra headers of all responses.
     response_headers: RefCell<Vec<(String, String)>>,
-    /// Whether its process has ended, with all that it was working on.
+    /// Whether the server has crashed, which ends all its connections.
     has_crashed: Cell<bool>,
     crash_notify: Notify,
-    /// Bytes of streams that were taken from it.
+    /// Bytes of stream events that connections accepted.
     streamed_bytes: Cell<usize>,
 }
 
@@ -112,7 +113,7 @@
         self.crash_notify.notify_waiters();
     }
 
-    /// Waits until its process ends.
+    /// Waits until the server crashes.
     async fn crashed(&self) {
         let crash_notify = self.crash_notify.notified();
         if !self.has_crashed.get() {
@@ -121,29 +122,28 @@
     }
 }
 
-/// Told of a server that is back at its address with the identity that it had; returns the one that it has
-/// from now on.
+/// Called with address and id of a server that restarts after a crash; returns its new id.
 pub type OnRestart = Rc<dyn Fn(SocketAddr, &str) -> String>;
 
-/// What ends every server that runs it.
+/// Crashes every server that runs a request with a given body.
 #[derive(Clone)]
 pub struct CrashRule {
-    /// Beginning of the body of such a request.
+    /// Prefix of the body of the requests that crash servers.
     pub body: Vec<u8>,
-    /// Time from the beginning of its run until the server ends.
+    /// Time from the start of a run until the server crashes.
     pub after: Duration,
-    /// Time until the server is back.
+    /// Time from the crash until the server restarts.
     pub restart_delay: Duration,
-    /// Told of each server that is back.
+    /// Called at each restart.
     pub on_restart: OnRestart,
 }
 
-/// A request that ends servers, as it reached one.
+/// A run of a request that crashes servers.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashingRun {
-    /// When it reached the server.
+    /// Time at which the request reached the server.
     pub at: Instant,
-    /// When the server ended under it, if it has.
+    /// Time at which the request crashed the server, if it has.
     pub crashed_at: Option<Instant>,
 }
 
@@ -157,7 +157,7 @@
 }
 
 impl Backends {
-    /// No servers yet.
+    /// Creates a set without servers.
     pub fn new(header_names: HeaderNames) -> Self {
         Backends {
             header_names,
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Starts a server that does `default_behaviour` unless told otherwise.
+    /// Starts a server, or replaces the one at `address`; requests beyond its script get
+    /// `default_behaviour`.
     pub fn start(&self, address: SocketAddr, id: &str, default_behaviour: Behaviour) {
         let server = Server {
             id: id.to_owned(),
@@ -182,34 +183,35 @@
         self.servers.borrow_mut().insert(address, Rc::new(server));
     }
 
-    /// Ends a server; connections to it are refused.
+    /// Stops a server: new connections are refused, open ones continue.
     pub fn stop(&self, address: SocketAddr) {
         self.servers.borrow_mut().remove(&address);
     }
 
-    /// Ends a server as a crash does: what it was working on breaks off too.
+    /// Crashes a server: new connections are refused and open ones are closed.
     pub fn crash(&self, address: SocketAddr) {
         if let Some(server) = self.servers.borrow_mut().remove(&address) {
             server.crash();
         }
     }
 
-    /// Lets a request end every server that runs it from now on.
+    /// Adds a rule on requests that crash the server that runs them.
     pub fn add_crash_rule(&self, rule: CrashRule) {
         self.crash_rules.borrow_mut().push(rule);
     }
 
-    /// Lets all requests go well from now on.
+    /// Removes all crash rules.
     pub fn clear_crash_rules(&self) {
         self.crash_rules.borrow_mut().clear();
     }
 
-    /// Requests of that kind that have reached servers, in order.
+    /// Returns the runs of requests that crash servers, in order of arrival.
     pub fn crashing_runs(&self) -> Vec<CrashingRun> {
         self.crashing_runs.borrow().clone()
     }
 
-    /// Notes such a request, and ends its server some time later. Returns whether it is one.
+    /// Records a request that matches a crash rule, and crashes and restarts its server after the
+    /// rule's delays. Returns whether a rule matched.
     fn apply_crash_rule(
         &self,
         address: SocketAddr,
@@ -241,14 +243,14 @@
         true
     }
 
-    /// Tells a server what to do with its next requests.
+    /// Appends the behaviours for a server's next requests to its script.
     pub fn script(&self, address: SocketAddr, behaviours: impl IntoIterator<Item = Behaviour>) {
         if let Some(server) = self.servers.borrow().get(&address) {
             server.script.borrow_mut().extend(behaviours);
         }
     }
 
-    /// Lets all answers of a server carry a header from now on, in place of one of that name.
+    /// Sets an extra header on all later responses of a server, replacing one of the same name.
     pub fn set_header(&self, address: SocketAddr, name: &str, value: &str) {
         self.remove_header(address, name);
         if let Some(server) = self.servers.borrow().get(&address) {
@@ -256,39 +258,40 @@
         }
     }
 
-    /// Takes a header off the answers of a server.
+    /// Removes an extra header from a server's later responses.
     pub fn remove_header(&self, address: SocketAddr, name: &str) {
         if let Some(server) = self.servers.borrow().get(&address) {
             server.response_headers.borrow_mut().retain(|(existing, _)| existing != name);
         }
     }
 
-    /// Lets a server do something else with its requests from now on.
+    /// Sets a server's behaviour for requests beyond its script.
     pub fn set_behaviour(&self, address: SocketAddr, default_behaviour: Behaviour) {
         if let Some(server) = self.servers.borrow().get(&address) {
             server.default_behaviour.replace(default_behaviour);
         }
     }
 
-    /// Bytes of streams that were taken from a server.
+    /// Returns the bytes of stream events that connections to a server accepted.
     pub fn streamed_bytes(&self, address: SocketAddr) -> usize {
         self.servers.borrow().get(&address).map_or(0, |server| server.streamed_bytes.get())
     }
 
-    /// Requests that a server has read.
+    /// Returns the requests that a server received, in order.
     pub fn requests(&self, address: SocketAddr) -> Vec<ReceivedRequest> {
         let servers = self.servers.borrow();
         servers.get(&address).map(|server| server.requests.borrow().clone()).unwrap_or_default()
     }
 
-    /// The same from the one at `from` on.
+    /// Returns the requests that a server received, from index `from` on.
     pub fn requests_from(&self, address: SocketAddr, from: usize) -> Vec<ReceivedRequest> {
         let servers = self.servers.borrow();
         let requests = servers.get(&address).map(|server| server.requests.borrow());
         requests.map(|requests| requests.iter().skip(from).cloned().collect()).unwrap_or_default()
     }
 
-    /// Runs at all servers.
+    /// Returns the number of requests that the servers ran, without servers that have stopped or
+    /// crashed.
     pub fn runs(&self) -> usize {
         let servers = self.servers.borrow();
         let runs = servers
@@ -297,20 +300,22 @@
         runs.sum()
     }
 
-    /// Opens a connection.
+    /// Opens a connection to a server.
+    ///
+    /// Returns an error if no server listens at `address`.
     pub fn connect(&self, address: SocketAddr) -> io::Result<DuplexStream> {
         let server = self.servers.borrow().get(&address).cloned();
         let server = server.ok_or(io::ErrorKind::ConnectionRefused)?;
-        let (near, far) = duplex(CONNECTION_BYTES);
+        let (client, remote) = duplex(CONNECTION_BUFFER_BYTES);
         let backends = self.clone();
         spawn_local(async move {
             select! {
                 biased;
                 () = server.crashed() => {}
-                () = backends.serve(address, &server, far) => {}
+                () = backends.serve(address, &server, remote) => {}
             }
         });
-        Ok(near)
+        Ok(client)
     }
 
     async fn serve(&self, address: SocketAddr, server: &Rc<Server>, io: DuplexStream) {
@@ -349,34 +354,42 @@
     let streamed_bytes = &server.streamed_bytes;
     let reply =
         Reply { header_names, request: &request, extra_headers: &extra_headers, streamed_bytes };
-    let whole = answer(&reply, &behaviour, &mut io).await.is_ok();
-    server.requests.borrow_mut()[index].cancelled = !whole;
+    let is_complete = respond(&reply, &behaviour, &mut io).await.is_ok();
+    server.requests.borrow_mut()[index].cancelled = !is_complete;
 }
 
-/// Lines of a head that a server's answers carry besides.
+/// Formats a server's extra headers as lines of a response head.
 fn header_lines(server: &Server) -> String {
     let response_headers = server.response_headers.borrow();
     response_headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect()
 }
 
-/// What an answer is made from.
+/// Inputs of a response.
 struct Reply<'a> {
     header_names: &'a HeaderNames,
     request: &'a ReceivedRequest,
-    /// Further lines of its head.
+    /// Extra lines of the response head.
     extra_headers: &'a str,
-    /// Bytes of streams that were taken so far.
+    /// Counter of the stream bytes that connections accepted.
     streamed_bytes: &'a Cell<usize>,
 }
 
-async fn answer(reply: &Reply<'_>, behaviour: &Behaviour, io: &mut DuplexStream) -> io::Result<()> {
+async fn respond(
+    reply: &Reply<'_>,
+    behaviour: &Behaviour,
+    io: &mut DuplexStream,
+) -> io::Result<()> {
     let Reply { header_names, request, extra_headers, .. } = reply;
     match behaviour {
-        Behaviour::Echo => io.write_all(&plain(reply, 200, id_of(header_names, request))).await,
-        Behaviour::Answer(status, body) => io.write_all(&plain(reply, *status, body)).await,
+        Behaviour::Echo => {
+            io.write_all(&format_response(reply, 200, request_id(header_names, request))).await
+        }
+        Behaviour::Answer(status, body) => {
+            io.write_all(&format_response(reply, *status, body)).await
+        }
         Behaviour::ExtraResponse(body) => {
-            io.write_all(&plain(reply, 200, body)).await?;
-            io.write_all(&plain(reply, 200, "surplus")).await
+            io.write_all(&format_response(reply, 200, body)).await?;
+            io.write_all(&format_response(reply, 200, "surplus")).await
         }
         Behaviour::NotRun(status) => {
             let not_run = &header_names.not_run;
@@ -391,10 +404,10 @@
             let mut other = (*request).clone();
             other.headers.insert(header_names.request_id.clone(), "another".into());
             let reply = Reply { request: &other, ..*reply };
-            io.write_all(&plain(&reply, 200, "another's")).await
+            io.write_all(&format_response(&reply, 200, "another's")).await
         }
         Behaviour::Unsigned => {
-            let id = id_of(header_names, request);
+            let id = request_id(header_names, request);
             let head = format!(
                 "HTTP/1.1 200 X\r\n{}: {id}\r\n{extra_headers}content-length: 2\r\n\r\nno",
                 header_names.request_id
@@ -402,12 +415,12 @@
             io.write_all(head.as_bytes()).await
         }
         Behaviour::Stream { last, gap, confidence, cut_in } => {
-            stream(reply, (*last, *gap, *confidence, *cut_in), io).await
+            write_stream(reply, (*last, *gap, *confidence, *cut_in), io).await
         }
     }
 }
 
-async fn stream(
+async fn write_stream(
     reply: &Reply<'_>,
     (last, gap, confidence, cut_in): (u32, Duration, Option<u8>, Option<u32>),
     io: &mut DuplexStream,
@@ -416,7 +429,7 @@
     let mut head = format!(
         "HTTP/1.1 200 X\r\n{}: {}\r\n{}: proof\r\n{extra_headers}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n",
         header_names.request_id,
-        id_of(header_names, request),
+        request_id(header_names, request),
         header_names.signature,
     );
     if let Some(confidence) = confidence {
@@ -443,26 +456,26 @@
     io.write_all(b"0\r\n\r\n").await
 }
 
-/// Waits until the other side closes, which is how work is called off.
+/// Waits until the peer closes the connection, which cancels the request.
 async fn wait_for_close(io: &mut DuplexStream) -> io::Result<()> {
     let mut rest = [0; 64];
     while io.read(&mut rest).await? > 0 {}
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
-fn plain(reply: &Reply<'_>, status: u16, body: &str) -> Vec<u8> {
+fn format_response(reply: &Reply<'_>, status: u16, body: &str) -> Vec<u8> {
     let Reply { header_names, request, extra_headers, .. } = reply;
     let head = format!(
         "HTTP/1.1 {status} X\r\n{}: {}\r\n{}: proof\r\n{extra_headers}content-length: {}\r\n\r\n{body}",
         header_names.request_id,
-        id_of(header_names, request),
+        request_id(header_names, request),
         header_names.signature,
         body.len(),
     );
     head.into_bytes()
 }
 
-fn id_of<'a>(header_names: &HeaderNames, request: &'a ReceivedRequest) -> &'a str {
+fn request_id<'a>(header_names: &HeaderNames, request: &'a ReceivedRequest) -> &'a str {
     request.headers.get(&header_names.request_id).map(String::as_str).unwrap_or_default()
 }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,7 +1,7 @@
-//! A model engine: chat completions over HTTP with server-sent events.
+//! Model engine: chat completions over HTTP with server-sent events.
 //!
-//! Its answers start with the quality that they are to be rated with, as `[0.83]`, so that the
-//! stand-in of the rating service can tell.
+//! Each answer starts with its quality, such as `[0.83]`, which the stand-in of the rating service
+//! returns as its rating.
 
 mod answer;
 
@@ -25,38 +25,38 @@
 use crate::listen::{Listening, listen};
 use answer::Answer;
 
-/// Header that carries the request's id.
+/// Header with the request's id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header that names a rate limit.
+/// Header with the engine's rate limit, in requests a second.
 const LIMIT_HEADER: &str = "server-limit";
 
-/// How a version answers.
+/// Speed, length and quality of a version's answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct VersionProfile {
     /// Time to the first token.
     pub first_token: Duration,
     /// Time between tokens.
     pub token: Duration,
-    /// Tokens of an ordinary answer.
+    /// Tokens of an answer, unless the request sets a lower limit.
     pub tokens: u64,
-    /// Mean quality of its answers, from 0 to 1.
+    /// Mean quality of the answers, from 0 to 1.
     pub quality: f64,
 }
 
-/// How the engine misbehaves.
+/// Faults that the engine injects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineFaults {
-    /// Factor on all times.
+    /// Factor on the times to the first token and between tokens.
     pub slowness: f64,
     /// Factor on the quality of answers.
     pub quality: f64,
-    /// Answers are refused with 503.
+    /// Whether requests are refused with 503 before they run.
     pub refuse: bool,
-    /// Answers fail with 500.
+    /// Whether requests fail with 500 once they run.
     pub fail: bool,
-    /// Answers break off after this many tokens.
+    /// Number of tokens after which the connection of an answer is reset.
     pub cut_after: Option<u64>,
-    /// Answers name this rate limit, in requests a second.
+    /// Rate limit reported in the answers, in requests a second.
     pub limit_per_s: Option<f64>,
 }
 
@@ -73,25 +73,25 @@
     }
 }
 
-/// What became of a request at the engine.
+/// State of a request at the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunStatus {
-    /// It is still running, or its caller went away.
+    /// The request still runs, or its caller closed the connection.
     Running,
-    /// It ended whole.
+    /// The whole answer was sent.
     Completed,
-    /// It failed or broke off.
+    /// The request failed, or its connection was reset.
     Failed,
 }
 
-/// One line of the engine's own log.
+/// One request in the engine's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineLogLine {
     /// Id of the request.
     pub request: String,
-    /// Version that ran it.
+    /// Version that ran the request.
     pub version: String,
-    /// What became of it.
+    /// State of the request.
     pub status: RunStatus,
 }
 
@@ -103,7 +103,7 @@
     orders: Mutex<Orders>,
 }
 
-/// Orders accepted, and whether their fence is checked.
+/// Accepted orders, and whether their fencing tokens are checked.
 #[derive(Debug, Default)]
 struct Orders {
     checks_fence: bool,
@@ -111,14 +111,14 @@
     accepted: Vec<EngineOrder>,
 }
 
-/// One line of the engine's log of orders.
+/// An order to load or unload a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The fence it came with.
+    /// Fencing token of the order.
     pub fence: u64,
     /// `load` or `unload`.
     pub action: String,
-    /// The version.
+    /// Version to load or unload.
     pub version: String,
 }
 
@@ -130,7 +130,9 @@
 }
 
 impl Engine {
-    /// Starts an engine at an address that hosts the given versions.
+    /// Starts an engine at `address` that hosts the versions of `profiles`.
+    ///
+    /// Returns an error if the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         profiles: BTreeMap<String, VersionProfile>,
@@ -143,27 +145,27 @@
         Ok(Engine { shared, listening: listen(address, route).await? })
     }
 
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.listening.address
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the faults of later requests.
     pub fn set_faults(&self, faults: EngineFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Makes it check the fence of orders.
+    /// Makes the engine reject orders whose fencing token is lower than one accepted before.
     pub fn enable_fence_check(&self) {
         lock(&self.shared.orders).checks_fence = true;
     }
 
-    /// Orders that it carried out.
+    /// Orders accepted so far.
     pub fn orders(&self) -> Vec<EngineOrder> {
         lock(&self.shared.orders).accepted.clone()
     }
 
-    /// Its own log so far.
+    /// Requests accepted so far, in order.
     pub fn log(&self) -> Vec<EngineLogLine> {
         lock(&self.shared.log).clone()
     }
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! One answer, event by event.
+//! A streamed answer, built event by event.
 
 use std::io;
 
@@ -7,16 +7,16 @@
 
 use super::{EngineFaults, RunStatus, VersionProfile};
 
-/// Spread of qualities around the version's mean.
-const QUALITY_SPREAD: f64 = 0.08;
+/// Largest deviation of an answer's quality from the version's mean.
+const MAX_QUALITY_DEVIATION: f64 = 0.08;
 
-/// An answer on its way.
+/// An answer that is being streamed.
 pub struct Answer {
     version: String,
     profile: VersionProfile,
     faults: EngineFaults,
     quality: f64,
-    /// Mark in the prompt, given back so that callers can tell their own answers.
+    /// Mark from the prompt, repeated in the answer so that callers can verify that it is theirs.
     reference: String,
     prompt_tokens: u64,
     tokens: u64,
@@ -26,7 +26,7 @@
 }
 
 impl Answer {
-    /// Plans the answer to a request; the same request gets the same answer.
+    /// Computes the answer to a request; equal requests get equal answers.
     pub fn new(
         body: &Value,
         version: String,
@@ -34,8 +34,8 @@
         faults: EngineFaults,
     ) -> Self {
         let prompt = body["messages"].to_string();
-        let draw = spread(&prompt, &version);
-        let quality = (profile.quality + QUALITY_SPREAD * draw) * faults.quality;
+        let deviation = deviation(&prompt, &version);
+        let quality = (profile.quality + MAX_QUALITY_DEVIATION * deviation) * faults.quality;
         let limit = body["max_tokens"].as_u64().unwrap_or(u64::MAX);
         Answer {
             quality: quality.clamp(0.0, 1.0),
@@ -51,12 +51,12 @@
         }
     }
 
-    /// How it ended, once it has.
+    /// State in which the answer ended, or `None` while it is being streamed.
     pub fn final_status(&self) -> Option<RunStatus> {
         self.status
     }
 
-    /// The next event, or `None` once all are out; an error breaks the connection.
+    /// Returns the next event, or `None` after the last; an error resets the connection.
     pub async fn next_event(&mut self) -> Option<io::Result<Bytes>> {
         if self.closed {
             return None;
@@ -71,7 +71,7 @@
             self.status = Some(RunStatus::Completed);
             return Some(Ok(self.last_events()));
         }
-        self.pause().await;
+        self.wait_for_token().await;
         let text = match self.sent {
             0 => format!("[{:.2}]{}", self.quality, self.reference),
             n => format!(" word{n}"),
@@ -80,10 +80,10 @@
         Some(Ok(self.event(json!({ "content": text }), None)))
     }
 
-    async fn pause(&self) {
-        let pause = if self.sent == 0 { self.profile.first_token } else { self.profile.token };
-        if !pause.is_zero() {
-            tokio::time::sleep(pause.mul_f64(self.faults.slowness)).await;
+    async fn wait_for_token(&self) {
+        let delay = if self.sent == 0 { self.profile.first_token } else { self.profile.token };
+        if !delay.is_zero() {
+            tokio::time::sleep(delay.mul_f64(self.faults.slowness)).await;
         }
     }
 
@@ -115,15 +115,16 @@
     }
 }
 
-/// The mark `<ref:...>` in a prompt, or nothing.
+/// Returns the mark `<ref:...>` of a prompt, or an empty text if it has none.
 fn reference(prompt: &str) -> String {
     let start = prompt.find("<ref:").unwrap_or(prompt.len());
     let end = prompt[start..].find('>').map_or(start, |end| start + end + 1);
     prompt[start..end].to_owned()
 }
 
-/// A number from -1 to 1 that depends on the prompt and, less, on the version.
-fn spread(prompt: &str, version: &str) -> f64 {
+/// Returns a pseudo-random number from -1 to 1, determined by the prompt and, with less weight, the
+/// version.
+fn deviation(prompt: &str, version: &str) -> f64 {
     let unit = |text: &str| {
         let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/standin/src/instances.rs
+++ b/crates/standin/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances, which lags.
+//! The platform's list of live and leaving instances, which shows changes with a delay.
 
 use std::{
     io,
@@ -13,16 +13,16 @@
 
 use crate::listen::{Listening, listen};
 
-/// One line of the list.
+/// One instance on the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// Name of the instance.
     pub instance: String,
     /// `agent` or `entry`.
     pub role: String,
-    /// Where it is.
+    /// Data centre that the instance runs in.
     pub data_centre: String,
-    /// Where its pondwalk process listens.
+    /// Address on which the instance's pondwalk process listens.
     pub address: SocketAddr,
     /// `live` or `leaving`.
     pub state: String,
@@ -31,11 +31,11 @@
 #[derive(Debug)]
 struct Shared {
     lag: Duration,
-    /// Each list with the time from which it was true.
-    versions: Mutex<Vec<(Instant, Vec<ListedInstance>)>>,
+    /// Versions of the list with the times at which they were set, oldest first.
+    history: Mutex<Vec<(Instant, Vec<ListedInstance>)>>,
 }
 
-/// A listening instance list.
+/// A listening instance-list service.
 #[derive(Debug)]
 pub struct InstanceList {
     shared: Arc<Shared>,
@@ -43,38 +43,40 @@
 }
 
 impl InstanceList {
-    /// Starts a list at an address that shows changes after `lag`.
+    /// Starts the service at `address`; readers see changes after `lag`.
+    ///
+    /// Returns an error if the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         lag: Duration,
         instances: Vec<ListedInstance>,
     ) -> io::Result<Self> {
         let long_ago = Instant::now().checked_sub(lag).unwrap_or_else(Instant::now);
-        let shared = Shared { lag, versions: Mutex::new(vec![(long_ago, instances)]) };
+        let shared = Shared { lag, history: Mutex::new(vec![(long_ago, instances)]) };
         let shared = Arc::new(shared);
         let route = Route::new().at("/v1/instances", get(show_list)).data(shared.clone());
         Ok(InstanceList { shared, listening: listen(address, route).await? })
     }
 
-    /// Where it listens.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.listening.address
     }
 
-    /// Changes the list; readers see it after the lag.
+    /// Changes the list; readers see the change after the lag.
     pub fn change(&self, change: impl FnOnce(&mut Vec<ListedInstance>)) {
-        let mut versions = self.shared.versions.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut newest = versions.last().map(|(_, list)| list.clone()).unwrap_or_default();
+        let mut history = self.shared.history.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut newest = history.last().map(|(_, list)| list.clone()).unwrap_or_default();
         change(&mut newest);
-        versions.push((Instant::now(), newest));
+        history.push((Instant::now(), newest));
     }
 }
 
 #[handler]
 fn show_list(shared: Data<&Arc<Shared>>) -> Response {
-    let versions = shared.versions.lock().unwrap_or_else(PoisonError::into_inner);
+    let history = shared.history.lock().unwrap_or_else(PoisonError::into_inner);
     let now = Instant::now();
-    let visible = versions.iter().rev().find(|(since, _)| *since + shared.lag <= now);
+    let visible = history.iter().rev().find(|(since, _)| *since + shared.lag <= now);
     let list = visible.map(|(_, list)| list.as_slice()).unwrap_or_default();
     Response::builder()
         .content_type("application/json")
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: compare-and-swap, leases and watches in memory.
+//! The platform's key-value service, in memory: compare-and-swap, leases and watches.
 
 mod state;
 
@@ -27,23 +27,23 @@
 use crate::listen::{Listening, listen};
 use state::KvState;
 
-/// How the service misbehaves.
+/// Faults that the service injects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KvFaults {
-    /// It cannot be reached.
+    /// Whether the service is unreachable.
     pub down: bool,
-    /// Each call takes this much longer.
+    /// Time added to each call.
     pub delay: Duration,
-    /// This many of the next writes take effect without their answer getting through.
+    /// Number of the next writes that take effect but whose responses are lost.
     pub lost_answers: u32,
 }
 
-/// Calls counted by what the platform charges for.
+/// Numbers of calls, in the categories that the platform bills.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KvCounts {
-    /// Reads, watches included.
+    /// Reads, including watches.
     pub reads: u64,
-    /// Writes, lease calls included.
+    /// Writes, including calls for leases.
     pub writes: u64,
 }
 
@@ -55,35 +55,37 @@
     changed: Notify,
 }
 
-/// Handle on the stand-in; clones share it.
+/// Handle on the service; clones share its state.
 #[derive(Debug, Clone, Default)]
 pub struct KvStore {
     shared: Arc<Shared>,
 }
 
-/// A service that listens on HTTP.
+/// The service with an HTTP listener.
 #[derive(Debug)]
 pub struct KvServer {
-    /// The service's inside.
+    /// Handle on the service's state.
     pub store: KvStore,
     listening: Listening,
 }
 
 impl KvServer {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.listening.address
     }
 }
 
 impl KvStore {
-    /// Listens at an address.
+    /// Starts to serve at `address`.
+    ///
+    /// Returns an error if the address cannot be bound.
     pub async fn listen(&self, address: SocketAddr) -> io::Result<KvServer> {
         let listening = listen(address, routes(self.clone())).await?;
         Ok(KvServer { store: self.clone(), listening })
     }
 
-    /// A transport that reaches the service without a network.
+    /// Returns a transport that calls the service directly, without a network.
     pub fn transport(&self) -> Transport {
         let store = self.clone();
         Arc::new(move |path, body, wait| {
@@ -95,12 +97,12 @@
         })
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the faults of later calls.
     pub fn set_faults(&self, faults: KvFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Calls counted since the start.
+    /// Numbers of calls since the start.
     pub fn counts(&self) -> KvCounts {
         *lock(&self.shared.counts)
     }
@@ -117,15 +119,15 @@
         if path == WATCH_PATH {
             return self.watch(&body).await;
         }
-        let (reply, wrote) = self.answer(path, &body)?;
-        if wrote {
+        let (reply, is_write) = self.execute(path, &body)?;
+        if is_write {
             self.shared.changed.notify_waiters();
-            return self.apply_lost_answer(reply);
+            return self.reply_unless_lost(reply);
         }
         Ok(reply)
     }
 
-    fn answer(&self, path: &str, body: &str) -> Result<(String, bool), StoreError> {
+    fn execute(&self, path: &str, body: &str) -> Result<(String, bool), StoreError> {
         let mut state = lock(&self.shared.state);
         state.expire(Instant::now());
         match path {
@@ -139,7 +141,7 @@
         }
     }
 
-    fn apply_lost_answer(&self, reply: String) -> Result<String, StoreError> {
+    fn reply_unless_lost(&self, reply: String) -> Result<String, StoreError> {
         let mut faults = lock(&self.shared.faults);
         if faults.lost_answers == 0 {
             return Ok(reply);
--- a/crates/standin/src/kv/state.rs
+++ b/crates/standin/src/kv/state.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions and leases.
+//! State of the key-value service: keys, revisions and leases.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,9 +11,10 @@
 };
 use tokio::time::Instant;
 
-/// A key's value and history.
+/// A key's value, the revision of its last write, and its lease (0 if it has none).
 ///
-/// NB: keys are compared in their base64 form, so a range is matched on the decoded text.
+/// NB: key and value are kept in base64, as in the calls; the map's keys are decoded, so that
+/// ranges follow the order of the bytes.
 #[derive(Debug, Clone)]
 struct Stored {
     key: String,
@@ -28,7 +29,7 @@
     expires: Instant,
 }
 
-/// Everything that the service holds.
+/// All keys and leases of the service.
 #[derive(Debug, Default)]
 pub struct KvState {
     revision: u64,
@@ -38,23 +39,24 @@
 }
 
 impl KvState {
-    /// Reads a key or a range.
+    /// Reads a key, or a range of keys.
     pub fn range(&self, request: &RangeRequest) -> RangeReply {
         let kvs = self.matching(&request.key, &request.range_end).map(key_value).collect();
         RangeReply { header: self.header(), kvs }
     }
 
-    /// Writes all or nothing.
+    /// Applies all writes, or none if a comparison fails or a lease has expired.
     pub fn transact(&mut self, request: &TxnRequest) -> TxnReply {
-        let holds = request.compare.iter().all(|compare| {
-            let current = self.keys.get(&raw(&compare.key)).map_or(0, |stored| stored.revision);
+        let comparisons_hold = request.compare.iter().all(|compare| {
+            let current =
+                self.keys.get(&decode_base64(&compare.key)).map_or(0, |stored| stored.revision);
             current.to_string() == compare.mod_revision
         });
-        let leases_live = request.success.iter().all(|op| {
+        let leases_are_live = request.success.iter().all(|op| {
             let lease = op.request_put.lease.parse().unwrap_or(0);
             lease == 0 || self.leases.contains_key(&lease)
         });
-        let succeeded = holds && leases_live;
+        let succeeded = comparisons_hold && leases_are_live;
         if succeeded && !request.success.is_empty() {
             self.revision += 1;
             for op in &request.success {
@@ -65,13 +67,13 @@
                     revision: self.revision,
                     lease: put.lease.parse().unwrap_or(0),
                 };
-                self.keys.insert(raw(&put.key), stored);
+                self.keys.insert(decode_base64(&put.key), stored);
             }
         }
         TxnReply { header: self.header(), succeeded }
     }
 
-    /// Grants a lease.
+    /// Grants a lease that lasts from `now`.
     pub fn grant(&mut self, request: &LeaseRequest, now: Instant) -> LeaseReply {
         let ttl = Duration::from_secs(request.ttl_s.parse().unwrap_or(1));
         self.next_lease += 1;
@@ -79,7 +81,7 @@
         LeaseReply { ttl_s: request.ttl_s.clone(), id: self.next_lease.to_string() }
     }
 
-    /// Renews a lease, if it has not lapsed.
+    /// Renews a lease; the reply's time to live is 0 if the lease has expired.
     pub fn renew(&mut self, request: &LeaseRequest, now: Instant) -> LeaseReply {
         let lease = request.id.parse().ok().and_then(|id: u64| self.leases.get_mut(&id));
         let ttl_s = lease.map_or(0, |lease| {
@@ -89,15 +91,15 @@
         LeaseReply { ttl_s: ttl_s.to_string(), id: request.id.clone() }
     }
 
-    /// Ends leases whose time is over, with their keys.
+    /// Removes the leases that have expired, and their keys.
     pub fn expire(&mut self, now: Instant) {
-        let lapsed: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, l)| l.expires <= now).map(|(id, _)| *id).collect();
-        lapsed.into_iter().for_each(|lease| self.lapse(lease));
+        expired.into_iter().for_each(|lease| self.remove_lease(lease));
     }
 
-    /// Ends a lease, with its keys.
-    fn lapse(&mut self, lease: u64) {
+    /// Removes a lease and its keys.
+    fn remove_lease(&mut self, lease: u64) {
         if self.leases.remove(&lease).is_some() {
             let before = self.keys.len();
             self.keys.retain(|_, stored| stored.lease != lease);
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Keys of a watch that have changed since its start revision.
+    /// Returns the watched keys written at or after the start revision, or `None` if there are
+    /// none.
     pub fn changes(&self, request: &WatchRequest) -> Option<WatchReply> {
         let create = &request.create_request;
         let start: u64 = create.start_revision.parse().unwrap_or(0);
@@ -120,8 +123,9 @@
     }
 
     fn matching(&self, key: &str, end: &str) -> impl Iterator<Item = &Stored> {
-        let start = raw(key);
-        let end = if end.is_empty() { [start.as_slice(), &[0]].concat() } else { raw(end) };
+        let start = decode_base64(key);
+        let end =
+            if end.is_empty() { [start.as_slice(), &[0]].concat() } else { decode_base64(end) };
         self.keys.range(start..end).map(|(_, stored)| stored)
     }
 
@@ -138,7 +142,7 @@
     }
 }
 
-fn raw(base64: &str) -> Vec<u8> {
+fn decode_base64(base64: &str) -> Vec<u8> {
     use base64::{Engine, engine::general_purpose::STANDARD};
     STANDARD.decode(base64).unwrap_or_default()
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the systems around pondwalk, for the demo and for tests.
+//! In-process and loopback stand-ins for the systems around pondwalk, used by the demo, the soak
+//! and the tests.
 //!
-//! Each listens on a loopback port of its own choosing, counts what it was asked, and can be told
-//! to fail in the ways that the real system fails.
+//! Each stand-in records the calls that it receives and can inject the faults of the real system.
 
 pub mod backends;
 pub mod engine;
--- a/crates/standin/src/memory_store.rs
+++ b/crates/standin/src/memory_store.rs
@@ -1,8 +1,8 @@
-//! The platform's store as one process sees it, in memory and on tokio's clock, with its faults.
+//! The platform's store in memory, on tokio's clock, with injected faults.
 //!
-//! It serves the calls of [`StorePort`]: keys with revisions, conditional writes, and watches
-//! that wait. Calls can be kept from being answered, refused, slowed, or lose their answers
-//! after taking effect; the history can be dropped.
+//! It serves the calls of [`StorePort`]: keys with revisions, conditional writes, and long-polling
+//! watches. Calls can be refused, delayed, left without a response, or lose their responses after
+//! they took effect; the history can be dropped, and the store restored from a snapshot.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,32 +20,33 @@
     time::{Instant, sleep, sleep_until, timeout_at},
 };
 
-/// How calls fare.
+/// Fault injected into the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FaultMode {
-    /// They are answered at once.
+    /// No fault: calls are answered at once.
     #[default]
     Normal,
-    /// They are refused; nothing is done.
+    /// Calls are refused and take no effect.
     Refused,
-    /// They get no answer for this long, and then fail; nothing is done.
+    /// Calls fail after this time without a response and take no effect.
     Silent(Duration),
-    /// They are answered after this long.
+    /// Calls take effect, and are answered, after this time.
     Slow(Duration),
-    /// They are done at once, and answered after this long.
+    /// Calls take effect at once and are answered after this time.
     Late(Duration),
-    /// Answers come over a link that carries so many bytes a second, one after the other.
+    /// Responses share a link with this bandwidth, in bytes a second.
     LimitedBandwidth(u64),
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their responses are lost.
     AnswersLost,
 }
 
-/// Time after which writers give up an answer.
+/// Time after which a write whose response is late fails with [`StoreError::ResponseLost`].
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of an answer that a narrow link carries before those of another.
+/// Bytes of one response that a link with limited bandwidth transfers at a time; chunks of
+/// concurrent responses alternate.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a change did.
+/// The value that a change wrote, or `None` if it removed the key.
 type NewValue = Option<Vec<u8>>;
 
 #[derive(Debug, Default)]
@@ -59,7 +60,7 @@
     calls: u64,
 }
 
-/// What the store held at some time.
+/// The store's keys and history at one revision.
 #[derive(Debug, Clone)]
 pub struct StoreSnapshot {
     revision: u64,
@@ -67,46 +68,47 @@
     history: Vec<(u64, String, NewValue)>,
 }
 
-/// The store.
+/// Handle on the store; clones share its state and its connection.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryStore {
     state: Rc<RefCell<State>>,
     changed: Rc<Notify>,
-    /// How the calls on this way fare, if otherwise than all calls.
+    /// Fault mode of this connection, if it differs from that of the store.
     connection_fault_mode: Rc<Cell<Option<FaultMode>>>,
-    /// When the link on this way will have carried all answers so far.
+    /// Time at which this connection's link has transferred all responses so far.
     link_free_at: Rc<Cell<Option<Instant>>>,
 }
 
 impl MemoryStore {
-    /// The store's calls.
+    /// Returns the store's calls over this connection.
     pub fn port(&self) -> StorePort {
-        let (listing, watching, committing) = (self.clone(), self.clone(), self.clone());
+        let (list_store, watch_store, commit_store) = (self.clone(), self.clone(), self.clone());
         StorePort {
             list: Rc::new(move |prefix| {
-                let store = listing.clone();
+                let store = list_store.clone();
                 PortCall::new(|progress| async move { store.list(&prefix, &progress).await })
             }),
             watch: Rc::new(move |prefix, since, wait| {
-                let store = watching.clone();
+                let store = watch_store.clone();
                 PortCall::new(|progress| async move {
                     store.watch(&prefix, since, wait, &progress).await
                 })
             }),
             commit: Rc::new(move |changes| {
-                let store = committing.clone();
+                let store = commit_store.clone();
                 Box::pin(async move { store.commit(changes).await })
             }),
         }
     }
 
-    /// Sets how calls fare from now on.
+    /// Sets the fault mode of all connections that have none of their own.
     pub fn set_fault_mode(&self, fault_mode: FaultMode) {
         self.state.borrow_mut().fault_mode = fault_mode;
         self.changed.notify_waiters();
     }
 
-    /// The same store on a way of its own, which can fare differently.
+    /// Returns a handle on the same store with a connection of its own, which can have another
+    /// fault mode.
     pub fn new_connection(&self) -> MemoryStore {
         MemoryStore {
             connection_fault_mode: Rc::default(),
@@ -115,32 +117,33 @@
         }
     }
 
-    /// Sets how calls on this way fare from now on.
+    /// Sets the fault mode of this connection.
     pub fn set_connection_fault_mode(&self, fault_mode: FaultMode) {
         self.connection_fault_mode.set(Some(fault_mode));
         self.changed.notify_waiters();
     }
 
-    /// Writes a key, as operators and servers do, whatever the fault_mode.
+    /// Writes a key, as operators and servers do, regardless of the fault mode.
     pub fn put(&self, key: &str, value: &str) {
         self.state.borrow_mut().apply(key, Some(value.as_bytes().to_vec()));
         self.changed.notify_waiters();
     }
 
-    /// Removes a key.
+    /// Removes a key, regardless of the fault mode.
     pub fn remove(&self, key: &str) {
         self.state.borrow_mut().apply(key, None);
         self.changed.notify_waiters();
     }
 
-    /// A key's value as text.
+    /// Returns a key's value as text.
     pub fn value(&self, key: &str) -> Option<String> {
         let state = self.state.borrow();
         let (value, _) = state.keys.get(key)?;
         Some(String::from_utf8_lossy(value).into_owned())
     }
 
-    /// Drops the history up to now.
+    /// Drops the history up to the current revision; older watches receive
+    /// [`WatchReply::HistoryGone`].
     pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
         state.dropped_up_to = state.revision;
@@ -149,7 +152,7 @@
         self.changed.notify_waiters();
     }
 
-    /// What the store holds now, to be restored later.
+    /// Returns a snapshot of the store for [`MemoryStore::restore`].
     pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.state.borrow();
         StoreSnapshot {
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Goes back to a copy, in an era of its own. What was written since is gone, and its revisions
-    /// are given out again.
+    /// Restores a snapshot and begins a new era. Later writes are lost, and their revisions are
+    /// assigned again.
     pub fn restore(&self, snapshot: StoreSnapshot) {
         let mut state = self.state.borrow_mut();
         state.era += 1;
@@ -171,25 +174,26 @@
         self.changed.notify_waiters();
     }
 
-    /// Goes back to a copy, after which the keys that `is_rewritten` names are written as they were.
+    /// Restores a snapshot, then brings the keys for which `is_rewritten` returns true back to
+    /// their state before the restoration.
     pub fn restore_and_rewrite(
         &self,
         snapshot: StoreSnapshot,
         is_rewritten: impl Fn(&str) -> bool,
     ) {
-        let written = |keys: &BTreeMap<String, (Vec<u8>, u64)>| -> BTreeMap<String, Vec<u8>> {
-            let own = keys.iter().filter(|(key, _)| is_rewritten(key));
-            own.map(|(key, (value, _))| (key.clone(), value.clone())).collect()
+        let rewritten = |keys: &BTreeMap<String, (Vec<u8>, u64)>| -> BTreeMap<String, Vec<u8>> {
+            let matching = keys.iter().filter(|(key, _)| is_rewritten(key));
+            matching.map(|(key, (value, _))| (key.clone(), value.clone())).collect()
         };
-        let before = written(&self.state.borrow().keys);
-        let copied = written(&snapshot.keys);
+        let before = rewritten(&self.state.borrow().keys);
+        let restored = rewritten(&snapshot.keys);
         self.restore(snapshot);
         let mut state = self.state.borrow_mut();
-        for key in copied.keys().filter(|key| !before.contains_key(*key)) {
+        for key in restored.keys().filter(|key| !before.contains_key(*key)) {
             state.apply(key, None);
         }
         for (key, value) in before {
-            if copied.get(&key) != Some(&value) {
+            if restored.get(&key) != Some(&value) {
                 state.apply(&key, Some(value));
             }
         }
@@ -197,12 +201,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Era that the store is in.
+    /// Current era of the store.
     pub fn era(&self) -> Era {
         self.state.borrow().era
     }
 
-    /// Calls made so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.state.borrow().calls
     }
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Lets an answer of so many bytes come over the link.
+    /// Waits for the transfer of a response of `bytes` under the fault mode.
     async fn transfer(&self, bytes: usize, progress: &ReadProgress) {
         match self.fault_mode() {
             FaultMode::Late(time) => sleep(time).await,
@@ -292,31 +296,31 @@
         }
     }
 
-    /// Lets it come in pieces, between which those of other answers come.
+    /// Transfers a response in chunks, which alternate with those of concurrent responses.
     async fn transfer_at_rate(&self, bytes: usize, bytes_per_s: u64, progress: &ReadProgress) {
-        let mut left = bytes;
-        while left > 0 {
-            let chunk = left.min(CHUNK_BYTES);
+        let mut remaining = bytes;
+        while remaining > 0 {
+            let chunk = remaining.min(CHUNK_BYTES);
             let time = Duration::from_secs_f64(chunk as f64 / bytes_per_s as f64);
             let now = Instant::now();
-            let done = self.link_free_at.get().map_or(now, |free| free.max(now)) + time;
-            self.link_free_at.set(Some(done));
-            sleep_until(done).await;
+            let done_at = self.link_free_at.get().map_or(now, |free_at| free_at.max(now)) + time;
+            self.link_free_at.set(Some(done_at));
+            sleep_until(done_at).await;
             progress.record(chunk);
-            left -= chunk;
+            remaining -= chunk;
         }
     }
 }
 
 impl FaultMode {
-    /// Whether a watch that has found nothing yet goes on waiting in it.
+    /// Whether a watch without changes so far continues to wait in this fault mode.
     fn allows_watches_to_wait(self) -> bool {
         let is_undelayed = matches!(self, FaultMode::Normal | FaultMode::AnswersLost);
         is_undelayed || matches!(self, FaultMode::Late(_) | FaultMode::LimitedBandwidth(_))
     }
 }
 
-/// Bytes of the values in a watch's answer.
+/// Total size of the values in a watch's reply, in bytes.
 fn reply_bytes(reply: &WatchReply) -> usize {
     let WatchReply::Changes(events, _) = reply else { return 0 };
     let bytes = |event: &StoreEvent| match event {
@@ -341,7 +345,7 @@
         Listing { entries: entries.collect(), position: self.position() }
     }
 
-    /// Makes all changes, if all their conditions hold.
+    /// Applies all changes if all their conditions hold, or none.
     fn commit(&mut self, changes: Vec<Change>) -> Result<Position, StoreError> {
         let conditions_hold = changes.iter().all(|change| {
             let current = self.keys.get(&change.key).map(|(_, revision)| *revision);
@@ -373,7 +377,7 @@
         }
     }
 
-    /// What a watch after `since` has to tell, if anything.
+    /// Returns the reply to a watch from `since`, or `None` if there is no change yet.
     fn changes(&self, prefix: &str, since: u64) -> Option<WatchReply> {
         if since < self.dropped_up_to || since > self.revision {
             return Some(WatchReply::HistoryGone);
--- a/crates/standin/src/platform_server.rs
+++ b/crates/standin/src/platform_server.rs
@@ -1,4 +1,7 @@
-//! A backend server over TCP, which tells on standard output what it ran.
+//! Backend server over TCP that prints each request it received to standard output, as a JSON line.
+//!
+//! Signals change its behaviour: `SIGUSR1` reports that it is draining, `SIGUSR2` rejects requests
+//! and asks for backoff for a while, and `SIGHUP` reports a rate limit for a while.
 
 use std::{
     io::{self, Write},
@@ -19,62 +22,62 @@
 
 use crate::backends::{Backends, Behaviour, CrashRule, HeaderNames, ReceivedRequest};
 
-/// Time between two looks at what was run; a run is told that much late at most.
+/// Interval at which received requests are printed; a request is printed at most this much late.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Beginning of the body of a request that ends every server that runs it.
+/// Prefix of the body of a request that crashes every server that runs it.
 pub const CRASHING_BODY: &str = "ends whoever runs it";
-/// Time from the beginning of its run until the server's process ends.
+/// Time from the start of such a request until the server crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(60);
-/// The process does not outlive its end.
+/// Restart delay that is never reached, because the process exits after the crash.
 const NO_RESTART: Duration = Duration::from_secs(3_600);
-/// Status of a process that ended so.
+/// Exit status of the process after a crash.
 const CRASH_EXIT_STATUS: i32 = 3;
 
-/// Tells in its answers that the server leaves.
+/// Response header of a draining server.
 const DRAINING_HEADER: &str = "server-leaving";
-/// Tells in its answers for how many seconds it wants no requests.
+/// Response header with the requested backoff, in seconds.
 const RETRY_AFTER_HEADER: &str = "retry-after";
-/// Tells in its answers how many requests a second it takes from all entries together.
+/// Response header with the rate limit for all entries together, in requests a second.
 const LIMIT_HEADER: &str = "server-limit";
-/// Time for which a server that was told to names a limit.
+/// Time for which the server reports a rate limit after `SIGHUP`.
 pub const RATE_LIMIT_DURATION: Duration = Duration::from_secs(10);
-/// Requests a second that it takes meanwhile.
+/// Reported rate limit, in requests a second.
 const LIMIT_PER_S: &str = "1.6";
-/// Time for which a server that was told to turns everything away.
+/// Time for which the server rejects all requests after `SIGUSR2`.
 pub const REJECTION_DURATION: Duration = Duration::from_secs(5);
-/// Seconds without requests that it asks for meanwhile.
+/// Backoff requested with each rejection, in seconds.
 const RETRY_AFTER_S: &str = "2.5";
 
-/// One request that a server has read.
+/// A request that a server received, as printed to standard output.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Server that read it.
+    /// Id of the server.
     pub server: String,
     /// Id of the request.
     pub request: String,
     /// Whether the server ran it.
     pub ran: bool,
-    /// Time of day at which it was noticed, in microseconds.
+    /// Unix time at which the request was printed, in microseconds.
     pub at_us: u64,
-    /// Whether the answer said that the server leaves.
+    /// Whether the response reported that the server is draining.
     #[serde(default)]
     pub told_leaving: bool,
-    /// For how long the server wanted nothing more, if it asked for that with the answer, in milliseconds.
+    /// Backoff requested in the response, if any, in milliseconds.
     #[serde(default)]
     pub asked_backoff_ms: Option<u64>,
-    /// Requests a second that the server takes from all entries together, if the answer named that.
+    /// Rate limit for all entries together reported in the response, if any, in requests a second.
     #[serde(default)]
     pub limit_per_s: Option<f64>,
 }
 
-/// Time of day in microseconds.
+/// Returns the Unix time in microseconds.
 pub fn now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Headers of the platform's backend servers.
+/// Returns the names of the headers that the platform's backend servers use.
 pub fn header_names() -> HeaderNames {
     let name = |text: &str| text.to_owned();
     HeaderNames {
@@ -89,24 +92,26 @@
 
 impl RunRecord {
     fn new(server: &str, request: &ReceivedRequest) -> Self {
-        let told = |name: &str| {
-            let told = request.extra_headers.iter().find(|(told, _)| told == name);
-            told.map(|(_, value)| value.as_str())
+        let header = |name: &str| {
+            let header = request.extra_headers.iter().find(|(header, _)| header == name);
+            header.map(|(_, value)| value.as_str())
         };
-        let backoff_s = told(RETRY_AFTER_HEADER).and_then(|text| text.parse::<f64>().ok());
+        let backoff_s = header(RETRY_AFTER_HEADER).and_then(|text| text.parse::<f64>().ok());
         RunRecord {
             server: server.to_owned(),
             request: request.headers.get(&header_names().request_id).cloned().unwrap_or_default(),
             ran: request.ran,
             at_us: now_us(),
-            told_leaving: told(DRAINING_HEADER).is_some(),
+            told_leaving: header(DRAINING_HEADER).is_some(),
             asked_backoff_ms: backoff_s.map(|backoff_s| (backoff_s * 1_000.0) as u64),
-            limit_per_s: told(LIMIT_HEADER).and_then(|text| text.parse().ok()),
+            limit_per_s: header(LIMIT_HEADER).and_then(|text| text.parse().ok()),
         }
     }
 }
 
-/// Serves as `id` on connections to `listener`, on the current thread's local tasks.
+/// Serves as server `id` on connections to `listener`, as local tasks of the current thread.
+///
+/// Returns an error if a signal handler cannot be installed or a connection cannot be accepted.
 pub async fn serve(
     id: String,
     default_behaviour: Behaviour,
@@ -115,7 +120,8 @@
     let address = listener.local_addr()?;
     let backends = Backends::new(header_names());
     backends.start(address, &id, default_behaviour.clone());
-    // NB: a signal that nobody listens for yet would end the process.
+    // NB: a signal without a handler ends the process, so the handlers are installed before any
+    // await.
     let (drain, reject) =
         (signal(SignalKind::user_defined1())?, signal(SignalKind::user_defined2())?);
     let limit = signal(SignalKind::hangup())?;
@@ -134,20 +140,20 @@
         stream.set_nodelay(true)?;
         let mut connection = backends.connect(address)?;
         spawn_local(async move {
-            // NB: either side may leave at any moment.
+            // NB: either side may close at any time; that is no error.
             let _ = copy_bidirectional(&mut stream, &mut connection).await;
         });
     }
 }
 
-/// Says in all answers that the server leaves, from the first such signal on.
+/// Reports in all responses that the server is draining, from the first signal on.
 async fn announce_draining(backends: Backends, address: SocketAddr, mut signal: Signal) {
     while signal.recv().await.is_some() {
         backends.set_header(address, DRAINING_HEADER, "1");
     }
 }
 
-/// Turns everything away for a while at each such signal, and asks for a pause with each answer.
+/// Rejects all requests for [`REJECTION_DURATION`] after each signal, with a requested backoff.
 async fn reject_requests(
     backends: Backends,
     address: SocketAddr,
@@ -163,7 +169,7 @@
     }
 }
 
-/// Names a limit in all answers for a while at each such signal.
+/// Reports a rate limit in all responses for [`RATE_LIMIT_DURATION`] after each signal.
 async fn announce_rate_limit(backends: Backends, address: SocketAddr, mut signal: Signal) {
     while signal.recv().await.is_some() {
         backends.set_header(address, LIMIT_HEADER, LIMIT_PER_S);
@@ -172,19 +178,19 @@
     }
 }
 
-/// Tells each request once, a line each.
+/// Prints each received request once, a line each, and exits the process after a crash.
 async fn print_runs(backends: Backends, address: SocketAddr, id: String) {
-    let mut told = 0;
+    let mut printed = 0;
     loop {
-        for request in backends.requests_from(address, told) {
-            told += 1;
+        for request in backends.requests_from(address, printed) {
+            printed += 1;
             let line = serde_json::to_string(&RunRecord::new(&id, &request)).unwrap_or_default();
-            // NB: whoever started it reads this; without a reader there is nothing to serve for.
+            // NB: the parent process reads this output; without a reader the server has no use.
             if writeln!(io::stdout(), "{line}").is_err() {
                 return;
             }
         }
-        // NB: what it worked on has broken off by now, as the system lets it when a process ends.
+        // NB: the connections are closed by now, as the system closes them when a process exits.
         if backends.crashing_runs().iter().any(|run| run.crashed_at.is_some()) {
             process::exit(CRASH_EXIT_STATUS);
         }
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -1,7 +1,7 @@
-//! The platform's store over HTTP, in the form that its pages give, around the store in memory.
+//! The platform's store over HTTP, with the paths and bodies of its API, on top of [`MemoryStore`].
 //!
-//! Beside the calls of entries it takes orders of whoever runs it: keys to write and remove, and how
-//! calls are to fare.
+//! Besides the calls of entries it serves control calls below `/order/`: to write and remove keys,
+//! to set the fault mode, to drop the history and to restore a snapshot.
 
 use std::{
     cell::RefCell,
@@ -26,38 +26,38 @@
 
 use crate::memory_store::{FaultMode, MemoryStore, StoreSnapshot};
 
-/// Keys in one page of a reading.
-const PAGE_KEYS: usize = 50;
-/// Header in which each answer names the era of the store.
+/// Maximum number of keys in one page of a range.
+const MAX_PAGE_KEYS: usize = 50;
+/// Response header with the era of the store.
 const ERA_HEADER: &str = "store-era";
 /// Time between two snapshots of the store.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// Snapshots that are kept.
+/// Maximum number of snapshots kept.
 const MAX_SNAPSHOTS: usize = 32;
-/// Starts of the keys that operators and servers write again after a restoration.
+/// Prefixes of the keys that operators and servers write again after a restoration.
 const REWRITTEN_PREFIXES: [&str; 2] = ["op/", "servers/"];
-/// Start of the paths of orders.
+/// Prefix of the paths of control calls.
 const ORDER_PREFIX: &str = "/order/";
 
-/// An order on how calls are to fare.
+/// Body of the control call that sets the fault mode.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultModeOrder {
-    /// They are answered at once.
+    /// No fault: calls are answered at once.
     Fair,
-    /// They are refused.
+    /// Calls are refused.
     Refused,
-    /// They get no answer for so many milliseconds.
+    /// Calls get no response, and their connections are closed.
     Silent {
-        /// Until the connection is closed.
+        /// Milliseconds until the connection is closed.
         ms: u64,
     },
-    /// They are is_applied at once and answered so many milliseconds later.
+    /// Calls take effect at once and are answered late.
     Late {
-        /// Until the answer.
+        /// Milliseconds until the response.
         ms: u64,
     },
-    /// Writes are is_applied and not answered.
+    /// Writes take effect, but their responses are lost.
     AnswersLost,
 }
 
@@ -76,24 +76,25 @@
 /// A route of a configuration.
 #[derive(Debug, Clone)]
 pub struct RouteSpec {
-    /// Start of its paths.
+    /// Prefix of the route's paths.
     pub prefix: String,
-    /// Word for what may be repeated.
+    /// Route type in the configuration, which states whether requests may be repeated.
     pub kind: &'static str,
-    /// Service that runs it.
+    /// Service that handles the requests.
     pub service: &'static str,
 }
 
-/// How backend servers warm up.
+/// Warm-up of backend servers in a configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct WarmUpSpec {
     /// Time for which a server is cold after its start.
     pub time: Duration,
-    /// Requests a second that it bears meanwhile.
+    /// Requests a second that a cold server handles.
     pub requests_per_s: f64,
 }
 
-/// Key and value of a configuration with these routes of one host, and these keys of one workspace.
+/// Returns key and value of a configuration with the routes of one host and the API keys of one
+/// workspace.
 pub fn configuration_entry(
     version: u64,
     host: &str,
@@ -131,26 +132,26 @@
     ("op/config".to_owned(), value)
 }
 
-/// What a backend server tells of itself.
+/// Fields of a backend server's entry in the store.
 #[derive(Debug, Clone)]
 pub struct ServerEntry {
-    /// Its identity.
+    /// Id of the server.
     pub id: String,
-    /// Service it belongs to.
+    /// Service that the server belongs to.
     pub service: &'static str,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: String,
-    /// Data centre it runs in.
+    /// Data centre that the server runs in.
     pub data_centre: String,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub is_ready: bool,
-    /// How much longer it is cold, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// When it started, in milliseconds of Unix time.
+    /// Start time of the server, in milliseconds of Unix time.
     pub born_ms: u64,
 }
 
-/// Key and value of a backend server's own entry.
+/// Returns key and value of a backend server's entry.
 pub fn server_entry(entry: &ServerEntry) -> (String, Value) {
     let state = if entry.is_ready { "ready" } else { "draining" };
     let value = json!({
@@ -179,7 +180,9 @@
     data: String,
 }
 
-/// Serves the store on connections to `listener`, on the current thread's local tasks.
+/// Serves the store on connections to `listener`, as local tasks of the current thread.
+///
+/// Returns an error if a connection cannot be accepted.
 pub async fn serve(store: MemoryStore, listener: TcpListener) -> io::Result<()> {
     let snapshots = Snapshots::default();
     spawn_local(take_snapshots(store.clone(), snapshots.clone()));
@@ -190,16 +193,17 @@
         spawn_local(async move {
             let service =
                 service_fn(move |request| handle(store.clone(), snapshots.clone(), request));
-            // NB: a connection whose answer is lost is closed without one.
+            // NB: if a response is lost, the handler fails and the connection is closed without
+            // one.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// Snapshots of the store, the latest last.
+/// Snapshots of the store, oldest first.
 type Snapshots = Rc<RefCell<VecDeque<StoreSnapshot>>>;
 
-/// Takes snapshots for as long as the store runs.
+/// Takes a snapshot at each interval and drops the oldest beyond the maximum.
 async fn take_snapshots(store: MemoryStore, snapshots: Snapshots) {
     loop {
         snapshots.borrow_mut().push_back(store.snapshot());
@@ -210,7 +214,7 @@
     }
 }
 
-/// Restores the store from a snapshot of about this age; tells whether there is one.
+/// Restores a snapshot of about this age, or else the oldest. Returns false if there is none.
 fn restore(store: &MemoryStore, snapshots: &Snapshots, age: Duration) -> bool {
     let index = (age.as_millis() / SNAPSHOT_INTERVAL.as_millis()) as usize;
     let snapshots = snapshots.borrow();
@@ -233,7 +237,7 @@
     if let Some(order) = path.strip_prefix(ORDER_PREFIX) {
         return Ok(apply_order(&store, &snapshots, &parts.method, order, &body));
     }
-    let query = query(parts.uri.query().unwrap_or_default());
+    let query = parse_query(parts.uri.query().unwrap_or_default());
     let result = match path.as_str() {
         "/api/kv-range" => range(&store, &query).await,
         "/api/kv-watch" => watch(&store, &query).await,
@@ -293,9 +297,11 @@
     let prefix = query.get("path_prefix").cloned().unwrap_or_default();
     let after = query.get("since_revision").cloned().unwrap_or_default();
     let listing = (store.port().list)(prefix).await?;
-    let left: Vec<&StoreEntry> = listing.entries.iter().filter(|entry| entry.key > after).collect();
-    let page: Vec<Value> = left.iter().take(PAGE_KEYS).map(|entry| item(entry)).collect();
-    let truncated = left.len() > PAGE_KEYS;
+    let remaining: Vec<&StoreEntry> =
+        listing.entries.iter().filter(|entry| entry.key > after).collect();
+    let page: Vec<Value> =
+        remaining.iter().take(MAX_PAGE_KEYS).map(|entry| entry_json(entry)).collect();
+    let truncated = remaining.len() > MAX_PAGE_KEYS;
     let body = json!({
         "entries": page, "truncated": truncated, "position_revision": listing.position.revision
     });
@@ -312,7 +318,7 @@
     match (store.port().watch)(prefix, number("since_revision"), wait).await? {
         WatchReply::HistoryGone => Ok((StatusCode::GONE, Value::Null)),
         WatchReply::Changes(events, position) => {
-            let events: Vec<Value> = events.iter().map(event).collect();
+            let events: Vec<Value> = events.iter().map(event_json).collect();
             Ok((
                 StatusCode::OK,
                 json!({ "events": events, "position_revision": position.revision }),
@@ -348,29 +354,29 @@
     }
 }
 
-fn item(entry: &StoreEntry) -> Value {
+fn entry_json(entry: &StoreEntry) -> Value {
     json!({
         "private_key": entry.key, "data": STANDARD.encode(&entry.value),
         "revision": entry.revision, "created": entry.revision, "lease_id": 0
     })
 }
 
-fn event(event: &StoreEvent) -> Value {
+fn event_json(event: &StoreEvent) -> Value {
     match event {
-        StoreEvent::Written(entry) => item(entry),
+        StoreEvent::Written(entry) => entry_json(entry),
         StoreEvent::Removed { key, revision } => {
             json!({ "private_key": key, "revision": revision, "compacted": true })
         }
     }
 }
 
-/// The pairs of a query, with escapes resolved.
-fn query(text: &str) -> HashMap<String, String> {
+/// Parses the pairs of a query string and decodes their values.
+fn parse_query(text: &str) -> HashMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
-    pairs.map(|(name, value)| (name.to_owned(), unescape(value))).collect()
+    pairs.map(|(name, value)| (name.to_owned(), percent_decode(value))).collect()
 }
 
-fn unescape(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let [first, after @ ..] = rest {
--- a/crates/standin/src/rating.rs
+++ b/crates/standin/src/rating.rs
@@ -1,4 +1,4 @@
-//! The rating service: reads the quality that the engine's stand-in wrote into its answer.
+//! Rating service: returns the quality that the stand-in of the engine wrote into its answer.
 
 use std::{
     io,
@@ -24,7 +24,7 @@
 struct Shared {
     delay: Duration,
     available: AtomicBool,
-    rated: AtomicU64,
+    rating_count: AtomicU64,
 }
 
 /// A listening rating service.
@@ -35,27 +35,29 @@
 }
 
 impl RatingService {
-    /// Starts a service at an address that takes `delay` for each rating.
+    /// Starts a service at `address` that takes `delay` for each rating.
+    ///
+    /// Returns an error if the address cannot be bound.
     pub async fn start(address: SocketAddr, delay: Duration) -> io::Result<Self> {
         let available = AtomicBool::new(true);
-        let shared = Arc::new(Shared { delay, available, rated: AtomicU64::new(0) });
+        let shared = Arc::new(Shared { delay, available, rating_count: AtomicU64::new(0) });
         let route = Route::new().at("/v1/rate", post(rate)).data(shared.clone());
         Ok(RatingService { shared, listening: listen(address, route).await? })
     }
 
-    /// Where it listens.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.listening.address
     }
 
-    /// Takes it down or brings it available.
+    /// Sets whether the service rates answers; an unavailable service responds with 503.
     pub fn set_available(&self, available: bool) {
         self.shared.available.store(available, Ordering::Relaxed);
     }
 
-    /// Ratings given.
+    /// Number of answers rated so far.
     pub fn rating_count(&self) -> u64 {
-        self.shared.rated.load(Ordering::Relaxed)
+        self.shared.rating_count.load(Ordering::Relaxed)
     }
 }
 
@@ -68,11 +70,11 @@
     let Some(quality) = parse_quality(body["answer"].as_str().unwrap_or_default()) else {
         return Response::builder().status(StatusCode::UNPROCESSABLE_ENTITY).finish();
     };
-    shared.rated.fetch_add(1, Ordering::Relaxed);
+    shared.rating_count.fetch_add(1, Ordering::Relaxed);
     Response::builder().body(json!({ "quality": quality }).to_string())
 }
 
-/// Reads the quality at the start of an answer.
+/// Parses the quality in square brackets at the start of an answer, such as `[0.83]`.
 pub fn parse_quality(answer: &str) -> Option<f64> {
     let (quality, _) = answer.strip_prefix('[')?.split_once(']')?;
     quality.parse().ok()
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that answers any call after a fixed time.
+//! Plain HTTP service that answers every call after a fixed delay.
 
 use std::{
     io,
@@ -21,7 +21,7 @@
     log: Mutex<Vec<String>>,
 }
 
-/// A listening service.
+/// A listening plain service.
 #[derive(Debug)]
 pub struct PlainService {
     shared: Arc<Shared>,
@@ -29,19 +29,21 @@
 }
 
 impl PlainService {
-    /// Starts a service at an address that takes `delay` for each call.
+    /// Starts a service at `address` that takes `delay` for each call.
+    ///
+    /// Returns an error if the address cannot be bound.
     pub async fn start(address: SocketAddr, delay: Duration) -> io::Result<Self> {
         let shared = Arc::new(Shared { delay, log: Mutex::default() });
         let route = Route::new().at("/*path", answer).data(shared.clone());
         Ok(PlainService { shared, listening: listen(address, route).await? })
     }
 
-    /// Where it listens.
+    /// Address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.listening.address
     }
 
-    /// Ids of the requests that it ran.
+    /// Ids of the requests received, in order of arrival.
     pub fn log(&self) -> Vec<String> {
         self.shared.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/standin/src/usage_sink.rs
+++ b/crates/standin/src/usage_sink.rs
@@ -1,8 +1,9 @@
-//! The platform's address for calls that one entry makes for all, in memory and on tokio's clock.
+//! The platform's receiver of usage reports, which one entry sends for all, in memory and on
+//! tokio's clock.
 //!
-//! It takes reports of usage, fares as it is told to, and says which of the platform's rules were violations:
-//! two reports of one window that differ, one number used by two holders, a lower number after a higher
-//! one, and holders that act by turns within the lease.
+//! It accepts reports, injects faults, and records violations of the platform's rules: two
+//! differing reports of one window, one fencing token used by two holders, a lower fencing token
+//! after a higher one, and holders that alternate within the lease.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,118 +17,118 @@
     time::{Instant, sleep},
 };
 
-/// A call as it arrives.
+/// A usage report, as the caller sends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageCall {
-    /// Name of the entry that calls.
+    /// Name of the entry that sends the report.
     pub holder: String,
-    /// Its number.
+    /// Fencing token of the holder.
     pub fencing_token: u64,
-    /// Window that it reports.
+    /// Number of the reported window.
     pub window: u64,
     /// Requests by workspace.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What the caller hears.
+/// Response to a report, as the caller receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportResponse {
-    /// It was accepted.
+    /// The report was accepted.
     Accepted,
-    /// A higher number has been seen.
+    /// The fencing token is lower than one accepted before.
     Refused,
-    /// Too many calls are made.
+    /// The caller sends too many reports.
     TooManyRequests,
-    /// Nothing.
+    /// No response arrived in time.
     NoResponse,
 }
 
-/// How calls fare.
+/// Fault injected into the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SinkFaultMode {
-    /// They are carried out and answered at once.
+    /// No fault: calls are accepted and answered at once.
     #[default]
     Normal,
-    /// They are turned away.
+    /// Calls are rejected.
     TooManyRequests,
-    /// They are lost without a word.
+    /// Calls are lost without a response.
     Silent,
-    /// They are carried out, and their answers lost.
+    /// Calls are accepted, but their responses are lost.
     AnswersLost,
-    /// They are carried out only after this long, without an answer.
+    /// Calls are accepted after this time, and their responses are lost.
     Delayed(Duration),
 }
 
-/// A call that was carried out.
+/// A call that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedCall {
     /// The call.
     pub call: UsageCall,
-    /// When it was carried out.
+    /// Time at which the call was accepted.
     pub at: Instant,
-    /// Whether it was carried out when it was made.
+    /// Whether the call was accepted as soon as it was made.
     is_prompt: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     accepted: Vec<AcceptedCall>,
-    /// Calls that arrived, whatever became of them.
+    /// Number of calls made, including those lost or rejected.
     calls: u64,
     highest_token: u64,
     violations: Vec<String>,
 }
 
-/// The platform's address.
+/// Handle on the receiver; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct UsageSink {
     state: Rc<RefCell<State>>,
     fault_mode: Rc<Cell<SinkFaultMode>>,
-    /// Entry whose calls alone are lost, if any is.
+    /// Entry whose calls are lost, if any, regardless of the fault mode.
     dropped_holder: Rc<RefCell<Option<String>>>,
 }
 
-/// Time for which a holder is not to be passed over, as the tests' deployments have it.
+/// Time for which a holder keeps the lease, as configured in the tests.
 const LEASE_TIME: Duration = Duration::from_secs(3);
 
 impl UsageSink {
-    /// Sets how calls fare from now on.
+    /// Sets the fault mode of later calls.
     pub fn set_fault_mode(&self, fault_mode: SinkFaultMode) {
         self.fault_mode.set(fault_mode);
     }
 
-    /// Loses the calls of one entry from now on, or of none.
+    /// Drops later calls of one entry, or of none.
     pub fn drop_calls_from(&self, holder: Option<&str>) {
         *self.dropped_holder.borrow_mut() = holder.map(str::to_owned);
     }
 
-    /// Calls that arrived so far.
+    /// Returns the number of calls made so far, including those lost or rejected.
     pub fn calls(&self) -> u64 {
         self.state.borrow().calls
     }
 
-    /// Calls that were carried out, in order.
+    /// Returns the accepted calls, in order.
     pub fn accepted(&self) -> Vec<AcceptedCall> {
         self.state.borrow().accepted.clone()
     }
 
-    /// What was reported, by window.
+    /// Returns the reported counts by window, from the last accepted report of each.
     pub fn reported(&self) -> BTreeMap<u64, BTreeMap<String, u64>> {
         let accepted = self.accepted().into_iter();
         accepted.map(|accepted| (accepted.call.window, accepted.call.counts)).collect()
     }
 
-    /// The holder whose call was carried out last.
+    /// Returns the holder of the last accepted call.
     pub fn holder(&self) -> Option<String> {
         self.state.borrow().accepted.last().map(|accepted| accepted.call.holder.clone())
     }
 
-    /// Rules that were violations.
+    /// Returns descriptions of the rule violations so far.
     pub fn violations(&self) -> Vec<String> {
         self.state.borrow().violations.clone()
     }
 
-    /// Takes a call; the caller waits for `limit` at most.
+    /// Receives a call; the caller waits for a response for `limit` at most.
     pub async fn report(&self, call: UsageCall, limit: Duration) -> ReportResponse {
         self.state.borrow_mut().calls += 1;
         let is_dropped = self.dropped_holder.borrow().as_deref() == Some(call.holder.as_str());
@@ -140,10 +141,10 @@
                 self.accept(call, true);
             }
             SinkFaultMode::Delayed(delay) => {
-                let platform = self.clone();
+                let sink = self.clone();
                 spawn_local(async move {
                     sleep(delay).await;
-                    platform.accept(call, false);
+                    sink.accept(call, false);
                 });
             }
         }
@@ -173,11 +174,11 @@
             accepted.call.fencing_token == token && accepted.call.holder != *holder
         };
         if self.accepted.iter().any(is_of_other_holder) {
-            self.violations.push(format!("{holder} uses the number {token} of another holder"));
+            self.violations.push(format!("{holder} uses fencing token {token} of another holder"));
         }
         if is_prompt && token < self.highest_token {
             self.violations
-                .push(format!("{holder} calls under {token} after {}", self.highest_token));
+                .push(format!("{holder} uses fencing token {token} after {}", self.highest_token));
         }
     }
 
@@ -191,15 +192,19 @@
     }
 
     fn check_alternation(&mut self, latest: &AcceptedCall) {
-        let within =
+        let is_recent =
             |accepted: &&AcceptedCall| latest.at < accepted.at + LEASE_TIME && accepted.is_prompt;
-        let recent: Vec<&AcceptedCall> = self.accepted.iter().filter(within).collect();
-        let own = recent.iter().position(|accepted| accepted.call.holder == latest.call.holder);
-        let has_returned = own.is_some_and(|own| {
-            recent[own..].iter().any(|accepted| accepted.call.holder != latest.call.holder)
+        let recent: Vec<&AcceptedCall> = self.accepted.iter().filter(is_recent).collect();
+        let first_own =
+            recent.iter().position(|accepted| accepted.call.holder == latest.call.holder);
+        let has_returned = first_own.is_some_and(|first_own| {
+            recent[first_own..].iter().any(|accepted| accepted.call.holder != latest.call.holder)
         });
         if latest.is_prompt && has_returned {
-            self.violations.push(format!("{} is back within the lease", latest.call.holder));
+            self.violations.push(format!(
+                "{} reports again within the lease time of another holder",
+                latest.call.holder
+            ));
         }
     }
 }
