--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,8 +1,9 @@
-//! The policies that pondwalk is compared with.
+//! Baseline policies that pondwalk is compared with.
 //!
-//! They choose servers in turn, know each server's state at once, and make no retries.
+//! They choose servers round-robin, see each change of a server at once, and do not retry failed
+//! runs.
 
-mod hindsight;
+mod oracle;
 
 use std::collections::BTreeMap;
 
@@ -11,90 +12,91 @@
 
 use crate::trace::{RecordedRequest, Trace};
 
-/// Quality at which the fixed cascade is content.
+/// Quality from which the fixed cascade accepts an answer.
 const CASCADE_THRESHOLD: f64 = 0.7;
-/// Longest wait of the fixed cascade for a rating.
-const CASCADE_PATIENCE: std::time::Duration = std::time::Duration::from_millis(500);
+/// Maximum time that the fixed cascade waits for a rating.
+const CASCADE_RATING_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// Which baseline it is.
+/// Kind of a baseline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// The dearest version allowed.
+    /// The most expensive allowed version.
     Best,
-    /// The cheapest version allowed.
+    /// The cheapest allowed version.
     Cheapest,
-    /// From the cheapest to the dearest until an answer passes a fixed threshold.
+    /// From the cheapest to the most expensive version until an answer reaches a fixed quality.
     Cascade,
     /// The cheapest version whose recorded quality meets the target in time.
     Oracle,
-    /// The same, but each session keeps the cheapest version that meets its tasks' shares.
+    /// Like `Oracle`, but each session stays on the cheapest version that meets its tasks' target
+    /// shares.
     PinnedOracle,
 }
 
-/// A baseline and what it knows of the fleet.
+/// A baseline with its configuration and the servers of each version.
 #[derive(Debug)]
 pub struct Baseline {
     kind: BaselineKind,
     policy: Policy,
     hosts: BTreeMap<VersionId, Vec<ServerId>>,
-    turn: usize,
-    /// In hindsight, the version for each session; by workspace and session.
+    next_server: usize,
+    /// Version chosen for each session from the whole trace, by workspace and session.
     pins: BTreeMap<(String, String), VersionId>,
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug, Clone)]
-pub struct BaselineFlight {
+pub struct BaselineInFlight {
     versions: Vec<VersionId>,
     next: usize,
     run: usize,
-    avoid: Vec<ServerId>,
+    excluded: Vec<ServerId>,
 }
 
-impl BaselineFlight {
-    /// Number of the run whose answer is delivered.
+impl BaselineInFlight {
+    /// Index of the run whose answer is delivered.
     pub fn answer_run(&self) -> usize {
         self.run
     }
 }
 
 impl Baseline {
-    /// A baseline with no servers yet.
+    /// Creates a baseline without servers.
     pub fn new(kind: BaselineKind) -> Self {
         let (policy, hosts, pins) = (Policy::default(), BTreeMap::new(), BTreeMap::new());
-        Baseline { kind, policy, hosts, turn: 0, pins }
+        Baseline { kind, policy, hosts, next_server: 0, pins }
     }
 
-    /// Looks at the whole trace to choose each session's version.
-    pub fn foresee(&mut self, trace: &Trace, policy: &Policy) {
+    /// Chooses each session's version from the whole trace, if the baseline is the pinned oracle.
+    pub fn prepare_oracle(&mut self, trace: &Trace, policy: &Policy) {
         if self.kind == BaselineKind::PinnedOracle {
-            self.pins = hindsight::pins(trace, policy);
+            self.pins = oracle::session_pins(trace, policy);
         }
     }
 
-    /// Takes over a configuration.
+    /// Installs a configuration.
     pub fn install(&mut self, policy: &Policy) {
         self.policy = policy.clone();
     }
 
-    /// A server starts, or hosts other versions.
-    pub fn server_seen(&mut self, server: &str, versions: &[VersionId]) {
-        self.server_leaving(server);
+    /// Adds a server, or updates the versions that it hosts.
+    pub fn update_server(&mut self, server: &str, versions: &[VersionId]) {
+        self.deactivate_server(server);
         for version in versions {
             self.hosts.entry(version.clone()).or_default().push(server.to_owned());
         }
     }
 
-    /// A server gets no new work.
-    pub fn server_leaving(&mut self, server: &str) {
+    /// Excludes a server from new runs.
+    pub fn deactivate_server(&mut self, server: &str) {
         self.hosts.values_mut().for_each(|hosts| hosts.retain(|host| host != server));
     }
 
-    /// Plans a request.
+    /// Plans the first run of a request, or refuses it.
     pub fn begin(
         &mut self,
         request: &RecordedRequest,
-    ) -> Result<(BaselineFlight, PlannedRun), Refusal> {
+    ) -> Result<(BaselineInFlight, PlannedRun), Refusal> {
         let workspace =
             self.policy.workspaces.get(&request.workspace).ok_or(Refusal::UnknownCaller)?;
         let versions = match &request.service {
@@ -106,63 +108,70 @@
             }
             None => self.plan(request, workspace),
         };
-        let mut flight = BaselineFlight { versions, next: 0, run: 0, avoid: Vec::new() };
-        let step = self.step(&mut flight)?;
-        Ok((flight, step))
+        let mut in_flight = BaselineInFlight { versions, next: 0, run: 0, excluded: Vec::new() };
+        let step = self.step(&mut in_flight)?;
+        Ok((in_flight, step))
     }
 
-    /// The agent refused the run.
-    pub fn refused(
+    /// Handles an agent's refusal of a run: plans it on another server, or refuses the request.
+    pub fn on_run_refused(
         &mut self,
-        flight: &mut BaselineFlight,
+        in_flight: &mut BaselineInFlight,
         server: &str,
         refusal: Refusal,
     ) -> NextAction {
-        flight.avoid.push(server.to_owned());
-        flight.next -= 1;
-        match self.step(flight) {
+        in_flight.excluded.push(server.to_owned());
+        in_flight.next -= 1;
+        match self.step(in_flight) {
             Ok(step) => NextAction::Run(step),
             Err(_) => NextAction::Refuse(refusal),
         }
     }
 
-    /// The run ended whole.
-    pub fn finished(&self, flight: &mut BaselineFlight) -> NextAction {
-        flight.run = flight.next - 1;
-        if flight.next < flight.versions.len() {
-            return NextAction::AwaitRating(CASCADE_PATIENCE);
+    /// Handles a run that completed.
+    pub fn on_run_finished(&self, in_flight: &mut BaselineInFlight) -> NextAction {
+        in_flight.run = in_flight.next - 1;
+        if in_flight.next < in_flight.versions.len() {
+            return NextAction::AwaitRating(CASCADE_RATING_TIMEOUT);
         }
         NextAction::Deliver
     }
 
-    /// The answer in hand was rated, or no rating came.
-    pub fn judged(&mut self, flight: &mut BaselineFlight, rating: Option<f64>) -> NextAction {
+    /// Handles the rating of the latest answer, or its timeout if `rating` is `None`.
+    pub fn on_rating(
+        &mut self,
+        in_flight: &mut BaselineInFlight,
+        rating: Option<f64>,
+    ) -> NextAction {
         if rating.is_none_or(|quality| quality >= CASCADE_THRESHOLD) {
             return NextAction::Deliver;
         }
-        match self.step(flight) {
+        match self.step(in_flight) {
             Ok(step) => NextAction::Run(step),
             Err(_) => NextAction::Deliver,
         }
     }
 
-    /// Versions to run, one after the other while answers are poor.
+    /// Returns the versions to run, in order, until an answer is accepted.
     fn plan(&self, request: &RecordedRequest, workspace: &WorkspacePolicy) -> Vec<VersionId> {
-        let mut open: Vec<&VersionId> =
-            workspace.allowed_versions.iter().filter(|version| self.is_open(version)).collect();
-        open.sort_by(|a, b| self.reference_cost(a).total_cmp(&self.reference_cost(b)));
+        let mut available: Vec<&VersionId> = workspace
+            .allowed_versions
+            .iter()
+            .filter(|version| self.is_available(version))
+            .collect();
+        available.sort_by(|a, b| self.reference_cost(a).total_cmp(&self.reference_cost(b)));
         let chosen: Vec<&VersionId> = match self.kind {
-            BaselineKind::Best => open.last().into_iter().copied().collect(),
-            BaselineKind::Cheapest => open.first().into_iter().copied().collect(),
-            BaselineKind::Cascade if request.repeatable => open,
-            BaselineKind::Cascade => open.first().into_iter().copied().collect(),
+            BaselineKind::Best => available.last().into_iter().copied().collect(),
+            BaselineKind::Cheapest => available.first().into_iter().copied().collect(),
+            BaselineKind::Cascade if request.repeatable => available,
+            BaselineKind::Cascade => available.first().into_iter().copied().collect(),
             BaselineKind::Oracle => {
-                hindsight::version(request, workspace, &open).into_iter().collect()
+                oracle::choose_version(request, workspace, &available).into_iter().collect()
             }
             BaselineKind::PinnedOracle => {
-                let pinned = self.pinned(request).filter(|pin| open.contains(pin));
-                let free = || hindsight::version(request, workspace, &open);
-                pinned.or_else(free).into_iter().collect()
+                let pinned = self.pinned(request).filter(|pin| available.contains(pin));
+                let best = || oracle::choose_version(request, workspace, &available);
+                pinned.or_else(best).into_iter().collect()
             }
         };
         chosen.into_iter().cloned().collect()
@@ -173,10 +182,10 @@
         self.pins.get(&(request.workspace.clone(), session))
     }
 
-    fn is_open(&self, version: &VersionId) -> bool {
-        let live =
+    fn is_available(&self, version: &VersionId) -> bool {
+        let is_live =
             self.policy.versions.get(version).is_some_and(|spec| spec.state == VersionState::Live);
-        live && self.hosts.get(version).is_some_and(|hosts| !hosts.is_empty())
+        is_live && self.hosts.get(version).is_some_and(|hosts| !hosts.is_empty())
     }
 
     fn reference_cost(&self, version: &VersionId) -> f64 {
@@ -184,21 +193,22 @@
         self.policy.price_of(version).unwrap_or_default().cost(usage)
     }
 
-    fn step(&mut self, flight: &mut BaselineFlight) -> Result<PlannedRun, Refusal> {
-        let version = flight.versions.get(flight.next).ok_or(Refusal::NoServer)?.clone();
+    fn step(&mut self, in_flight: &mut BaselineInFlight) -> Result<PlannedRun, Refusal> {
+        let version = in_flight.versions.get(in_flight.next).ok_or(Refusal::NoServer)?.clone();
         let hosts = self.hosts.get(&version).map(Vec::as_slice).unwrap_or_default();
-        let open: Vec<&ServerId> = hosts.iter().filter(|h| !flight.avoid.contains(h)).collect();
-        if open.is_empty() {
+        let available: Vec<&ServerId> =
+            hosts.iter().filter(|h| !in_flight.excluded.contains(h)).collect();
+        if available.is_empty() {
             return Err(Refusal::NoServer);
         }
-        let server = open[self.turn % open.len()].clone();
-        self.turn += 1;
-        flight.next += 1;
-        let hold = (flight.next < flight.versions.len()).then_some(CASCADE_PATIENCE);
+        let server = available[self.next_server % available.len()].clone();
+        self.next_server += 1;
+        in_flight.next += 1;
+        let timeout = (in_flight.next < in_flight.versions.len()).then_some(CASCADE_RATING_TIMEOUT);
         Ok(PlannedRun {
             version,
             server,
-            rating_timeout: hold,
+            rating_timeout: timeout,
             on_trial: false,
             fallback_deadline: None,
         })
--- a/crates/replay/src/baseline/hindsight.rs
+++ b/crates/replay/src/baseline/oracle.rs
@@ -1,4 +1,4 @@
-//! What the oracles know: every outcome, before it happens.
+//! Decisions of the oracles, which read every recorded outcome in advance.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 /// Requests of one session, in order.
 type Session<'a> = Vec<&'a RecordedRequest>;
 
-/// For each session the cheapest version that meets the shares of its tasks, or else the version
-/// that meets most targets; by workspace and session.
-pub fn pins(trace: &Trace, policy: &Policy) -> BTreeMap<(String, String), VersionId> {
+/// Chooses for each session, by workspace and session, the cheapest version that meets the target
+/// shares of its tasks, or else the version that meets the most targets.
+pub fn session_pins(trace: &Trace, policy: &Policy) -> BTreeMap<(String, String), VersionId> {
     let mut sessions: BTreeMap<(String, String), Session<'_>> = BTreeMap::new();
     for line in &trace.lines {
         if let TraceEvent::Request(request) = &line.event
@@ -23,49 +23,55 @@
     }
     let chosen = sessions.into_iter().filter_map(|(key, session)| {
         let workspace = policy.workspaces.get(&key.0)?;
-        Some((key, pin(&session, workspace, policy)?))
+        Some((key, choose_pin(&session, workspace, policy)?))
     });
     chosen.collect()
 }
 
-fn pin(session: &Session<'_>, workspace: &WorkspacePolicy, policy: &Policy) -> Option<VersionId> {
+fn choose_pin(
+    session: &Session<'_>,
+    workspace: &WorkspacePolicy,
+    policy: &Policy,
+) -> Option<VersionId> {
     let assessed = workspace.allowed_versions.iter().map(|version| {
         let runs = session.iter().filter_map(|request| {
             let outcome = request.outcomes.get(version)?;
             let task = workspace.tasks.get(&request.task);
             let target = task.map_or(0.0, |task| task.quality_target);
-            let in_time = !outcome.failed && outcome.service <= request.deadline;
+            let in_time = !outcome.failed && outcome.service_time <= request.deadline;
             let usage = TokenUsage {
                 prompt_tokens: request.prompt_tokens,
                 output_tokens: outcome.output_tokens,
             };
             let cost = policy.price_of(version).unwrap_or_default().cost(usage);
-            let asked = task.map_or(0.0, |task| task.target_share);
-            Some((u32::from(in_time && outcome.quality >= target), asked, cost))
+            let required = task.map_or(0.0, |task| task.target_share);
+            Some((u32::from(in_time && outcome.quality >= target), required, cost))
         });
-        let (met, asked, cost) =
+        let (met, required, cost) =
             runs.fold((0, 0.0, 0.0), |sum, run| (sum.0 + run.0, sum.1 + run.1, sum.2 + run.2));
-        (version, met, asked, cost)
+        (version, met, required, cost)
     });
     let assessed: Vec<_> = assessed.collect();
-    let enough = assessed.iter().filter(|(_, met, asked, _)| f64::from(*met) >= *asked);
-    let cheapest = enough.min_by(|a, b| a.3.total_cmp(&b.3));
+    let sufficient = assessed.iter().filter(|(_, met, required, _)| f64::from(*met) >= *required);
+    let cheapest = sufficient.min_by(|a, b| a.3.total_cmp(&b.3));
     let best = || assessed.iter().max_by_key(|(_, met, ..)| *met);
     cheapest.or_else(best).map(|(version, ..)| (*version).clone())
 }
 
-/// The cheapest version that meets the target in time, or else the least bad one.
-pub fn version<'a>(
+/// Chooses the cheapest of the `available` versions, which are sorted by cost, that meets the
+/// quality target by the deadline; or else that answers by the deadline; or else that answers at
+/// all; or else the first.
+pub fn choose_version<'a>(
     request: &RecordedRequest,
     workspace: &WorkspacePolicy,
-    open: &[&'a VersionId],
+    available: &[&'a VersionId],
 ) -> Option<&'a VersionId> {
     let target = workspace.tasks.get(&request.task).map_or(0.0, |task| task.quality_target);
     let find = |in_time: bool, meets: bool| {
-        open.iter().copied().find(|version| {
+        available.iter().copied().find(|version| {
             request.outcomes.get(*version).is_some_and(|outcome| {
                 !outcome.failed
-                    && (!in_time || outcome.service <= request.deadline)
+                    && (!in_time || outcome.service_time <= request.deadline)
                     && (!meets || outcome.quality >= target)
             })
         })
@@ -73,5 +79,5 @@
     find(true, true)
         .or_else(|| find(true, false))
         .or_else(|| find(false, false))
-        .or_else(|| open.first().copied())
+        .or_else(|| available.first().copied())
 }
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -1,4 +1,4 @@
-//! One face for pondwalk's router and the baselines.
+//! Common interface of pondwalk's router and the baselines.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    baseline::{Baseline, BaselineFlight, BaselineKind},
+    baseline::{Baseline, BaselineInFlight, BaselineKind},
     trace::{RecordedRequest, Trace},
 };
 
-/// Which policy decides.
+/// Name of a routing policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyName {
-    /// The product's own.
+    /// Pondwalk's router.
     Pondwalk,
-    /// One of those that it is compared with.
+    /// A baseline for comparison.
     Baseline(BaselineKind),
 }
 
 impl PolicyName {
-    /// All names that [`PolicyName::parse`] knows.
+    /// All names that [`PolicyName::parse`] accepts.
     pub const NAMES: [&'static str; 6] =
         ["pondwalk", "best", "cheapest", "cascade", "oracle", "pinned-oracle"];
 
-    /// Reads a name.
+    /// Parses a name; returns `None` if it is unknown.
     pub fn parse(name: &str) -> Option<Self> {
         match name {
             "pondwalk" => Some(PolicyName::Pondwalk),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The name.
+    /// Returns the name as text.
     pub fn name(self) -> &'static str {
         match self {
             PolicyName::Pondwalk => "pondwalk",
@@ -54,214 +54,217 @@
     }
 }
 
-/// The policy under test, with its source of random numbers.
+/// The policy under test, with its random source.
 #[derive(Debug)]
 pub struct Driver {
-    chosen: Chosen,
+    state: PolicyState,
     rng: Pcg64Mcg,
 }
 
 #[derive(Debug)]
-enum Chosen {
+enum PolicyState {
     Pondwalk(Box<Router>),
     Baseline(Baseline),
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
-pub enum DriverFlight {
-    /// With pondwalk's router.
+pub enum DriverInFlight {
+    /// State of pondwalk's router for the request.
     Pondwalk(Box<InFlightRequest>),
-    /// With a baseline.
-    Baseline(BaselineFlight),
+    /// State of a baseline for the request.
+    Baseline(BaselineInFlight),
 }
 
 impl Driver {
-    /// A policy with a seed.
+    /// Creates a policy whose random source starts from `seed`.
     pub fn new(name: PolicyName, seed: u64) -> Self {
-        let chosen = match name {
-            PolicyName::Pondwalk => Chosen::Pondwalk(Box::new(Router::new("replay"))),
-            PolicyName::Baseline(kind) => Chosen::Baseline(Baseline::new(kind)),
+        let state = match name {
+            PolicyName::Pondwalk => PolicyState::Pondwalk(Box::new(Router::new("replay"))),
+            PolicyName::Baseline(kind) => PolicyState::Baseline(Baseline::new(kind)),
         };
-        Driver { chosen, rng: Pcg64Mcg::new(u128::from(seed) | 1 << 64) }
+        Driver { state, rng: Pcg64Mcg::new(u128::from(seed) | 1 << 64) }
     }
 
-    /// Lets an oracle look at the whole trace.
-    pub fn foresee(&mut self, trace: &Trace, policy: &Policy) {
-        if let Chosen::Baseline(baseline) = &mut self.chosen {
-            baseline.foresee(trace, policy);
+    /// Gives the whole trace to an oracle; other policies ignore it.
+    pub fn prepare_oracle(&mut self, trace: &Trace, policy: &Policy) {
+        if let PolicyState::Baseline(baseline) = &mut self.state {
+            baseline.prepare_oracle(trace, policy);
         }
     }
 
-    /// Pondwalk's router, if it is what decides.
+    /// Returns pondwalk's router, unless the policy is a baseline.
     pub fn router(&self) -> Option<&Router> {
-        match &self.chosen {
-            Chosen::Pondwalk(router) => Some(router),
-            Chosen::Baseline(_) => None,
+        match &self.state {
+            PolicyState::Pondwalk(router) => Some(router),
+            PolicyState::Baseline(_) => None,
         }
     }
 
-    /// Puts a configuration in force.
+    /// Installs a configuration.
     pub fn install(&mut self, generation: Generation, policy: &Policy) {
-        match &mut self.chosen {
-            Chosen::Pondwalk(router) => {
+        match &mut self.state {
+            PolicyState::Pondwalk(router) => {
                 router.install(generation, policy);
             }
-            Chosen::Baseline(baseline) => baseline.install(policy),
+            PolicyState::Baseline(baseline) => baseline.install(policy),
         }
     }
 
-    /// A server starts, or hosts other versions.
-    pub fn server_seen(&mut self, now: Duration, report: &ServerReport) {
-        match &mut self.chosen {
-            Chosen::Pondwalk(router) => router.update_server(now, report),
-            Chosen::Baseline(baseline) => baseline.server_seen(&report.server, &report.versions),
+    /// Adds a server, or updates the versions that it hosts.
+    pub fn update_server(&mut self, now: Duration, report: &ServerReport) {
+        match &mut self.state {
+            PolicyState::Pondwalk(router) => router.update_server(now, report),
+            PolicyState::Baseline(baseline) => {
+                baseline.update_server(&report.server, &report.versions)
+            }
         }
     }
 
-    /// A server gets no new work.
-    pub fn server_leaving(&mut self, server: &str) {
-        match &mut self.chosen {
-            Chosen::Pondwalk(router) => router.deactivate_server(server),
-            Chosen::Baseline(baseline) => baseline.server_leaving(server),
+    /// Excludes a server from new runs.
+    pub fn deactivate_server(&mut self, server: &str) {
+        match &mut self.state {
+            PolicyState::Pondwalk(router) => router.deactivate_server(server),
+            PolicyState::Baseline(baseline) => baseline.deactivate_server(server),
         }
     }
 
-    /// Plans a request.
+    /// Plans the first run of a request, or refuses it.
     pub fn begin(
         &mut self,
         now: Duration,
         request: &RecordedRequest,
-    ) -> Result<(DriverFlight, PlannedRun), Refusal> {
-        match &mut self.chosen {
-            Chosen::Pondwalk(router) => {
-                let facts = facts(now, request);
-                let (flight, step) = router.begin(now, &mut self.rng, &facts)?;
-                Ok((DriverFlight::Pondwalk(Box::new(flight)), step))
+    ) -> Result<(DriverInFlight, PlannedRun), Refusal> {
+        match &mut self.state {
+            PolicyState::Pondwalk(router) => {
+                let decision_request = decision_request(now, request);
+                let (in_flight, step) = router.begin(now, &mut self.rng, &decision_request)?;
+                Ok((DriverInFlight::Pondwalk(Box::new(in_flight)), step))
             }
-            Chosen::Baseline(baseline) => {
-                let (flight, step) = baseline.begin(request)?;
-                Ok((DriverFlight::Baseline(flight), step))
+            PolicyState::Baseline(baseline) => {
+                let (in_flight, step) = baseline.begin(request)?;
+                Ok((DriverInFlight::Baseline(in_flight), step))
             }
         }
     }
 
-    /// An agent refused a run before it started.
-    pub fn refused(
+    /// Handles an agent's refusal of a run that has not started.
+    pub fn on_run_refused(
         &mut self,
         now: Duration,
-        flight: &mut DriverFlight,
+        in_flight: &mut DriverInFlight,
         server: &str,
         refusal: Refusal,
     ) -> NextAction {
-        match (&mut self.chosen, flight) {
-            (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.on_run_refused(now, &mut self.rng, flight, refusal)
+        match (&mut self.state, in_flight) {
+            (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) => {
+                router.on_run_refused(now, &mut self.rng, in_flight, refusal)
             }
-            (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
-                baseline.refused(flight, server, refusal)
+            (PolicyState::Baseline(baseline), DriverInFlight::Baseline(in_flight)) => {
+                baseline.on_run_refused(in_flight, server, refusal)
             }
             _ => NextAction::Refuse(refusal),
         }
     }
 
-    /// A run failed or was cut.
-    pub fn failed(
+    /// Handles a run that failed or was interrupted, at a cost of `spent`.
+    pub fn on_run_failed(
         &mut self,
         now: Duration,
-        flight: &mut DriverFlight,
+        in_flight: &mut DriverInFlight,
         ran: Executed,
         spent: f64,
         refusal: Refusal,
     ) -> NextAction {
-        match (&mut self.chosen, flight) {
-            (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.on_run_failed(now, &mut self.rng, flight, ran, spent, refusal)
+        match (&mut self.state, in_flight) {
+            (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) => {
+                router.on_run_failed(now, &mut self.rng, in_flight, ran, spent, refusal)
             }
             _ => NextAction::Refuse(refusal),
         }
     }
 
-    /// A run ended whole.
-    pub fn finished(
+    /// Handles a run that completed.
+    pub fn on_run_finished(
         &mut self,
         now: Duration,
-        flight: &mut DriverFlight,
+        in_flight: &mut DriverInFlight,
         done: FinishedRun,
     ) -> NextAction {
-        match (&mut self.chosen, flight) {
-            (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.on_run_finished(now, flight, done)
+        match (&mut self.state, in_flight) {
+            (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) => {
+                router.on_run_finished(now, in_flight, done)
             }
-            (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
-                baseline.finished(flight)
+            (PolicyState::Baseline(baseline), DriverInFlight::Baseline(in_flight)) => {
+                baseline.on_run_finished(in_flight)
             }
             _ => NextAction::Deliver,
         }
     }
 
-    /// The answer in hand was rated, or no rating came.
-    pub fn judged(
+    /// Handles the rating of the latest answer, or its timeout if `rating` is `None`.
+    pub fn on_rating(
         &mut self,
         now: Duration,
-        flight: &mut DriverFlight,
+        in_flight: &mut DriverInFlight,
         rating: Option<(f64, Duration)>,
     ) -> NextAction {
-        match (&mut self.chosen, flight) {
-            (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                router.on_rating(now, &mut self.rng, flight, rating)
+        match (&mut self.state, in_flight) {
+            (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) => {
+                router.on_rating(now, &mut self.rng, in_flight, rating)
             }
-            (Chosen::Baseline(baseline), DriverFlight::Baseline(flight)) => {
-                baseline.judged(flight, rating.map(|(quality, _)| quality))
+            (PolicyState::Baseline(baseline), DriverInFlight::Baseline(in_flight)) => {
+                baseline.on_rating(in_flight, rating.map(|(quality, _)| quality))
             }
             _ => NextAction::Deliver,
         }
     }
 
-    /// The run under way is dropped for the answer in hand.
-    pub fn cut_short(&mut self, now: Duration, flight: &mut DriverFlight, spent: f64) {
-        if let (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) =
-            (&mut self.chosen, flight)
+    /// Cancels the run in flight in favour of an answer that is already available.
+    pub fn cancel_run(&mut self, now: Duration, in_flight: &mut DriverInFlight, spent: f64) {
+        if let (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) =
+            (&mut self.state, in_flight)
         {
-            router.cancel_run(now, flight, spent);
+            router.cancel_run(now, in_flight, spent);
         }
     }
 
-    /// An answer was delivered; also names the run that gave it.
-    pub fn delivered(
+    /// Records that the answer was delivered. Returns the index of its run, and the record for a
+    /// late rating.
+    pub fn on_delivered(
         &mut self,
         now: Duration,
-        flight: &mut DriverFlight,
+        in_flight: &mut DriverInFlight,
     ) -> (Option<usize>, Option<DeliveredAnswer>) {
-        match (&mut self.chosen, flight) {
-            (Chosen::Pondwalk(router), DriverFlight::Pondwalk(flight)) => {
-                (flight.answer_run_index(), router.on_delivered(now, flight))
+        match (&mut self.state, in_flight) {
+            (PolicyState::Pondwalk(router), DriverInFlight::Pondwalk(in_flight)) => {
+                (in_flight.answer_run_index(), router.on_delivered(now, in_flight))
             }
-            (_, DriverFlight::Baseline(flight)) => (Some(flight.answer_run()), None),
+            (_, DriverInFlight::Baseline(in_flight)) => (Some(in_flight.answer_run()), None),
             _ => (None, None),
         }
     }
 
-    /// A rating came for an answer delivered before.
-    pub fn rated(
+    /// Handles a rating that arrives after the answer was delivered.
+    pub fn on_late_rating(
         &mut self,
         now: Duration,
         receipt: &DeliveredAnswer,
         delay: Duration,
         quality: f64,
     ) {
-        if let Chosen::Pondwalk(router) = &mut self.chosen {
+        if let PolicyState::Pondwalk(router) = &mut self.state {
             router.on_late_rating(now, receipt, delay, quality);
         }
     }
 
-    /// Versions that the policy has stopped by itself.
+    /// Returns the time at which the policy tripped a version, if it has.
     pub fn tripped(&self, version: &VersionId) -> Option<Duration> {
         self.router()?.trial(version)?.tripped_at()
     }
 }
 
-fn facts(now: Duration, request: &RecordedRequest) -> Request<'_> {
+fn decision_request(now: Duration, request: &RecordedRequest) -> Request<'_> {
     Request {
         workspace: &request.workspace,
         task: &request.task,
@@ -270,7 +273,7 @@
         service: request.service.as_deref(),
         version: None,
         prompt_tokens: request.prompt_tokens,
-        prefix: request.prefix.as_deref().map(fingerprint),
+        prefix: request.prefix.as_deref().map(fnv1a),
         arrived: now,
         deadline: now + request.deadline,
         repeatable: request.repeatable,
@@ -278,8 +281,8 @@
     }
 }
 
-/// FNV-1a (Fowler, Noll and Vo), as the name of a prefix is short.
-fn fingerprint(text: &str) -> u64 {
+/// FNV-1a hash (Fowler, Noll and Vo), which suits short texts such as names of prefixes.
+fn fnv1a(text: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     text.bytes().fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
--- a/crates/replay/src/events.rs
+++ b/crates/replay/src/events.rs
@@ -1,4 +1,4 @@
-//! The queue of events in virtual time.
+//! Event queue in virtual time.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -7,24 +7,24 @@
 /// Index of a request.
 pub type RequestIx = usize;
 
-/// What happens at a point in virtual time.
+/// An event of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Event {
-    /// A line of the trace.
+    /// A line of the trace, by index.
     Line(usize),
-    /// The policy learns that a server is leaving.
-    LeavingSeen(usize),
-    /// A run ends.
-    RunEnds(RunIx),
+    /// The instance list shows the policy that a server, by index, is leaving.
+    LeavingListed(usize),
+    /// A run reaches the end of its recorded service time.
+    RunEnded(RunIx),
     /// The rating of a run's answer arrives.
     Rating(RunIx),
-    /// A request has waited long enough for the rating of a run.
-    RatingOverdue(RunIx),
-    /// A request's answer in hand is due while another run is under way.
-    DeliverHeld(RunIx),
+    /// A request stops waiting for the rating of a run.
+    RatingTimeout(RunIx),
+    /// A request's available answer is due while the given run is in flight.
+    DeliverFallback(RunIx),
 }
 
-/// Events in order of time, and of insertion within the same time.
+/// Events ordered by time, and by insertion at equal times.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Reverse<(Duration, u64, Event)>>,
@@ -32,13 +32,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Adds an event at virtual time `at`.
     pub fn push(&mut self, at: Duration, event: Event) {
         self.heap.push(Reverse((at, self.inserted, event)));
         self.inserted += 1;
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the next event and its time.
     pub fn pop(&mut self) -> Option<(Duration, Event)> {
         self.heap.pop().map(|Reverse((at, _, event))| (at, event))
     }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,7 +1,7 @@
-//! Replay of recorded traces through the pure decision code, in virtual time.
+//! Replays recorded traces through the pure decision code, in virtual time.
 //!
-//! A backend server is a number of slots and the service times that were recorded. The same
-//! trace, settings, policy name and seed give the same report, byte for byte.
+//! A backend server is simulated by its number of slots and the recorded service times. The same
+//! trace, settings, policy name and seed yield the same report, byte for byte.
 
 mod baseline;
 mod driver;
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a replay, and the check of stated outcomes against it.
+//! Report of a replay, and the check of expected outcomes against it.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -7,20 +7,20 @@
 use pondwalk_types::{TaskId, VersionId, WorkspaceId};
 use serde_json::{Map, Value, json};
 
-/// What is counted over some set of requests.
+/// Statistics over a set of requests.
 #[derive(Debug, Clone)]
-pub struct Tally {
+pub struct RequestStats {
     /// Requests that arrived.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Requests answered whole by their deadline.
+    /// Requests with a complete answer by their deadline.
     pub answered_on_time: u64,
-    /// Requests refused, truly not run.
+    /// Requests refused without any run.
     pub refused_not_run: u64,
-    /// Requests that ran, or may have run, without a whole answer.
+    /// Requests that ran, or may have run, without a complete answer.
     pub failed: u64,
-    /// Requests that may not be repeated and ran more than once.
+    /// Non-repeatable requests that ran more than once.
     pub ran_twice: u64,
     /// Requests billed.
     pub billed: u64,
@@ -30,34 +30,36 @@
     pub disallowed_runs: u64,
     /// Runs started on a version after it was withdrawn.
     pub withdrawn_runs: u64,
-    /// Runs of a session on another version than the run before, which could still serve.
+    /// Runs of a session on another version than the previous run, although that version was
+    /// usable.
     pub session_moves: u64,
-    /// Sessions that went on with another version because theirs was withdrawn or stopped.
+    /// Runs of a session on another version because the previous one was withdrawn, tripped or no
+    /// longer allowed.
     pub session_restarts: u64,
     /// Runs started on a server later than the grace time after it was listed as leaving.
     pub leaving_runs: u64,
-    /// Cost of all runs, whatever came of them.
+    /// Cost of all runs, including failed and cancelled ones.
     pub cost: f64,
-    /// Second runs made because an answer was poor.
+    /// Further runs started because an answer's quality was too low.
     pub escalations: u64,
-    /// Answers that have a quality target.
+    /// Answers to requests with a quality target.
     pub targeted: u64,
-    /// Answers that met it.
+    /// Answers that met their quality target.
     pub target_met: u64,
     /// Sum of the recorded qualities of delivered answers.
     pub quality_sum: f64,
-    /// Answers delivered, by version.
+    /// Delivered answers by version.
     pub answers_by_version: BTreeMap<VersionId, u64>,
     latency_ms: Histogram<u64>,
 }
 
-impl Default for Tally {
+impl Default for RequestStats {
     fn default() -> Self {
         const DIGITS: u8 = 3;
-        const LONGEST_MS: u64 = 1 << 40;
-        let latency_ms = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS)
+        const MAX_LATENCY_MS: u64 = 1 << 40;
+        let latency_ms = Histogram::new_with_bounds(1, MAX_LATENCY_MS, DIGITS)
             .unwrap_or_else(|_| unreachable!("the bounds are constant and valid"));
-        Tally {
+        RequestStats {
             requests: 0,
             answered: 0,
             answered_on_time: 0,
@@ -82,8 +84,8 @@
     }
 }
 
-impl Tally {
-    /// Counts an answer's latency.
+impl RequestStats {
+    /// Records an answer's latency.
     pub fn add_latency(&mut self, latency: Duration) {
         self.latency_ms.saturating_record(latency.as_millis() as u64);
     }
@@ -124,59 +126,59 @@
         json!({ "p50": at(0.5), "p95": at(0.95), "p99": at(0.99), "max": self.latency_ms.max() })
     }
 
-    fn block(&self) -> Value {
+    fn to_json(&self) -> Value {
         let mut fields = self.fields();
         fields.insert("latency_ms".into(), self.latency());
         Value::Object(fields)
     }
 }
 
-/// Six digits after the point are plenty for money and shares.
+/// Rounds to six decimal places, which suffice for costs and shares.
 fn rounded(value: f64) -> f64 {
     (value * 1e6).round() / 1e6
 }
 
-/// The outcome of a replay.
+/// Report of a replay.
 #[derive(Debug, Default)]
 pub struct Report {
     /// Name of the policy.
     pub policy: &'static str,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// All requests.
-    pub total: Tally,
-    /// Requests by workspace.
-    pub workspaces: BTreeMap<WorkspaceId, Tally>,
-    /// Requests by task.
-    pub tasks: BTreeMap<TaskId, Tally>,
-    /// Requests run on each version that was rolled out.
+    /// Statistics of all requests.
+    pub total: RequestStats,
+    /// Statistics by workspace.
+    pub workspaces: BTreeMap<WorkspaceId, RequestStats>,
+    /// Statistics by task.
+    pub tasks: BTreeMap<TaskId, RequestStats>,
+    /// Number of runs started on each version that was rolled out.
     pub exposed_requests: BTreeMap<VersionId, u64>,
-    /// When each of them was stopped by the policy.
+    /// Time at which the policy tripped each of these versions, if it has.
     pub tripped_at: BTreeMap<VersionId, Option<Duration>>,
 }
 
-/// A stated outcome that does not hold.
+/// An expected outcome that the report does not meet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnmetOutcome {
-    /// What was stated.
+    /// The expected outcome.
     pub outcome: Outcome,
-    /// What was seen; `None` if the report has no such figure.
-    pub seen: Option<f64>,
+    /// The reported number; `None` if the report has none at this path.
+    pub actual: Option<f64>,
 }
 
 impl fmt::Display for UnmetOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Outcome { path, comparison, bound } = &self.outcome;
-        write!(f, "{path}: stated {comparison} {bound}, ")?;
-        match self.seen {
-            Some(seen) => write!(f, "seen {seen}"),
-            None => write!(f, "but the report has no such figure"),
+        write!(f, "{path}: expected {comparison} {bound}, ")?;
+        match self.actual {
+            Some(actual) => write!(f, "found {actual}"),
+            None => write!(f, "but the report has no such number"),
         }
     }
 }
 
 impl Report {
-    /// The report as one JSON object.
+    /// Returns the report as a JSON object.
     pub fn to_json(&self) -> Value {
         let mut fields = Map::new();
         fields.insert("policy".into(), json!(self.policy));
@@ -190,37 +192,38 @@
             .collect();
         fields.insert("tripped_at_ms".into(), json!(tripped));
         fields.insert("latency_ms".into(), self.total.latency());
-        fields.insert("workspaces".into(), blocks(&self.workspaces));
-        fields.insert("tasks".into(), blocks(&self.tasks));
+        fields.insert("workspaces".into(), stats_json(&self.workspaces));
+        fields.insert("tasks".into(), stats_json(&self.tasks));
         Value::Object(fields)
     }
 
-    /// Outcomes that do not hold.
+    /// Returns the expected outcomes that the report does not meet.
     pub fn unmet(&self, outcomes: &Outcomes) -> Vec<UnmetOutcome> {
         let report = self.to_json();
         let mut unmet = Vec::new();
         for outcome in &outcomes.0 {
-            let seen = figure(&report, &outcome.path);
-            if !seen.is_some_and(|seen| outcome.is_met(seen)) {
-                unmet.push(UnmetOutcome { outcome: outcome.clone(), seen });
+            let actual = find_number(&report, &outcome.path);
+            if !actual.is_some_and(|actual| outcome.is_met(actual)) {
+                unmet.push(UnmetOutcome { outcome: outcome.clone(), actual });
             }
         }
         unmet
     }
 }
 
-fn blocks(tallies: &BTreeMap<String, Tally>) -> Value {
-    let blocks = tallies.iter().map(|(name, tally)| (name.clone(), tally.block()));
-    Value::Object(blocks.collect())
+fn stats_json(stats_by_name: &BTreeMap<String, RequestStats>) -> Value {
+    let objects = stats_by_name.iter().map(|(name, stats)| (name.clone(), stats.to_json()));
+    Value::Object(objects.collect())
 }
 
-/// Finds a figure by its dotted path; names along the way may hold dots themselves.
-fn figure(value: &Value, path: &str) -> Option<f64> {
+/// Finds a number by its dotted path; the names in the path may contain dots.
+fn find_number(value: &Value, path: &str) -> Option<f64> {
     let fields = value.as_object()?;
     if let Some(value) = fields.get(path) {
         return value.as_f64();
     }
     let splits = path.match_indices('.');
-    let mut inner = splits.filter_map(|(at, _)| figure(fields.get(&path[..at])?, &path[at + 1..]));
-    inner.next()
+    let mut matches =
+        splits.filter_map(|(at, _)| find_number(fields.get(&path[..at])?, &path[at + 1..]));
+    matches.next()
 }
--- a/crates/replay/src/simulation.rs
+++ b/crates/replay/src/simulation.rs
@@ -1,6 +1,7 @@
-//! The replay itself: events in virtual time, servers as slots, requests from step to step.
+//! Discrete-event simulation of a trace: events in virtual time, servers with slots, and requests
+//! from arrival to answer.
 
-mod book;
+mod accounting;
 mod changes;
 mod fleet;
 mod requests;
@@ -21,10 +22,13 @@
     report::Report,
     trace::{Trace, TraceError, TraceEvent},
 };
-use book::{Live, Run, Sessions};
+use accounting::{RequestState, Run, Sessions};
 use fleet::Fleet;
 
 /// Replays a trace under a policy.
+///
+/// `file` names the trace in errors. Returns [`TraceError::Line`] if the trace names a version
+/// without a price.
 pub fn replay(
     file: &str,
     trace: &Trace,
@@ -44,16 +48,17 @@
     policy: Policy,
     generation: Generation,
     driver: Driver,
-    /// Draws which answers are rated; apart from the policy's own source.
+    /// Random source that selects the answers to be rated; separate from the policy's, so that both
+    /// sequences are independent.
     sampling: Pcg64Mcg,
     events: EventQueue,
     fleet: Fleet,
-    requests: Vec<Live<'a>>,
+    requests: Vec<RequestState<'a>>,
     runs: Vec<Run>,
     sessions: Sessions<'a>,
     claims: HashMap<(&'a str, &'a str), RequestIx>,
-    rating_up: bool,
-    store_up: bool,
+    rating_available: bool,
+    store_available: bool,
     report: Report,
 }
 
@@ -67,7 +72,7 @@
     ) -> Self {
         let mut driver = Driver::new(name, seed);
         driver.install(1, &policy);
-        driver.foresee(trace, &policy);
+        driver.prepare_oracle(trace, &policy);
         let mut events = EventQueue::default();
         for (index, line) in trace.lines.iter().enumerate() {
             events.push(line.at, Event::Line(index));
@@ -86,8 +91,8 @@
             runs: Vec::new(),
             sessions: Sessions::default(),
             claims: HashMap::new(),
-            rating_up: true,
-            store_up: true,
+            rating_available: true,
+            store_available: true,
             report,
         }
     }
@@ -95,12 +100,12 @@
     fn run(&mut self) {
         while let Some((now, event)) = self.events.pop() {
             match event {
-                Event::Line(index) => self.line(now, index),
-                Event::LeavingSeen(server) => self.leaving_seen(now, server),
-                Event::RunEnds(run) => self.run_ends(now, run),
-                Event::Rating(run) => self.rating(now, run),
-                Event::RatingOverdue(run) => self.rating_overdue(now, run),
-                Event::DeliverHeld(run) => self.deliver_held(now, run),
+                Event::Line(index) => self.apply_line(now, index),
+                Event::LeavingListed(server) => self.on_leaving_listed(now, server),
+                Event::RunEnded(run) => self.on_run_ended(now, run),
+                Event::Rating(run) => self.on_rating(now, run),
+                Event::RatingTimeout(run) => self.on_rating_timeout(now, run),
+                Event::DeliverFallback(run) => self.deliver_fallback(now, run),
             }
         }
     }
@@ -117,12 +122,12 @@
         self.report
     }
 
-    fn line(&mut self, now: Duration, index: usize) {
+    fn apply_line(&mut self, now: Duration, index: usize) {
         let trace = self.trace;
         match &trace.lines[index].event {
-            TraceEvent::Request(request) => self.arrive(now, request),
+            TraceEvent::Request(request) => self.on_request(now, request),
             TraceEvent::Server { server, data_centre, versions, slots } => {
-                self.fleet.put(server, *slots);
+                self.fleet.add_or_update(server, *slots);
                 let report = ServerReport {
                     server: server.clone(),
                     data_centre: data_centre.clone(),
@@ -130,16 +135,16 @@
                     slots: *slots,
                     load: None,
                 };
-                self.driver.server_seen(now, &report);
+                self.driver.update_server(now, &report);
             }
             TraceEvent::Leaving(server) => {
                 if let Some(server) = self.fleet.find(server) {
                     self.fleet.get_mut(server).leaving_since = Some(now);
-                    let seen = now + self.settings.instance_list_lag;
-                    self.events.push(seen, Event::LeavingSeen(server));
+                    let listed_at = now + self.settings.instance_list_lag;
+                    self.events.push(listed_at, Event::LeavingListed(server));
                 }
             }
-            TraceEvent::Gone(server) => self.gone(now, server),
+            TraceEvent::Gone(server) => self.remove_server(now, server),
             TraceEvent::RollOut { version, replaces } => self.roll_out(version, replaces),
             TraceEvent::Withdraw(version) => self.withdraw(now, version),
             TraceEvent::Allow { workspace, versions } => {
@@ -148,8 +153,8 @@
                 }
                 self.install();
             }
-            TraceEvent::Rating(up) => self.rating_up = *up,
-            TraceEvent::Store(up) => self.store_up = *up,
+            TraceEvent::Rating(up) => self.rating_available = *up,
+            TraceEvent::Store(up) => self.store_available = *up,
         }
     }
 }
--- a/crates/replay/src/simulation/book.rs
+++ b/crates/replay/src/simulation/accounting.rs
@@ -1,4 +1,4 @@
-//! Requests and runs of a replay, and the counting of what came of them.
+//! State of requests and runs, and the statistics of their outcomes.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,22 +7,22 @@
 
 use super::Simulation;
 use crate::{
-    driver::DriverFlight,
+    driver::DriverInFlight,
     events::{RequestIx, RunIx},
-    report::Tally,
+    report::RequestStats,
     trace::{RecordedOutcome, RecordedRequest},
 };
 
-/// A request under way or ended.
-pub struct Live<'a> {
+/// A request that has arrived, in flight or ended.
+pub struct RequestState<'a> {
     pub recorded: &'a RecordedRequest,
     pub arrived: Duration,
-    pub flight: Option<DriverFlight>,
-    /// Runs by number, those refused left out.
+    pub in_flight: Option<DriverInFlight>,
+    /// Runs in order, without refused ones.
     pub runs: Vec<RunIx>,
-    /// Runs that started on a server.
+    /// Number of runs that started on a server.
     pub starts: u32,
-    /// Whether any run has ended whole.
+    /// Whether any run has completed.
     pub has_answer: bool,
     pub awaiting: Option<RunIx>,
     pub delivered: Option<RunIx>,
@@ -30,12 +30,12 @@
     pub bills: u32,
 }
 
-impl<'a> Live<'a> {
+impl<'a> RequestState<'a> {
     pub fn new(recorded: &'a RecordedRequest, arrived: Duration) -> Self {
-        Live {
+        RequestState {
             recorded,
             arrived,
-            flight: None,
+            in_flight: None,
             runs: Vec::new(),
             starts: 0,
             has_answer: false,
@@ -47,21 +47,21 @@
     }
 }
 
-/// Where a run stands.
+/// State of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// In its server's queue.
+    /// The run waits in its server's queue.
     Waiting,
-    /// On its server.
+    /// The run occupies a slot of its server.
     Running {
-        /// When it started.
+        /// Time at which the run started.
         since: Duration,
     },
-    /// Ended, refused, cut or dropped.
+    /// The run completed, failed, or was refused, interrupted or cancelled.
     Closed,
 }
 
-/// One run of a request.
+/// A run of a request.
 pub struct Run {
     pub request: RequestIx,
     pub version: VersionId,
@@ -78,14 +78,14 @@
         server: usize,
         recorded: &RecordedRequest,
     ) -> Self {
-        // NB: a version that was never recorded for the request cannot answer it.
-        let unknown = RecordedOutcome {
+        // NB: a version without a recorded outcome for the request fails it.
+        let missing = RecordedOutcome {
             output_tokens: 0,
-            service: Duration::from_millis(1),
+            service_time: Duration::from_millis(1),
             quality: 0.0,
             failed: true,
         };
-        let outcome = recorded.outcomes.get(&version).cloned().unwrap_or(unknown);
+        let outcome = recorded.outcomes.get(&version).cloned().unwrap_or(missing);
         let is_service = recorded.service.is_some();
         Run { request, version, server, outcome, is_service, state: RunState::Waiting }
     }
@@ -95,68 +95,68 @@
     }
 }
 
-/// The version that each session was last run on.
+/// Version of each session's latest run, by workspace and session.
 #[derive(Default)]
 pub struct Sessions<'a> {
     last: HashMap<(&'a str, &'a str), VersionId>,
 }
 
 impl<'a> Simulation<'a> {
-    /// Counts something for a request's workspace, its task and in all.
-    pub fn count(&mut self, request: RequestIx, change: impl Fn(&mut Tally)) {
+    /// Applies a change to the total statistics and to those of the request's workspace and task.
+    pub fn count(&mut self, request: RequestIx, change: impl Fn(&mut RequestStats)) {
         let recorded = self.requests[request].recorded;
         change(&mut self.report.total);
         change(self.report.workspaces.entry(recorded.workspace.clone()).or_default());
         change(self.report.tasks.entry(recorded.task.clone()).or_default());
     }
 
-    /// Delivers the answer in hand.
+    /// Delivers the available answer, or ends the request if there is none.
     pub fn deliver(&mut self, now: Duration, request: RequestIx) {
-        let Some(mut flight) = self.requests[request].flight.take() else {
+        let Some(mut in_flight) = self.requests[request].in_flight.take() else {
             return;
         };
-        let (number, receipt) = self.driver.delivered(now, &mut flight);
+        let (number, receipt) = self.driver.on_delivered(now, &mut in_flight);
         let run = number.and_then(|number| self.requests[request].runs.get(number).copied());
         let Some(run) = run else {
             self.end_unanswered(request);
             return;
         };
-        let live = &mut self.requests[request];
-        live.delivered = Some(run);
-        live.receipt = receipt;
-        live.bills += 1;
+        let state = &mut self.requests[request];
+        state.delivered = Some(run);
+        state.receipt = receipt;
+        state.bills += 1;
         self.count_answer(now, request, run);
     }
 
     /// Ends a request without an answer.
     pub fn end_unanswered(&mut self, request: RequestIx) {
-        self.requests[request].flight = None;
+        self.requests[request].in_flight = None;
         if self.requests[request].starts == 0 {
-            self.count(request, |tally| tally.refused_not_run += 1);
+            self.count(request, |stats| stats.refused_not_run += 1);
         } else {
-            self.count(request, |tally| tally.failed += 1);
+            self.count(request, |stats| stats.failed += 1);
         }
     }
 
     fn count_answer(&mut self, now: Duration, request: RequestIx, run: RunIx) {
-        let live = &self.requests[request];
-        let latency = now - live.arrived;
-        let on_time = u64::from(latency <= live.recorded.deadline);
+        let state = &self.requests[request];
+        let latency = now - state.arrived;
+        let on_time = u64::from(latency <= state.recorded.deadline);
         let quality = self.runs[run].outcome.quality;
-        let first_bill = live.bills == 1;
+        let first_bill = state.bills == 1;
         let target = self.target_of(request);
         let met = target.is_some_and(|target| quality >= target);
         let version = self.runs[run].version.clone();
-        self.count(request, |tally| {
-            tally.answered += 1;
-            tally.answered_on_time += on_time;
-            tally.billed += u64::from(first_bill);
-            tally.billed_twice += u64::from(!first_bill);
-            tally.quality_sum += quality;
-            tally.targeted += u64::from(target.is_some());
-            tally.target_met += u64::from(met);
-            *tally.answers_by_version.entry(version.clone()).or_default() += 1;
-            tally.add_latency(latency);
+        self.count(request, |stats| {
+            stats.answered += 1;
+            stats.answered_on_time += on_time;
+            stats.billed += u64::from(first_bill);
+            stats.billed_twice += u64::from(!first_bill);
+            stats.quality_sum += quality;
+            stats.targeted += u64::from(target.is_some());
+            stats.target_met += u64::from(met);
+            *stats.answers_by_version.entry(version.clone()).or_default() += 1;
+            stats.add_latency(latency);
         });
     }
 
@@ -166,8 +166,9 @@
         Some(workspace.tasks.get(&recorded.task)?.quality_target)
     }
 
-    /// Counts a run of a session on another version than its run before.
-    pub fn count_session(&mut self, request: RequestIx, run: RunIx) {
+    /// Counts a session's run on another version than its previous run: as a move if the previous
+    /// version is still usable, else as a restart.
+    pub fn count_session_move(&mut self, request: RequestIx, run: RunIx) {
         let recorded = self.requests[request].recorded;
         let Some(session) = recorded.session.as_deref().filter(|_| recorded.service.is_none())
         else {
@@ -175,21 +176,21 @@
         };
         let version = self.runs[run].version.clone();
         let key = (recorded.workspace.as_str(), session);
-        let Some(before) = self.sessions.last.insert(key, version.clone()) else {
+        let Some(previous) = self.sessions.last.insert(key, version.clone()) else {
             return;
         };
-        if before == version {
+        if previous == version {
             return;
         }
-        if self.could_still_serve(&recorded.workspace, &before) {
-            self.count(request, |tally| tally.session_moves += 1);
+        if self.is_usable(&recorded.workspace, &previous) {
+            self.count(request, |stats| stats.session_moves += 1);
         } else {
-            self.count(request, |tally| tally.session_restarts += 1);
+            self.count(request, |stats| stats.session_restarts += 1);
         }
     }
 
-    /// Whether a version was neither withdrawn, nor stopped, nor taken from the workspace.
-    fn could_still_serve(&self, workspace: &str, version: &VersionId) -> bool {
+    /// Whether a version is neither withdrawn nor tripped, and allowed for the workspace.
+    fn is_usable(&self, workspace: &str, version: &VersionId) -> bool {
         let state = self.policy.versions.get(version).map(|spec| spec.state);
         let workspace = self.policy.workspaces.get(workspace);
         state.is_some_and(|state| state != VersionState::Withdrawn)
--- a/crates/replay/src/simulation/changes.rs
+++ b/crates/replay/src/simulation/changes.rs
@@ -1,10 +1,10 @@
-//! What the trace changes: policies, versions and servers.
+//! Changes by the trace: configuration, versions and servers.
 
 use std::time::Duration;
 
 use pondwalk_types::{Executed, Refusal, RollOut, VersionId, VersionState};
 
-use super::{Simulation, book::Run};
+use super::{Simulation, accounting::Run};
 use crate::events::RunIx;
 
 impl Simulation<'_> {
@@ -29,33 +29,34 @@
             let runs = &self.runs;
             let queue = &mut self.fleet.get_mut(server).queue;
             for run in queue.cancel_where(|run| runs[*run].version == *version) {
-                self.refused(now, run, Refusal::VersionWithdrawn(version.clone()));
+                self.on_run_refused(now, run, Refusal::VersionWithdrawn(version.clone()));
             }
         }
     }
 
-    pub(super) fn leaving_seen(&mut self, now: Duration, server: usize) {
+    pub(super) fn on_leaving_listed(&mut self, now: Duration, server: usize) {
         if self.fleet.get_mut(server).leaving_since.is_none() {
             return;
         }
         let name = self.fleet.get_mut(server).name.clone();
-        self.driver.server_leaving(&name);
+        self.driver.deactivate_server(&name);
         for run in self.fleet.get_mut(server).queue.cancel_where(|_| true) {
-            self.refused(now, run, Refusal::Draining);
+            self.on_run_refused(now, run, Refusal::Draining);
         }
     }
 
-    pub(super) fn gone(&mut self, now: Duration, name: &str) {
+    pub(super) fn remove_server(&mut self, now: Duration, name: &str) {
         let Some(server) = self.fleet.find(name) else {
             return;
         };
-        self.driver.server_leaving(name);
-        self.fleet.get_mut(server).close();
-        let there = |run: &Run| run.server == server && run.is_open();
-        let cut: Vec<RunIx> = (0..self.runs.len()).filter(|run| there(&self.runs[*run])).collect();
-        for run in cut {
+        self.driver.deactivate_server(name);
+        self.fleet.get_mut(server).clear();
+        let is_open_there = |run: &Run| run.server == server && run.is_open();
+        let interrupted: Vec<RunIx> =
+            (0..self.runs.len()).filter(|run| is_open_there(&self.runs[*run])).collect();
+        for run in interrupted {
             let spent = self.close_run(now, run);
-            self.failed(now, run, Executed::Unknown, spent, Refusal::ContactLost);
+            self.on_run_failed(now, run, Executed::Unknown, spent, Refusal::ContactLost);
         }
     }
 }
--- a/crates/replay/src/simulation/fleet.rs
+++ b/crates/replay/src/simulation/fleet.rs
@@ -1,17 +1,18 @@
-//! The servers of a replay: slots, and the agents' queues before them.
+//! Simulated servers: their slots and the admission queues of their agents.
 
 use std::{collections::HashMap, time::Duration};
 
 use pondwalk_decide::{AdmissionQueue, QueuedWork};
 use pondwalk_types::{Policy, ServerId, WorkspacePolicy};
 
-use super::book::{Live, Run};
+use super::accounting::{RequestState, Run};
 use crate::events::RunIx;
 
-/// Service time that agents expect of any run; queues go by shares, not by lengths.
+/// Service time that agents expect of every run on a model; it is constant because queues are
+/// ordered by shares rather than by service times.
 const EXPECTED_SERVICE: Duration = Duration::from_secs(1);
 
-/// One server.
+/// A simulated server.
 pub struct SimulatedServer {
     pub name: ServerId,
     pub queue: AdmissionQueue<RunIx>,
@@ -19,13 +20,13 @@
 }
 
 impl SimulatedServer {
-    /// Forgets all that ran and waited.
-    pub fn close(&mut self) {
+    /// Drops all running and queued runs.
+    pub fn clear(&mut self) {
         self.queue = AdmissionQueue::new(0, 0);
     }
 }
 
-/// All servers by index.
+/// All servers, by index and by id.
 pub struct Fleet {
     queue_limit: u32,
     indices: HashMap<ServerId, usize>,
@@ -49,8 +50,8 @@
         &mut self.servers[server]
     }
 
-    /// Adds a server, or changes the slots of a known one.
-    pub fn put(&mut self, name: &str, slots: u32) {
+    /// Adds a server, or updates the slots of an existing one, which is then no longer leaving.
+    pub fn add_or_update(&mut self, name: &str, slots: u32) {
         if let Some(known) = self.find(name) {
             let server = &mut self.servers[known];
             server.leaving_since = None;
@@ -62,15 +63,15 @@
         self.servers.push(SimulatedServer { name: name.to_owned(), queue, leaving_since: None });
     }
 
-    /// A run as its agent's queue sees it.
-    pub fn work(
+    /// Returns a run as an item of its agent's queue.
+    pub fn queued_work(
         &self,
         ticket: RunIx,
         run: &Run,
-        live: &Live<'_>,
+        request: &RequestState<'_>,
         policy: &Policy,
     ) -> QueuedWork<RunIx> {
-        let recorded = live.recorded;
+        let recorded = request.recorded;
         let fallback = WorkspacePolicy::default();
         let workspace = policy.workspaces.get(&recorded.workspace).unwrap_or(&fallback);
         let expected_service_time =
@@ -81,7 +82,7 @@
             priority: workspace.priority,
             share_weight: workspace.share_weight,
             expected_service_time,
-            deadline: live.arrived + recorded.deadline,
+            deadline: request.arrived + recorded.deadline,
             stated_deadline: recorded.deadline,
         }
     }
--- a/crates/replay/src/simulation/requests.rs
+++ b/crates/replay/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their answers, and the ratings between.
+//! Requests from arrival to delivery, and their ratings.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::{
     Simulation,
-    book::{Live, RunState},
+    accounting::{RequestState, RunState},
 };
 use crate::{
     events::{Event, RequestIx, RunIx},
@@ -15,30 +15,32 @@
 };
 
 impl<'a> Simulation<'a> {
-    pub(super) fn arrive(&mut self, now: Duration, recorded: &'a RecordedRequest) {
+    pub(super) fn on_request(&mut self, now: Duration, recorded: &'a RecordedRequest) {
         let request = self.requests.len();
-        self.requests.push(Live::new(recorded, now));
-        self.count(request, |tally| tally.requests += 1);
+        self.requests.push(RequestState::new(recorded, now));
+        self.count(request, |stats| stats.requests += 1);
         if let Err(_refusal) = self.claim(request) {
-            self.count(request, |tally| tally.refused_not_run += 1);
+            self.count(request, |stats| stats.refused_not_run += 1);
             return;
         }
         match self.driver.begin(now, recorded) {
-            Ok((flight, step)) => {
-                self.requests[request].flight = Some(flight);
+            Ok((in_flight, step)) => {
+                self.requests[request].in_flight = Some(in_flight);
                 self.submit(now, request, step);
             }
             Err(_refusal) => self.end_unanswered(request),
         }
     }
 
-    /// Claims the idempotency key of a request that may not be repeated.
+    /// Claims the idempotency key of a non-repeatable request.
+    ///
+    /// Returns a refusal if the store is unavailable or the key is already claimed.
     pub(super) fn claim(&mut self, request: RequestIx) -> Result<(), Refusal> {
         let recorded = self.requests[request].recorded;
         let (false, Some(key)) = (recorded.repeatable, &recorded.idempotency_key) else {
             return Ok(());
         };
-        if !self.store_up {
+        if !self.store_available {
             return Err(Refusal::ClaimUnavailable);
         }
         let key = (recorded.workspace.as_str(), key.as_str());
@@ -49,20 +51,20 @@
         Ok(())
     }
 
-    /// Does what the policy wants next.
-    pub(super) fn act(&mut self, now: Duration, request: RequestIx, next: NextAction) {
+    /// Applies the policy's next action for a request.
+    pub(super) fn apply_action(&mut self, now: Duration, request: RequestIx, next: NextAction) {
         match next {
             NextAction::Deliver => self.deliver(now, request),
             NextAction::AwaitRating(wait) => {
                 let run = self.requests[request].runs.last().copied();
                 self.requests[request].awaiting = run;
                 if let Some(run) = run {
-                    self.events.push(now + wait, Event::RatingOverdue(run));
+                    self.events.push(now + wait, Event::RatingTimeout(run));
                 }
             }
             NextAction::Run(step) => {
                 if self.requests[request].has_answer {
-                    self.count(request, |tally| tally.escalations += 1);
+                    self.count(request, |stats| stats.escalations += 1);
                 }
                 self.submit(now, request, step);
             }
@@ -70,46 +72,46 @@
         }
     }
 
-    pub(super) fn rating(&mut self, now: Duration, run: RunIx) {
-        if !self.rating_up {
+    pub(super) fn on_rating(&mut self, now: Duration, run: RunIx) {
+        if !self.rating_available {
             return;
         }
         let quality = self.runs[run].outcome.quality;
         let delay = self.settings.rating_delay;
         let request = self.runs[run].request;
         if self.requests[request].awaiting == Some(run) {
-            self.judge(now, request, Some((quality, delay)));
+            self.apply_rating(now, request, Some((quality, delay)));
         } else if self.requests[request].delivered == Some(run)
             && let Some(receipt) = self.requests[request].receipt.take()
         {
-            self.driver.rated(now, &receipt, delay, quality);
+            self.driver.on_late_rating(now, &receipt, delay, quality);
         }
     }
 
-    pub(super) fn rating_overdue(&mut self, now: Duration, run: RunIx) {
+    pub(super) fn on_rating_timeout(&mut self, now: Duration, run: RunIx) {
         let request = self.runs[run].request;
         if self.requests[request].awaiting == Some(run) {
-            self.judge(now, request, None);
+            self.apply_rating(now, request, None);
         }
     }
 
-    pub(super) fn judge(
+    pub(super) fn apply_rating(
         &mut self,
         now: Duration,
         request: RequestIx,
         rating: Option<(f64, Duration)>,
     ) {
         self.requests[request].awaiting = None;
-        let Some(mut flight) = self.requests[request].flight.take() else {
+        let Some(mut in_flight) = self.requests[request].in_flight.take() else {
             return;
         };
-        let next = self.driver.judged(now, &mut flight, rating);
-        self.requests[request].flight = Some(flight);
-        self.act(now, request, next);
+        let next = self.driver.on_rating(now, &mut in_flight, rating);
+        self.requests[request].in_flight = Some(in_flight);
+        self.apply_action(now, request, next);
     }
 
-    /// The answer in hand is due: drops the run that was to improve on it.
-    pub(super) fn deliver_held(&mut self, now: Duration, run: RunIx) {
+    /// Delivers the available answer, which is due, and cancels the run that was to improve on it.
+    pub(super) fn deliver_fallback(&mut self, now: Duration, run: RunIx) {
         if !self.runs[run].is_open() {
             return;
         }
@@ -122,8 +124,8 @@
             self.fleet.get_mut(server).queue.cancel(&run);
         }
         let request = self.runs[run].request;
-        if let Some(flight) = &mut self.requests[request].flight {
-            self.driver.cut_short(now, flight, spent);
+        if let Some(in_flight) = &mut self.requests[request].in_flight {
+            self.driver.cancel_run(now, in_flight, spent);
         }
         self.deliver(now, request);
     }
--- a/crates/replay/src/simulation/setup.rs
+++ b/crates/replay/src/simulation/setup.rs
@@ -1,12 +1,14 @@
-//! What has to be clear before a replay starts.
+//! Initial configuration of a replay.
 
 use pondwalk_config::ReplaySettings;
 use pondwalk_types::{Policy, VersionId};
 
 use crate::trace::{Trace, TraceError, TraceEvent, TraceProblem};
 
-/// The configuration at the start: that of the settings, with every version that the trace names
-/// priced and every workspace known.
+/// Returns the initial configuration: that of the settings, extended by every version, plain
+/// service and workspace that the trace names.
+///
+/// Returns an error if a version has no price.
 pub fn starting_policy(
     file: &str,
     trace: &Trace,
@@ -16,7 +18,7 @@
     for line in &trace.lines {
         let (field, versions) = named_versions(&line.event);
         for version in versions {
-            add(&mut policy, version).map_err(|problem| TraceError::Line {
+            add_version_or_service(&mut policy, version).map_err(|problem| TraceError::Line {
                 file: file.to_owned(),
                 line: line.line,
                 field: field.to_owned(),
@@ -42,8 +44,8 @@
     }
 }
 
-/// Adds a version, or a plain service where the name has no version part.
-fn add(policy: &mut Policy, name: &VersionId) -> Result<(), TraceProblem> {
+/// Adds a version, or a plain service if the name has no version part.
+fn add_version_or_service(policy: &mut Policy, name: &VersionId) -> Result<(), TraceProblem> {
     if policy.add_version(name) {
         return Ok(());
     }
@@ -63,9 +65,9 @@
     let Some(default) = &settings.default_workspace else {
         return;
     };
-    if let Some(pattern) = settings.policy.workspaces.get(default)
+    if let Some(template) = settings.policy.workspaces.get(default)
         && !policy.workspaces.contains_key(name)
     {
-        policy.workspaces.insert(name.clone(), pattern.clone());
+        policy.workspaces.insert(name.clone(), template.clone());
     }
 }
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: JSON Lines, checked field by field.
+//! Trace files: JSON Lines, validated field by field.
 
 mod fields;
 
@@ -11,13 +11,13 @@
 
 use fields::Fields;
 
-/// What one version would have done with a request.
+/// Recorded outcome of a request on one version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordedOutcome {
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output_tokens: u64,
-    /// Time on a server.
-    pub service: Duration,
+    /// Time that the run takes on a server.
+    pub service_time: Duration,
     /// Quality from 0 to 1.
     pub quality: f64,
     /// Whether the run fails.
@@ -27,104 +27,104 @@
 /// A recorded request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordedRequest {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// Workspace that sent the request.
     pub workspace: WorkspaceId,
-    /// Kind of work.
+    /// Task of the request.
     pub task: TaskId,
-    /// Conversation.
+    /// Session, if the request belongs to one.
     pub session: Option<SessionId>,
-    /// Size of the prompt.
+    /// Size of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Name of the cacheable prefix.
+    /// Name of the prompt's cacheable prefix, if any.
     pub prefix: Option<String>,
-    /// Time allowed.
+    /// Time from arrival within which the answer is due.
     pub deadline: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Key that marks the caller's own repeats.
+    /// Key that identifies retries of the same request by the caller.
     pub idempotency_key: Option<String>,
-    /// The plain service called, if it is none for a model.
+    /// Plain service that the request calls; `None` for a model.
     pub service: Option<VersionId>,
-    /// What each version would have done.
+    /// Recorded outcome by version.
     pub outcomes: BTreeMap<VersionId, RecordedOutcome>,
 }
 
-/// What happens in a trace.
+/// An event of a trace.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TraceEvent {
     /// A request arrives.
     Request(Box<RecordedRequest>),
-    /// A server starts, or hosts other versions from now on.
+    /// A server starts, or changes the versions that it hosts.
     Server {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
-        /// Where it is.
+        /// Data centre of the server.
         data_centre: DataCentreId,
-        /// What it hosts.
+        /// Versions that the server hosts.
         versions: Vec<VersionId>,
-        /// Requests it runs at a time.
+        /// Number of requests that the server runs concurrently.
         slots: u32,
     },
-    /// A server is on the list of leaving instances from now on.
+    /// A server is put on the list of leaving instances.
     Leaving(ServerId),
-    /// A server is gone; its work is cut.
+    /// A server disappears; its runs are interrupted.
     Gone(ServerId),
-    /// A new version starts to take over from an old one.
+    /// The roll-out of a new version in place of an old one begins.
     RollOut {
         /// The new version.
         version: VersionId,
-        /// The old one.
+        /// The old version.
         replaces: VersionId,
     },
-    /// A version takes no new work from now on.
+    /// A version is withdrawn and gets no new runs.
     Withdraw(VersionId),
-    /// A workspace may use just these versions from now on.
+    /// The versions that a workspace may use change.
     Allow {
         /// The workspace.
         workspace: WorkspaceId,
-        /// Its versions.
+        /// All versions that the workspace may use.
         versions: Vec<VersionId>,
     },
-    /// The rating service goes down or comes up.
+    /// The rating service becomes available (`true`) or unavailable.
     Rating(bool),
-    /// The platform's store goes down or comes up.
+    /// The platform's store becomes available (`true`) or unavailable.
     Store(bool),
 }
 
 /// One line of a trace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TraceLine {
-    /// When it happens.
+    /// Time of the event from the start of the trace.
     pub at: Duration,
-    /// What happens.
+    /// The event.
     pub event: TraceEvent,
     /// Line number, from 1.
     pub line: usize,
 }
 
-/// A whole trace.
+/// A validated trace.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Trace {
-    /// Lines in order of time.
+    /// Lines in ascending order of time.
     pub lines: Vec<TraceLine>,
 }
 
-/// What is wrong with a trace.
+/// A fault in a line of a trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TraceProblem {
     /// A line is not a JSON object.
     NotAnObject,
     /// A field is missing.
     Missing,
-    /// A field has the wrong type or is out of range.
+    /// A field has the wrong type or is out of range; names the expected value.
     Invalid(&'static str),
-    /// The kind of event is not known.
+    /// The kind of event is unknown.
     UnknownKind(String),
-    /// The time is before the line above.
-    TimeRunsBackwards,
-    /// A version has neither a price of its own nor one of its model.
+    /// The time is earlier than that of the previous line.
+    DecreasingTime,
+    /// Neither the version nor its model has a price.
     NoPrice(VersionId),
 }
 
@@ -134,40 +134,42 @@
             TraceProblem::NotAnObject => write!(f, "is not a JSON object"),
             TraceProblem::Missing => write!(f, "is missing"),
             TraceProblem::Invalid(expected) => write!(f, "is not {expected}"),
-            TraceProblem::UnknownKind(kind) => write!(f, "is `{kind}`, which is not known"),
-            TraceProblem::TimeRunsBackwards => write!(f, "runs backwards"),
+            TraceProblem::UnknownKind(kind) => write!(f, "is `{kind}`, which is unknown"),
+            TraceProblem::DecreasingTime => write!(f, "is earlier than on the previous line"),
             TraceProblem::NoPrice(version) => write!(f, "names `{version}`, which has no price"),
         }
     }
 }
 
-/// Why a trace was refused.
+/// Error of reading a trace.
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// The file cannot be read.
     #[error("{file}: cannot be read")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The cause.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// A line is wrong.
+    /// A line has a fault.
     #[error("{file}:{line}: field `{field}` {problem}")]
     Line {
-        /// The file.
+        /// Path of the file.
         file: String,
         /// Line number, from 1.
         line: usize,
-        /// The field at fault.
+        /// Path of the faulty field within the line.
         field: String,
-        /// What is wrong with it.
+        /// The fault.
         problem: TraceProblem,
     },
 }
 
 impl Trace {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
+    ///
+    /// Returns an error if the file cannot be read or a line has a fault.
     pub fn load(path: &Path) -> Result<Self, TraceError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -176,7 +178,9 @@
         }
     }
 
-    /// Checks the text of a file.
+    /// Validates the text of a file; `file` names it in errors.
+    ///
+    /// Returns an error for the first line with a fault. Empty lines are skipped.
     pub fn parse(file: &str, text: &str) -> Result<Self, TraceError> {
         let mut lines: Vec<TraceLine> = Vec::new();
         for (index, text) in text.lines().enumerate() {
@@ -188,9 +192,9 @@
                 let file = file.to_owned();
                 TraceError::Line { file, line, field, problem }
             };
-            let (at, event) = read_line(text).map_err(error)?;
+            let (at, event) = parse_line(text).map_err(error)?;
             if lines.last().is_some_and(|last| at < last.at) {
-                return Err(error(("at_ms".into(), TraceProblem::TimeRunsBackwards)));
+                return Err(error(("at_ms".into(), TraceProblem::DecreasingTime)));
             }
             lines.push(TraceLine { at, event, line });
         }
@@ -198,66 +202,66 @@
     }
 }
 
-/// A field's path and what is wrong with it.
+/// Path of a field, and its fault.
 type FieldError = (String, TraceProblem);
 
-fn read_line(text: &str) -> Result<(Duration, TraceEvent), FieldError> {
+fn parse_line(text: &str) -> Result<(Duration, TraceEvent), FieldError> {
     let fields = Fields::parse(text)?;
-    let at = Duration::from_millis(fields.whole("at_ms")?);
-    let kind = fields.text("kind")?;
+    let at = Duration::from_millis(fields.unsigned("at_ms")?);
+    let kind = fields.string("kind")?;
     let event = match kind.as_str() {
-        "request" => TraceEvent::Request(Box::new(read_request(&fields)?)),
+        "request" => TraceEvent::Request(Box::new(parse_request(&fields)?)),
         "server" => TraceEvent::Server {
-            server: fields.text("server")?,
-            data_centre: fields.text("data_centre")?,
-            versions: fields.texts("versions")?,
+            server: fields.string("server")?,
+            data_centre: fields.string("data_centre")?,
+            versions: fields.strings("versions")?,
             slots: fields.count("slots")?,
         },
-        "leaving" => TraceEvent::Leaving(fields.text("server")?),
-        "gone" => TraceEvent::Gone(fields.text("server")?),
+        "leaving" => TraceEvent::Leaving(fields.string("server")?),
+        "gone" => TraceEvent::Gone(fields.string("server")?),
         "roll_out" => TraceEvent::RollOut {
-            version: fields.text("version")?,
-            replaces: fields.text("replaces")?,
+            version: fields.string("version")?,
+            replaces: fields.string("replaces")?,
         },
-        "withdraw" => TraceEvent::Withdraw(fields.text("version")?),
+        "withdraw" => TraceEvent::Withdraw(fields.string("version")?),
         "allow" => TraceEvent::Allow {
-            workspace: fields.text("workspace")?,
-            versions: fields.texts("versions")?,
+            workspace: fields.string("workspace")?,
+            versions: fields.strings("versions")?,
         },
-        "rating" => TraceEvent::Rating(fields.flag("up")?),
-        "store" => TraceEvent::Store(fields.flag("up")?),
+        "rating" => TraceEvent::Rating(fields.boolean("up")?),
+        "store" => TraceEvent::Store(fields.boolean("up")?),
         _ => return Err(("kind".into(), TraceProblem::UnknownKind(kind))),
     };
     Ok((at, event))
 }
 
-fn read_request(fields: &Fields) -> Result<RecordedRequest, FieldError> {
+fn parse_request(fields: &Fields) -> Result<RecordedRequest, FieldError> {
     let mut outcomes = BTreeMap::new();
     for (version, outcome) in fields.objects("outcomes")? {
         let recorded = RecordedOutcome {
-            output_tokens: outcome.whole("output_tokens")?,
-            service: Duration::from_millis(outcome.whole("service_ms")?),
-            quality: outcome.unit("quality")?,
-            failed: outcome.flag("failed")?,
+            output_tokens: outcome.unsigned("output_tokens")?,
+            service_time: Duration::from_millis(outcome.unsigned("service_ms")?),
+            quality: outcome.ratio("quality")?,
+            failed: outcome.boolean("failed")?,
         };
         outcomes.insert(version, recorded);
     }
-    let service = fields.optional_text_or_absent("service")?;
+    let service = fields.optional_string_or_absent("service")?;
     if let Some(service) = &service
         && !outcomes.contains_key(service)
     {
         return Err((format!("outcomes.{service}"), TraceProblem::Missing));
     }
     Ok(RecordedRequest {
-        request: fields.text("request")?,
-        workspace: fields.text("workspace")?,
-        task: fields.text("task")?,
-        session: fields.optional_text("session")?,
-        prompt_tokens: fields.whole("prompt_tokens")?,
-        prefix: fields.optional_text("prefix")?,
+        request: fields.string("request")?,
+        workspace: fields.string("workspace")?,
+        task: fields.string("task")?,
+        session: fields.optional_string("session")?,
+        prompt_tokens: fields.unsigned("prompt_tokens")?,
+        prefix: fields.optional_string("prefix")?,
         deadline: Duration::from_millis(fields.positive("deadline_ms")?),
-        repeatable: fields.flag("repeatable")?,
-        idempotency_key: fields.optional_text("idempotency_key")?,
+        repeatable: fields.boolean("repeatable")?,
+        idempotency_key: fields.optional_string("idempotency_key")?,
         service,
         outcomes,
     })
--- a/crates/replay/tests/trace_validation.rs
+++ b/crates/replay/tests/trace_validation.rs
@@ -1,4 +1,4 @@
-//! Bad traces are refused with file, line and field before anything is replayed.
+//! Validation of traces: each fault is reported with line and field before the replay starts.
 
 use pondwalk_replay::{Trace, TraceError, trace::TraceProblem};
 
@@ -14,21 +14,21 @@
 
 fn request(change: (&str, &str)) -> String {
     let good = r#"{"at_ms":6,"kind":"request","request":"r","workspace":"w","task":"t","session":null,"prompt_tokens":1,"prefix":null,"deadline_ms":10,"repeatable":true,"idempotency_key":null,"outcomes":{"m/1":{"output_tokens":1,"service_ms":1,"quality":0.5,"failed":false}}}"#;
-    assert!(good.contains(change.0), "{} is in the line", change.0);
+    assert!(good.contains(change.0), "{} does not occur in the line", change.0);
     format!("{SERVER}\n{}\n", good.replace(change.0, change.1))
 }
 
 #[test]
-fn a_good_trace_is_accepted() {
+fn valid_trace_is_accepted() {
     let trace = Trace::parse("t.jsonl", &request(("\"task\"", "\"task\""))).expect("good");
     assert_eq!(trace.lines.len(), 2);
 }
 
 #[test]
-fn each_fault_names_its_line_and_field() {
+fn faults_are_reported_with_line_and_field() {
     let cases = [
         (("\"task\":\"t\",", ""), "task", TraceProblem::Missing),
-        (("\"at_ms\":6", "\"at_ms\":4"), "at_ms", TraceProblem::TimeRunsBackwards),
+        (("\"at_ms\":6", "\"at_ms\":4"), "at_ms", TraceProblem::DecreasingTime),
         (("\"at_ms\":6", "\"at_ms\":-6"), "at_ms", whole()),
         (("\"deadline_ms\":10", "\"deadline_ms\":0"), "deadline_ms", positive()),
         (("0.5", "1.5"), "outcomes.m/1.quality", TraceProblem::Invalid("a number from 0 to 1")),
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn a_line_that_is_no_object_is_refused() {
+fn line_without_object_is_rejected() {
     assert_eq!(fault("[1]\n").0, 1);
     assert_eq!(fault(&format!("{SERVER}\nnonsense\n")).0, 2);
 }
 
 #[test]
-fn a_service_needs_its_outcome() {
+fn service_without_outcome_is_rejected() {
     let fault =
         fault(&request(("\"idempotency_key\":null", "\"idempotency_key\":null,\"service\":\"s\"")));
     assert_eq!((fault.0, fault.1.as_str()), (2, "outcomes.s"));
