--- a/crates/direct/tests/allowed_regions.rs
+++ b/crates/direct/tests/allowed_regions.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 /// The entry itself is in another region, whose servers are closer to it.
-const REGIONS: &str = "regions=dc1:east,dc2:west,dc3:west\n";
+const REGION_SETTINGS: &str = "regions=dc1:east,dc2:west,dc3:west\n";
 
 /// Servers 1 and 2 in the allowed region, and 3 to 6, which always succeed, outside it.
 async fn set_up(world: &World, service: &str, inside: Act, outside: Act) {
@@ -40,7 +40,7 @@
 
 #[test]
 fn request_runs_in_allowed_region_only() {
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         set_up(&world, "s", ok_response(), ok_response()).await;
         for n in 0..40 {
             let path = ["/once/", "/again/"][n % 2];
@@ -53,11 +53,11 @@
 #[test]
 fn retry_stays_in_allowed_region() {
     for fails in [Act::Answer(500, "failed".into()), Act::NotRun(503), Act::LoseAnswer] {
-        run_test_with(REGIONS, |world| async move {
+        run_test_with(REGION_SETTINGS, |world| async move {
             set_up(&world, "s", fails, ok_response()).await;
             for n in 0..20 {
-                let answer = world.call(request("/again/", &format!("r{n}"))).await;
-                assert_ne!(answer.status, 200);
+                let response = world.call(request("/again/", &format!("r{n}"))).await;
+                assert_ne!(response.status, 200);
             }
             assert_eq!(ran_outside_region(&world), 0);
         });
@@ -66,7 +66,7 @@
 
 #[test]
 fn silent_server_is_not_replaced_outside_the_region() {
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         set_up(&world, "s", Act::Silent, ok_response()).await;
         let sent = with(request("/again/", "r1"), "pondwalk-deadline-ms", "4000");
         assert_ne!(world.call(sent).await.status, 200);
@@ -76,7 +76,7 @@
 
 #[test]
 fn broken_stream_is_resumed_in_allowed_region() {
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         let gap = Duration::from_millis(10);
         let broken = Act::Stream { last: 9, gap, confidence: None, cut_in: Some(4) };
         set_up(&world, "s", broken, stream(9, None)).await;
@@ -88,7 +88,7 @@
 
 #[test]
 fn escalation_stays_in_allowed_region() {
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         set_up(&world, "m", stream(3, Some(5)), stream(3, Some(99))).await;
         for n in 0..10 {
             let sent = request("/models/", &format!("r{n}"));
@@ -101,16 +101,16 @@
 
 #[test]
 fn callers_are_refused_at_once_without_server_in_region() {
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         set_up(&world, "s", ok_response(), ok_response()).await;
         for n in 1..=2 {
             world.store.remove(&format!("server/s{n}"));
         }
         sleep(Duration::from_secs(5)).await;
         let before = tokio::time::Instant::now();
-        let answer = world.call(request("/again/", "r1")).await;
-        assert_eq!(answer.status, 503);
-        assert!(answer.body.contains("no_server_at_home"), "{}", answer.body);
+        let response = world.call(request("/again/", "r1")).await;
+        assert_eq!(response.status, 503);
+        assert!(response.body.contains("no_server_at_home"), "{}", response.body);
         assert!(before.elapsed() < Duration::from_millis(50));
         assert_eq!(ran_outside_region(&world), 0);
         // Another data centre of the region is equally allowed.
@@ -134,7 +134,7 @@
 fn regions_allowed_by_both_route_and_workspace_are_used() {
     let both = [(&["west", "east"][..], &["west"][..]), (&[], &["west"]), (&["west"], &["west"])];
     for (routes, workspace) in both {
-        run_test_with(REGIONS, |world| async move {
+        run_test_with(REGION_SETTINGS, |world| async move {
             set_up(&world, "s", ok_response(), ok_response()).await;
             world.configure(catalog_in_regions(2, routes, workspace));
             sleep(Duration::from_secs(2)).await;
@@ -144,7 +144,7 @@
             assert_eq!(ran_outside_region(&world), 0);
         });
     }
-    run_test_with(REGIONS, |world| async move {
+    run_test_with(REGION_SETTINGS, |world| async move {
         set_up(&world, "s", ok_response(), ok_response()).await;
         world.configure(catalog_in_regions(2, &["west"], &["east"]));
         sleep(Duration::from_secs(2)).await;
--- a/crates/direct/tests/backend_faults.rs
+++ b/crates/direct/tests/backend_faults.rs
@@ -14,7 +14,7 @@
     Act::Answer(200, "made".into())
 }
 
-async fn with_two_servers(world: &World, service: &str, usual: Act) {
+async fn start_two_servers(world: &World, service: &str, usual: Act) {
     world.configure(catalog(1));
     world.start_server(1, service, "v1", usual.clone());
     world.start_server(2, service, "v1", usual);
@@ -32,15 +32,15 @@
 fn non_repeatable_request_is_sent_once_after_a_lost_response() {
     for fate in [Act::LoseAnswer, Act::AnswerAnother, Act::Unsigned, Act::Silent] {
         run_test(|world| async move {
-            with_two_servers(&world, "s", ok_response()).await;
+            start_two_servers(&world, "s", ok_response()).await;
             first(&world, fate.clone());
-            let answer = world.call(request("/once/", "r1")).await;
+            let response = world.call(request("/once/", "r1")).await;
             let expected = match fate {
                 Act::Silent => StatusCode::GATEWAY_TIMEOUT,
                 _ => StatusCode::BAD_GATEWAY,
             };
-            assert_eq!(answer.status, expected, "{fate:?}");
-            assert!(answer.body.contains("unknown"));
+            assert_eq!(response.status, expected, "{fate:?}");
+            assert!(response.body.contains("unknown"));
             assert_eq!(world.backends.runs(), 1, "{fate:?}");
         });
     }
@@ -55,8 +55,8 @@
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..6 {
-                let answer = world.call(request("/once/", &format!("r{number}"))).await;
-                assert_eq!(answer.status, StatusCode::OK);
+                let response = world.call(request("/once/", &format!("r{number}"))).await;
+                assert_eq!(response.status, StatusCode::OK);
             }
             assert_eq!(world.backends.runs(), 6);
         });
@@ -66,15 +66,15 @@
 #[test]
 fn refusal_that_nothing_ran_is_true() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::NotRun(503)).await;
-        let answer = world.call(request("/once/", "r1")).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.body.contains("\"ran\":false"), "{}", answer.body);
-        assert!(answer.headers.contains_key("retry-after"));
+        start_two_servers(&world, "s", Act::NotRun(503)).await;
+        let response = world.call(request("/once/", "r1")).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.body.contains("\"ran\":false"), "{}", response.body);
+        assert!(response.headers.contains_key("retry-after"));
         // One server loses the response, the other one rejects the request: it may have run.
         first(&world, Act::LoseAnswer);
-        let answer = world.call(request("/again/", "r2")).await;
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+        let response = world.call(request("/again/", "r2")).await;
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     });
 }
 
@@ -95,8 +95,8 @@
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..4 {
-                let answer = world.call(request("/again/", &format!("r{number}"))).await;
-                assert_eq!((answer.status, answer.body.as_str()), (StatusCode::OK, "made"));
+                let response = world.call(request("/again/", &format!("r{number}"))).await;
+                assert_eq!((response.status, response.body.as_str()), (StatusCode::OK, "made"));
             }
         });
     }
@@ -105,20 +105,20 @@
 #[test]
 fn server_failure_is_passed_on_if_not_repeatable() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Answer(500, "broken".into())).await;
-        let answer = world.call(request("/once/", "r1")).await;
-        assert_eq!((answer.status.as_u16(), answer.body.as_str()), (500, "broken"));
-        assert_eq!(answer.headers["pondwalk-signature"], "proof");
+        start_two_servers(&world, "s", Act::Answer(500, "broken".into())).await;
+        let response = world.call(request("/once/", "r1")).await;
+        assert_eq!((response.status.as_u16(), response.body.as_str()), (500, "broken"));
+        assert_eq!(response.headers["pondwalk-signature"], "proof");
     });
 }
 
 #[test]
 fn bytes_after_a_response_are_discarded() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Surplus("mine".into())).await;
+        start_two_servers(&world, "s", Act::Surplus("mine".into())).await;
         for number in 0..4 {
-            let answer = world.call(request("/once/", &format!("r{number}"))).await;
-            assert_eq!(answer.body, "mine");
+            let response = world.call(request("/once/", &format!("r{number}"))).await;
+            assert_eq!(response.body, "mine");
         }
     });
 }
@@ -126,11 +126,11 @@
 #[test]
 fn stopped_server_is_skipped() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", ok_response()).await;
+        start_two_servers(&world, "s", ok_response()).await;
         world.backends.stop(address(1));
         for number in 0..4 {
-            let answer = world.call(request("/once/", &format!("r{number}"))).await;
-            assert_eq!(answer.status, StatusCode::OK);
+            let response = world.call(request("/once/", &format!("r{number}"))).await;
+            assert_eq!(response.status, StatusCode::OK);
         }
     });
 }
@@ -138,12 +138,12 @@
 #[test]
 fn stream_broken_within_an_event_resumes_after_the_last_whole_event() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", stream(6, None)).await;
+        start_two_servers(&world, "s", stream(6, None)).await;
         let gap = Duration::from_millis(10);
         first(&world, Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
-        let answer = world.call(request("/stream/", "r1")).await;
+        let response = world.call(request("/stream/", "r1")).await;
         // The second server's script cuts the resumed stream again; a third send completes it.
-        assert!(answer.body.starts_with(&events(1..=3)), "{}", answer.body);
+        assert!(response.body.starts_with(&events(1..=3)), "{}", response.body);
         let mut seen = world.backends.seen(address(1));
         seen.extend(world.backends.seen(address(2)));
         let resumed = seen.iter().find(|seen| seen.headers.contains_key("last-event-id"));
@@ -161,8 +161,8 @@
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=6), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=6), true));
         }
     });
 }
@@ -181,8 +181,8 @@
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=6), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=6), true));
         }
     });
 }
@@ -195,8 +195,8 @@
         let slow = Act::Stream { last: 4, gap, confidence: None, cut_in: None };
         world.start_server(1, "s", "v1", slow);
         world.start().await;
-        let answer = world.call(request("/stream/", "r1")).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=4), true));
+        let response = world.call(request("/stream/", "r1")).await;
+        assert_eq!((response.body, response.whole), (events(1..=4), true));
     });
 }
 
@@ -210,8 +210,8 @@
         world.start_server(2, "s", "v1", Act::NotRun(503));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=4), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=4), true));
         }
     });
 }
@@ -230,14 +230,14 @@
         }
         world.start().await;
         // Three sends are allowed, and the first requests use them up on failures.
-        let answers = [
+        let responses = [
             world.call(request("/stream/", "r1")).await,
             world.call(request("/stream/", "r2")).await,
             world.call(request("/stream/", "r3")).await,
         ];
-        let whole = answers.iter().filter(|answer| answer.status == StatusCode::OK);
-        assert!(whole.clone().count() >= 1, "{answers:?}");
-        whole.for_each(|answer| assert!(answer.whole, "{answer:?}"));
+        let whole = responses.iter().filter(|response| response.status == StatusCode::OK);
+        assert!(whole.clone().count() >= 1, "{responses:?}");
+        whole.for_each(|response| assert!(response.whole, "{response:?}"));
     });
 }
 
@@ -246,9 +246,9 @@
     run_test(|world| async move {
         let gap = Duration::from_millis(10);
         let cut = Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
-        with_two_servers(&world, "s", cut).await;
-        let answer = world.call(request("/fixed/", "r1")).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=3), false));
+        start_two_servers(&world, "s", cut).await;
+        let response = world.call(request("/fixed/", "r1")).await;
+        assert_eq!((response.body, response.whole), (events(1..=3), false));
         assert_eq!(world.backends.runs(), 1);
     });
 }
@@ -256,11 +256,11 @@
 #[test]
 fn response_of_low_confidence_is_replaced_by_a_larger_model() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(3, Some(90))).await;
+        start_two_servers(&world, "m", stream(3, Some(90))).await;
         first(&world, stream(3, Some(5)));
         let sent = with(request("/models/", "r1"), "pondwalk-model", "auto");
-        let answer = world.call(sent).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=3), true));
+        let response = world.call(sent).await;
+        assert_eq!((response.body, response.whole), (events(1..=3), true));
         let mut seen = world.backends.seen(address(1));
         seen.extend(world.backends.seen(address(2)));
         let models: Vec<&str> =
@@ -272,7 +272,7 @@
 #[test]
 fn long_prompt_is_ranked_after_a_short_one() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(2, Some(90))).await;
+        start_two_servers(&world, "m", stream(2, Some(90))).await;
         let call = async |id: &str, tokens: u32| {
             let sent = with(request("/models/", id), "pondwalk-model", "auto");
             let sent = with(sent, "pondwalk-prompt-parts", &format!("{tokens}:{tokens}"));
@@ -294,7 +294,7 @@
 #[test]
 fn model_named_by_the_caller_is_kept() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(3, Some(5))).await;
+        start_two_servers(&world, "m", stream(3, Some(5))).await;
         let sent = with(request("/models/", "r1"), "pondwalk-model", "middle");
         assert!(world.call(sent).await.whole);
         assert_eq!(world.backends.runs(), 1);
@@ -304,11 +304,11 @@
 #[test]
 fn no_request_outlives_its_deadline() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Silent).await;
+        start_two_servers(&world, "s", Act::Silent).await;
         let started = tokio::time::Instant::now();
         let sent = with(request("/again/", "r1"), "pondwalk-deadline-ms", "3000");
-        let answer = world.call(sent).await;
-        assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
+        let response = world.call(sent).await;
+        assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
         assert!(started.elapsed() <= Duration::from_millis(3_010), "{:?}", started.elapsed());
     });
 }
@@ -316,7 +316,7 @@
 #[test]
 fn draining_server_gets_no_new_requests_from_any_source() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", ok_response()).await;
+        start_two_servers(&world, "s", ok_response()).await;
         world.list_server(1, "s", "v1", "draining");
         sleep(Duration::from_millis(500)).await;
         for number in 0..4 {
@@ -333,8 +333,8 @@
         world.start_server(1, "s", "v1", Act::Answer(200, "encoded".into()));
         world.backends.tell(address(1), "content-encoding", "gzip");
         world.start().await;
-        let answer = world.call(request("/once/x", "r1")).await;
-        assert_eq!(answer.status.as_u16(), 502);
+        let response = world.call(request("/once/x", "r1")).await;
+        assert_eq!(response.status.as_u16(), 502);
         world.backends.tell(address(1), "content-encoding", "identity");
         assert_eq!(world.call(request("/once/x", "r2")).await.body, "encoded");
         world.backends.tell(address(1), "content-encoding", "gzip");
--- a/crates/direct/tests/cold_servers_and_evacuations.rs
+++ b/crates/direct/tests/cold_servers_and_evacuations.rs
@@ -4,7 +4,7 @@
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use common::{Answer, World, address, catalog, request, run_test_with, with};
+use common::{TestResponse, World, address, catalog, request, run_test_with, with};
 use pondwalk_decide::direct::WarmUp;
 use pondwalk_direct::catalog::Catalog;
 use pondwalk_standin::{backends::Act, memory_store::Weather};
@@ -14,7 +14,8 @@
 };
 
 /// Settings of a listed entry whose servers take 14 requests a second while cold.
-const COLD: &str = "peers=127.0.0.1:4\n[warm_up]\novershoot=1.5\ntolerance=5\nheartbeat_ms=1200\n";
+const COLD_SETTINGS: &str =
+    "peers=127.0.0.1:4\n[warm_up]\novershoot=1.5\ntolerance=5\nheartbeat_ms=1200\n";
 /// Requests that a cold server may get in a second: 14 x 1.5 + 5.
 const MAX_PER_SECOND: usize = 26;
 
@@ -39,7 +40,7 @@
     list(world, n, data_centre, 0, 1);
 }
 
-async fn call(world: &World, id: &str) -> Answer {
+async fn call(world: &World, id: &str) -> TestResponse {
     world.call(request("/again/x", id)).await
 }
 
@@ -48,7 +49,7 @@
     servers.map(|n| world.backends.seen(address(n)).len()).collect()
 }
 
-fn fixture(world: &World) {
+fn set_up(world: &World) {
     world.configure(warming(1));
     start(world, 1, "dc1");
     start(world, 2, "dc2");
@@ -56,8 +57,8 @@
 
 #[test]
 fn evacuated_data_centre_gets_no_requests_until_revoked() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         assert_eq!(call(&world, "r0").await.status.as_u16(), 200);
         assert_eq!(seen(&world, 1..=2), [1, 0], "the local server is used");
@@ -76,16 +77,16 @@
 
 #[test]
 fn callers_are_refused_at_once_if_all_data_centres_are_evacuated() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         world.store.put("evacuate/dc1", "{}");
         world.store.put("evacuate/dc2", "{}");
         sleep(Duration::from_millis(900)).await;
         let before = Instant::now();
-        let answer = call(&world, "r").await;
-        assert_eq!(answer.status.as_u16(), 503);
-        assert!(answer.headers.contains_key("retry-after"));
+        let response = call(&world, "r").await;
+        assert_eq!(response.status.as_u16(), 503);
+        assert!(response.headers.contains_key("retry-after"));
         assert!(before.elapsed() < Duration::from_millis(50));
         assert_eq!(seen(&world, 1..=2), [0, 0]);
     });
@@ -93,8 +94,8 @@
 
 #[test]
 fn starting_entry_applies_evacuations_before_serving() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.store.put("evacuate/dc1", "{}");
         world.start().await;
         for n in 0..5 {
@@ -106,8 +107,8 @@
 
 #[test]
 fn evacuation_survives_store_outage_and_lost_history() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         world.store.put("evacuate/dc1", "{}");
         sleep(Duration::from_millis(900)).await;
@@ -133,8 +134,8 @@
 
 #[test]
 fn evacuation_of_unknown_data_centre_is_logged_without_effect() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         world.store.put("evacuate/nowhere", "???");
         sleep(Duration::from_millis(900)).await;
@@ -145,8 +146,8 @@
 
 #[test]
 fn unreadable_server_record_is_ignored() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         world.store.put("server/s1", "gibberish");
         sleep(Duration::from_millis(900)).await;
@@ -163,8 +164,8 @@
 
 #[test]
 fn drained_server_is_used_again_after_restart() {
-    run_test_with(COLD, |world| async move {
-        fixture(&world);
+    run_test_with(COLD_SETTINGS, |world| async move {
+        set_up(&world);
         world.start().await;
         // Beyond a share of its requests, an entry retries only once it is listed.
         sleep(Duration::from_secs(2)).await;
@@ -194,10 +195,10 @@
         spawn_local(async move {
             let start = Instant::now();
             let sent = with(request("/again/x", &format!("r{n}")), "pondwalk-deadline-ms", "8000");
-            let answer = world.call(sent).await;
-            let retry_after = answer.headers.get("retry-after");
+            let response = world.call(sent).await;
+            let retry_after = response.headers.get("retry-after");
             let retry_after = retry_after.and_then(|text| text.to_str().ok()?.parse().ok());
-            outcomes.borrow_mut().push((answer.status.as_u16(), start.elapsed(), retry_after));
+            outcomes.borrow_mut().push((response.status.as_u16(), start.elapsed(), retry_after));
         });
         sleep(Duration::from_secs(1) / per_s).await;
     }
@@ -218,7 +219,7 @@
 fn cold_data_centre_under_load_gets_its_limit_and_callers_are_served() {
     // Three servers in each of two data centres, at 1.6 times the usual load of 12 requests a
     // second for each data centre. The warm servers take what the cold ones cannot.
-    run_test_with(COLD, |world| async move {
+    run_test_with(COLD_SETTINGS, |world| async move {
         let world = Rc::new(world);
         world.configure(warming(1));
         (1..=3).for_each(|n| start(&world, n, "dc1"));
@@ -244,15 +245,18 @@
             }
         }
         for arrivals in &arrivals {
-            let most = max_per_second(arrivals);
-            assert!(most <= MAX_PER_SECOND, "{most} requests in a second at a cold server");
+            let max_count = max_per_second(arrivals);
+            assert!(
+                max_count <= MAX_PER_SECOND,
+                "{max_count} requests in a second at a cold server"
+            );
             assert!(arrivals.len() > 15, "it is used while cold: {}", arrivals.len());
         }
         let outcomes = loading.await.expect("no panic");
         let outcomes = outcomes.borrow();
         let served = outcomes.iter().filter(|(status, ..)| *status == 200).count();
         assert_eq!(served, outcomes.len(), "all are served");
-        assert!(outcomes.iter().all(|(_, took, _)| *took < Duration::from_millis(500)));
+        assert!(outcomes.iter().all(|(_, elapsed, _)| *elapsed < Duration::from_millis(500)));
         // A second after they are warm, they have their full share again.
         let share = |n: u16| world.backends.seen(address(n)).len();
         assert!((1..=3).all(|n| share(n) > 40), "{:?}", seen(&world, 1..=6));
@@ -261,7 +265,7 @@
 
 #[test]
 fn callers_wait_or_are_refused_with_retry_after_if_all_servers_are_cold() {
-    run_test_with(COLD, |world| async move {
+    run_test_with(COLD_SETTINGS, |world| async move {
         let world = Rc::new(world);
         world.configure(warming(1));
         (1..=2).for_each(|n| start(&world, n, "dc1"));
@@ -275,9 +279,9 @@
         // Each of the two servers takes 13 requests a second, and requests arrive or wait for six
         // seconds.
         assert!((110..=156).contains(&served), "{served} served of {}", outcomes.len());
-        for (status, took, retry_after) in outcomes.iter() {
+        for (status, elapsed, retry_after) in outcomes.iter() {
             // A quarter of the objective of two seconds.
-            assert!(*took <= Duration::from_millis(520), "held for {took:?}");
+            assert!(*elapsed <= Duration::from_millis(520), "held for {elapsed:?}");
             if *status != 200 {
                 assert_eq!(*status, 503);
                 assert!(retry_after.is_some_and(|pause| (0.2..=2.0).contains(&pause)));
@@ -288,7 +292,7 @@
 
 #[test]
 fn unreachable_server_is_limited_on_return() {
-    run_test_with(COLD, |world| async move {
+    run_test_with(COLD_SETTINGS, |world| async move {
         let world = Rc::new(world);
         world.configure(catalog(1));
         world.configure(warming(2));
@@ -331,8 +335,8 @@
         sleep(Duration::from_millis(1_200)).await;
         // The session is on the old version, whose only server is cold; the other server is warm.
         let before = world.backends.seen(address(1)).len();
-        let answer = call("second").await;
-        assert_eq!((answer.status.as_u16(), answer.whole), (200, true));
+        let response = call("second").await;
+        assert_eq!((response.status.as_u16(), response.whole), (200, true));
         assert_eq!(seen(&world, 1..=2), [before + 1, 0]);
     });
 }
--- a/crates/direct/tests/common/limits.rs
+++ b/crates/direct/tests/common/limits.rs
@@ -9,7 +9,7 @@
     time::{Instant, sleep},
 };
 
-use super::{Answer, World, address, catalog, net::Net, request};
+use super::{TestResponse, World, address, catalog, net::Net, request};
 
 /// Interval in which a server's requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -27,14 +27,14 @@
     let times: Vec<Instant> =
         seen.iter().filter_map(|one| one.at).filter(|at| *at >= from).collect();
     let mut first = 0;
-    let mut most = 0;
+    let mut max_count = 0;
     for (last, at) in times.iter().enumerate() {
         while *at >= times[first] + WINDOW {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        max_count = max_count.max(last + 1 - first);
     }
-    most
+    max_count
 }
 
 /// Requests that a server received from `from` on.
@@ -81,7 +81,7 @@
     entries: &[Entry],
     load: Load,
     at: impl Fn(usize) -> usize,
-) -> Vec<JoinHandle<Answer>> {
+) -> Vec<JoinHandle<TestResponse>> {
     let end = Instant::now() + load.time;
     let mut pending = Vec::new();
     while Instant::now() < end {
@@ -100,26 +100,26 @@
     world: &Rc<World>,
     entries: &[Entry],
     load: Load,
-) -> Vec<JoinHandle<Answer>> {
+) -> Vec<JoinHandle<TestResponse>> {
     load_at(world, entries, load, |number| number).await
 }
 
 /// Waits for all responses.
-pub async fn answers(pending: Vec<JoinHandle<Answer>>) -> Vec<Answer> {
-    let mut answers = Vec::new();
-    for answer in pending {
-        answers.push(answer.await.expect("a response"));
+pub async fn responses(pending: Vec<JoinHandle<TestResponse>>) -> Vec<TestResponse> {
+    let mut responses = Vec::new();
+    for response in pending {
+        responses.push(response.await.expect("a response"));
     }
-    answers
+    responses
 }
 
-/// Checks that a server that reported its limit at `named` gets no more than that limit allows,
+/// Checks that a server that reported its limit at `reported_at` gets no more than that limit allows,
 /// from [`PROPAGATION_TIME`] on.
-pub fn check(world: &World, n: u16, limit_per_s: f64, named: Instant) {
-    let most = max_in_window(world, n, named + PROPAGATION_TIME);
+pub fn check_limit(world: &World, n: u16, limit_per_s: f64, reported_at: Instant) {
+    let max_count = max_in_window(world, n, reported_at + PROPAGATION_TIME);
     let allowed = allowed(limit_per_s);
     assert!(
-        most <= allowed,
-        "{most} requests in 4 s with a limit of {limit_per_s} per second, {allowed} allowed"
+        max_count <= allowed,
+        "{max_count} requests in 4 s with a limit of {limit_per_s} per second, {allowed} allowed"
     );
 }
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -218,17 +218,17 @@
     }
 
     /// Sends a request on a new connection and reads the whole response.
-    pub async fn call(&self, request: Request<Full<Bytes>>) -> Answer {
+    pub async fn call(&self, request: Request<Full<Bytes>>) -> TestResponse {
         self.call_at(&self.entry, request).await
     }
 
     /// Like [`World::call`], at another entry.
-    pub async fn call_at(&self, entry: &Entry, request: Request<Full<Bytes>>) -> Answer {
+    pub async fn call_at(&self, entry: &Entry, request: Request<Full<Bytes>>) -> TestResponse {
         let response = send_to(entry, request).await;
         let status = response.status();
         let headers = response.headers().clone();
         let (body, whole) = read_body(response.into_body()).await;
-        Answer { status, headers, body, whole }
+        TestResponse { status, headers, body, whole }
     }
 
     /// Sends a request and returns the response head.
@@ -238,17 +238,17 @@
 }
 
 async fn send_to(entry: &Entry, request: Request<Full<Bytes>>) -> Response<Incoming> {
-    let (near, far) = duplex(64 * 1024);
+    let (client_end, server_end) = duplex(64 * 1024);
     let entry = entry.clone();
-    spawn_local(async move { entry.serve(far).await });
-    let (mut sender, connection) = http1::handshake(TokioIo::new(near)).await.expect("open");
+    spawn_local(async move { entry.serve(server_end).await });
+    let (mut sender, connection) = http1::handshake(TokioIo::new(client_end)).await.expect("open");
     spawn_local(async move { connection.await.unwrap_or_default() });
     sender.send_request(request).await.expect("a response")
 }
 
 /// A response read to its end.
 #[derive(Debug)]
-pub struct Answer {
+pub struct TestResponse {
     pub status: StatusCode,
     pub headers: hyper::HeaderMap,
     pub body: String,
@@ -493,10 +493,10 @@
 
 /// Sum of a counter or gauge over entries.
 pub fn total(entries: &[Entry], name: &str) -> u64 {
-    let of_one = |entry: &Entry| {
+    let value_of = |entry: &Entry| {
         let text = entry.metrics_text();
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok());
         line.unwrap_or(0)
     };
-    entries.iter().map(of_one).sum()
+    entries.iter().map(value_of).sum()
 }
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -140,17 +140,18 @@
                 }
                 let impostor = net.impostors.borrow().get(&address).cloned();
                 let entry = net.entries.borrow().get(&address).cloned();
-                let (near, far) = duplex(64 * 1024);
+                let (client_end, server_end) = duplex(64 * 1024);
                 match (impostor, entry) {
-                    (Some(impostor), _) => impostor(far),
+                    (Some(impostor), _) => impostor(server_end),
                     (None, Some(entry)) => {
-                        spawn_local(async move { entry.serve_peer(far).await });
+                        spawn_local(async move { entry.serve_peer(server_end).await });
                     }
                     (None, None) => return Ok(Box::new(backends.connect(address)?) as BoxedDuplex),
                 }
                 let silence_count = Rc::clone(&net.silence_count);
                 let opened_at = silence_count.get();
-                Ok(Box::new(Silenceable { inner: near, opened_at, silence_count }) as BoxedDuplex)
+                Ok(Box::new(Silenceable { inner: client_end, opened_at, silence_count })
+                    as BoxedDuplex)
             };
             Box::pin(opening) as Connecting
         })
@@ -192,7 +193,7 @@
     }
 
     /// Stops an entry: no new connection to it opens.
-    pub fn end(&self, n: u16) {
+    pub fn stop(&self, n: u16) {
         self.entries.borrow_mut().remove(&peer_address(n));
         self.cut.borrow_mut().push(peer_address(n));
     }
--- a/crates/direct/tests/crashing_requests.rs
+++ b/crates/direct/tests/crashing_requests.rs
@@ -32,15 +32,15 @@
 
 #[test]
 fn crashing_request_is_quarantined() {
-    let mut found = Vec::new();
+    let mut results = Vec::new();
     for (entries, kinds) in [(1, vec![repeatable()]), (5, kinds()), (40, vec![repeatable()])] {
         for kind in kinds {
             let further =
                 further_runs_of(kind.clone(), entries, QUICK_RETRY, Duration::from_secs(20));
-            found.push((entries, kind.path, further));
+            results.push((entries, kind.path, further));
         }
     }
-    assert!(found.iter().all(|(_, _, further)| *further <= MAX_FURTHER_RUNS), "{found:?}");
+    assert!(results.iter().all(|(_, _, further)| *further <= MAX_FURTHER_RUNS), "{results:?}");
 }
 
 #[test]
@@ -91,16 +91,16 @@
             let (world, body) = (Rc::clone(world), body.clone());
             let entries = entries.to_vec();
             spawn_local(async move {
-                let mut tries = 0;
+                let mut attempts = 0;
                 loop {
-                    let entry = &entries[(n + tries) % entries.len()];
-                    let sent = with_body(request("/stream/x", &format!("i{n}-{tries}")), &body);
-                    let answer = world.call_at(entry, sent).await;
-                    if answer.status.as_u16() == 200 && answer.whole {
+                    let entry = &entries[(n + attempts) % entries.len()];
+                    let sent = with_body(request("/stream/x", &format!("i{n}-{attempts}")), &body);
+                    let response = world.call_at(entry, sent).await;
+                    if response.status.as_u16() == 200 && response.whole {
                         return true;
                     }
-                    tries += 1;
-                    let retry_after = answer.headers.get("retry-after");
+                    attempts += 1;
+                    let retry_after = response.headers.get("retry-after");
                     let retry_after = retry_after.and_then(|text| text.to_str().ok()?.parse().ok());
                     sleep(Duration::from_secs_f64(retry_after.unwrap_or(0.4))).await;
                     if Instant::now() > end {
@@ -137,8 +137,8 @@
 /// Crashes all servers four times while the same innocent requests run, and counts those that are
 /// served within `time` of the last crash.
 fn served_after_crashes(entries: u16, bodies: Vec<String>, gap: Duration, time: Duration) -> usize {
-    let served_at_last = Rc::new(Cell::new(0));
-    let recorded = Rc::clone(&served_at_last);
+    let served_after_last = Rc::new(Cell::new(0));
+    let recorded = Rc::clone(&served_after_last);
     run_test(|world| async move {
         let world = Rc::new(world);
         let net = Net::default();
@@ -146,17 +146,17 @@
         let kind = Kind { path: "/stream/x", service: "s", usual: long };
         let entries = start(&world, &net, &kind, entries).await;
         for round in 0..4 {
-            let (world_too, entries_too, bodies_too) =
+            let (world_clone, entries_clone, bodies_clone) =
                 (Rc::clone(&world), entries.clone(), bodies.clone());
             spawn_local(async move {
-                count_served(&world_too, &entries_too, &bodies_too, Duration::ZERO).await;
+                count_served(&world_clone, &entries_clone, &bodies_clone, Duration::ZERO).await;
             });
             sleep(RUN_TIME / 3).await;
             crash_all(&world, round, gap).await;
         }
         recorded.set(count_served(&world, &entries, &bodies, time).await);
     });
-    served_at_last.get()
+    served_after_last.get()
 }
 
 fn distinct_bodies() -> Vec<String> {
@@ -166,9 +166,9 @@
 #[test]
 fn innocent_requests_are_served_at_once_after_four_crashes() {
     for entries in [1, 5] {
-        let count_served =
+        let served =
             served_after_crashes(entries, distinct_bodies(), Duration::ZERO, Duration::ZERO);
-        assert_eq!(count_served, INNOCENT_REQUESTS, "at {entries} entries");
+        assert_eq!(served, INNOCENT_REQUESTS, "at {entries} entries");
     }
 }
 
@@ -176,17 +176,16 @@
 fn innocent_requests_are_served_soon_after_staggered_crashes() {
     for entries in [1, 5] {
         let gap = Duration::from_millis(30);
-        let count_served =
-            served_after_crashes(entries, distinct_bodies(), gap, Duration::from_secs(10));
-        assert_eq!(count_served, INNOCENT_REQUESTS, "at {entries} entries");
+        let served = served_after_crashes(entries, distinct_bodies(), gap, Duration::from_secs(10));
+        assert_eq!(served, INNOCENT_REQUESTS, "at {entries} entries");
     }
 }
 
 #[test]
 fn identical_innocent_requests_are_served_soon() {
-    let alike = vec!["the same".to_owned(); INNOCENT_REQUESTS];
-    let count_served = served_after_crashes(5, alike, Duration::ZERO, Duration::from_secs(10));
-    assert_eq!(count_served, INNOCENT_REQUESTS);
+    let bodies = vec!["the same".to_owned(); INNOCENT_REQUESTS];
+    let served = served_after_crashes(5, bodies, Duration::ZERO, Duration::from_secs(10));
+    assert_eq!(served, INNOCENT_REQUESTS);
 }
 
 #[test]
--- a/crates/direct/tests/crashing_requests_many_entries.rs
+++ b/crates/direct/tests/crashing_requests_many_entries.rs
@@ -99,7 +99,7 @@
         repeat_request(&world, &entries, &repeatable(), QUICK_RETRY, Duration::from_secs(8)).await;
         let before = world.backends.lethal_runs().len();
         for n in 0..5 {
-            net.end(n);
+            net.stop(n);
         }
         drop(entries);
         sleep(Duration::from_millis(500)).await;
--- a/crates/direct/tests/draining_servers.rs
+++ b/crates/direct/tests/draining_servers.rs
@@ -11,7 +11,7 @@
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
-use common::{Answer, World, address, catalog, net::Net, request, run_test, stream};
+use common::{TestResponse, World, address, catalog, net::Net, request, run_test, stream};
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use tokio::{
     task::spawn_local,
@@ -28,7 +28,7 @@
 }
 
 /// Four equal servers of the service.
-fn four_servers(world: &World, service: &str, usual: &Act) {
+fn start_four_servers(world: &World, service: &str, usual: &Act) {
     world.configure(catalog(1));
     for n in 1..=4 {
         world.start_server(n, service, "v1", usual.clone());
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Sent {
     at: HashMap<String, Instant>,
-    answers: Vec<Answer>,
+    responses: Vec<TestResponse>,
 }
 
 impl Sent {
@@ -58,8 +58,8 @@
             pending.push(spawn_local(async move { world.call(request(&path, &id)).await }));
             sleep(GAP).await;
         }
-        for answer in pending {
-            self.answers.push(answer.await.expect("a response"));
+        for response in pending {
+            self.responses.push(response.await.expect("a response"));
         }
     }
 
@@ -80,7 +80,7 @@
     event: impl FnOnce(Rc<World>) -> F,
 ) {
     let world = Rc::new(world);
-    four_servers(&world, if path.starts_with("/models") { "m" } else { "s" }, &usual);
+    start_four_servers(&world, if path.starts_with("/models") { "m" } else { "s" }, &usual);
     world.start().await;
     let mut sent = Sent::default();
     sent.send(&world, path, Duration::from_secs(1)).await;
@@ -90,8 +90,8 @@
     event(Rc::clone(&world)).await;
     sent.send(&world, path, Duration::from_secs(12)).await;
     assert_eq!(sent.count_late(&world, 1, signalled_at), 0, "{path}");
-    let served = sent.answers.iter().filter(|answer| answer.status == 200 && answer.whole);
-    assert_eq!(served.count(), sent.answers.len(), "the other servers serve all requests");
+    let served = sent.responses.iter().filter(|response| response.status == 200 && response.whole);
+    assert_eq!(served.count(), sent.responses.len(), "the other servers serve all requests");
 }
 
 async fn no_event(_: Rc<World>) {}
@@ -167,7 +167,7 @@
 /// there.
 fn check_signal_in(path: &'static str, act: Act) {
     run_test(move |world| async move {
-        four_servers(&world, "s", &act);
+        start_four_servers(&world, "s", &act);
         (1..=4).for_each(|n| report_draining(&world, n));
         world.start().await;
         for n in 0..8 {
@@ -200,7 +200,7 @@
 fn callers_get_retry_after_if_all_servers_are_draining() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        four_servers(&world, "s", &ok_response());
+        start_four_servers(&world, "s", &ok_response());
         (1..=4).for_each(|n| report_draining(&world, n));
         world.start().await;
         let mut sent = Sent::default();
@@ -293,8 +293,8 @@
             sleep(Duration::from_millis(600)).await;
             world.backends.start(address(1), "s1", ok_response());
             sleep(Duration::from_millis(1_400)).await;
-            let answer = world.call(request("/open/x", &format!("r2-{n}"))).await;
-            assert_eq!(answer.status.as_u16(), 503);
+            let response = world.call(request("/open/x", &format!("r2-{n}"))).await;
+            assert_eq!(response.status.as_u16(), 503);
         }
     });
 }
@@ -331,7 +331,7 @@
 fn each_entry_applies_its_first_drain_signal_during_outage() {
     run_test(|world| async move {
         let net = Net::default();
-        four_servers(&world, "s", &ok_response());
+        start_four_servers(&world, "s", &ok_response());
         let entries = net.start_many(&world, 20, "");
         sleep(Duration::from_secs(5)).await;
         world.store.set_weather(Weather::Refused);
@@ -364,8 +364,8 @@
             world.start_server(1, service, "v1", act);
             report_draining(&world, 1);
             world.start().await;
-            let answer = world.call(request(path, "r1")).await;
-            assert_eq!((answer.status.as_u16(), answer.whole), (status, true), "{path}");
+            let response = world.call(request(path, "r1")).await;
+            assert_eq!((response.status.as_u16(), response.whole), (status, true), "{path}");
         });
     }
 }
--- a/crates/direct/tests/log_limits.rs
+++ b/crates/direct/tests/log_limits.rs
@@ -90,18 +90,18 @@
 
 /// An output that blocks while it is locked.
 #[derive(Default)]
-struct HeldOutput {
+struct BlockingOutput {
     prop: SinkProp,
     written: Mutex<String>,
 }
 
-impl GetSinkProp for HeldOutput {
+impl GetSinkProp for BlockingOutput {
     fn prop(&self) -> &SinkProp {
         &self.prop
     }
 }
 
-impl Sink for HeldOutput {
+impl Sink for BlockingOutput {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let mut written = self.written.lock().expect("the lock is not poisoned");
         written.push_str(record.payload());
@@ -116,9 +116,9 @@
 
 #[test]
 fn blocked_output_does_not_stall_and_lost_lines_are_counted() {
-    let output = Arc::new(HeldOutput::default());
+    let output = Arc::new(BlockingOutput::default());
     let event_log = EventLog::to_sink(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
-    let event_log = event_log.expect("a journal");
+    let event_log = event_log.expect("an event log");
     let guard = output.written.lock().expect("the lock is not poisoned");
     // More batches than the queue holds; with a blocking log this would never end.
     for _ in 0..30 {
--- a/crates/direct/tests/peer_messages.rs
+++ b/crates/direct/tests/peer_messages.rs
@@ -244,13 +244,13 @@
         let offset = u64::from(offset_ms);
         let mut clock = ClockOffset::default();
         let mut now = 1_000_000;
-        for (there, expected_keys, back, idle) in exchanges {
+        for (there, hold, back, idle) in exchanges {
             let sent = now;
-            let answered = sent + u64::from(there) + u64::from(expected_keys);
+            let answered = sent + u64::from(there) + u64::from(hold);
             // The remote clock is behind by the offset.
             let remote = answered - offset;
             clock.record(1, ms(sent), ms(remote));
-            let confirmed = answered - u64::from(expected_keys) / 2;
+            let confirmed = answered - u64::from(hold) / 2;
             let own = clock.local_time(ms(confirmed - offset)).expect("it was recorded");
             if own > ms(confirmed) {
                 return false;
--- a/crates/direct/tests/propagation_time.rs
+++ b/crates/direct/tests/propagation_time.rs
@@ -76,10 +76,10 @@
         (change.make)(&world);
         sleep(PROPAGATION * 2).await;
         let known = entries.iter().map(|entry| received_at(entry, change.is_received));
-        let took = known.map(|at| at.expect("every entry receives it").saturating_sub(made_at));
-        let mut took: Vec<Duration> = took.collect();
-        took.sort();
-        recorded.set((took[took.len() / 2], took[took.len() - 1]));
+        let delays = known.map(|at| at.expect("every entry receives it").saturating_sub(made_at));
+        let mut delays: Vec<Duration> = delays.collect();
+        delays.sort();
+        recorded.set((delays[delays.len() / 2], delays[delays.len() - 1]));
     });
     seen.get()
 }
--- a/crates/direct/tests/request_forwarding.rs
+++ b/crates/direct/tests/request_forwarding.rs
@@ -11,7 +11,7 @@
 use pondwalk_standin::backends::Act;
 use tokio::time::sleep;
 
-async fn with_one_server(world: &World, usual: Act) {
+async fn start_one_server(world: &World, usual: Act) {
     world.configure(catalog(1));
     world.start_server(1, "s", "v1", usual);
     world.start().await;
@@ -20,13 +20,13 @@
 #[test]
 fn request_is_forwarded_unchanged_with_own_headers() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        start_one_server(&world, Act::Answer(200, "made".into())).await;
         let sent = with(request("/once/a%20b?x=1", "r1"), "pondwalk-workspace", "forged");
         let sent = with(sent, "connection", "x-private");
         let sent = with(sent, "x-private", "1");
-        let answer = world.call(with(sent, "x-kept", "2")).await;
-        assert_eq!((answer.status, answer.body.as_str()), (StatusCode::OK, "made"));
-        assert_eq!(answer.headers["pondwalk-signature"], "proof");
+        let response = world.call(with(sent, "x-kept", "2")).await;
+        assert_eq!((response.status, response.body.as_str()), (StatusCode::OK, "made"));
+        assert_eq!(response.headers["pondwalk-signature"], "proof");
         let seen = &world.backends.seen(address(1))[0];
         assert_eq!(seen.line, "POST /once/a%20b?x=1 HTTP/1.1");
         assert_eq!(seen.body, b"body");
@@ -35,8 +35,8 @@
         assert_eq!(seen.headers["x-kept"], "2");
         assert!(!seen.headers.contains_key("authorization"));
         assert!(!seen.headers.contains_key("x-private"));
-        let left: u64 = seen.headers["pondwalk-deadline-ms"].parse().expect("a number");
-        assert!((7_900..8_000).contains(&left), "{left}");
+        let remaining: u64 = seen.headers["pondwalk-deadline-ms"].parse().expect("a number");
+        assert!((7_900..8_000).contains(&remaining), "{remaining}");
     });
 }
 
@@ -55,7 +55,7 @@
 #[test]
 fn only_disallowed_requests_are_refused() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, String::new())).await;
+        start_one_server(&world, Act::Answer(200, String::new())).await;
         let status = async |request| world.call(request).await.status;
         assert_eq!(status(request("/nowhere/", "r")).await, StatusCode::NOT_FOUND);
         let unknown = with(request("/once/", "r"), "authorization", "Bearer no");
@@ -78,10 +78,10 @@
     run_test(|world| async move {
         world.start().await;
         assert!(!world.entry.is_ready());
-        let answer = world.call(request("/nowhere/", "r1")).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key("retry-after"));
-        with_one_server(&world, Act::Answer(200, String::new())).await;
+        let response = world.call(request("/nowhere/", "r1")).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key("retry-after"));
+        start_one_server(&world, Act::Answer(200, String::new())).await;
         sleep(Duration::from_millis(500)).await;
         assert!(world.entry.is_ready());
         assert_eq!(world.call(request("/once/", "r2")).await.status, StatusCode::OK);
@@ -91,10 +91,10 @@
 #[test]
 fn events_are_relayed_as_they_arrive() {
     run_test(|world| async move {
-        with_one_server(&world, stream(5, None)).await;
-        let answer = world.call(request("/stream/", "r1")).await;
-        assert_eq!(answer.body, events(1..=5));
-        assert!(answer.whole);
+        start_one_server(&world, stream(5, None)).await;
+        let response = world.call(request("/stream/", "r1")).await;
+        assert_eq!(response.body, events(1..=5));
+        assert!(response.whole);
     });
 }
 
@@ -107,7 +107,7 @@
             confidence: None,
             cut_in: None,
         };
-        with_one_server(&world, slow).await;
+        start_one_server(&world, slow).await;
         let response = world.send(request("/stream/", "r1")).await;
         sleep(Duration::from_millis(250)).await;
         drop(response);
@@ -125,7 +125,7 @@
 #[test]
 fn late_in_a_shutdown_only_short_requests_are_accepted() {
     run_test(|world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        start_one_server(&world, Act::Answer(200, "made".into())).await;
         let entry = world.entry.clone();
         tokio::task::spawn_local(async move { entry.drain().await });
         let stream = world.send(request("/stream/", "keeps the entry running")).await;
@@ -145,7 +145,7 @@
 #[test]
 fn without_late_calls_a_shutdown_accepts_nothing_late() {
     run_test_with("[policy]\nlate_calls=false\n", |world| async move {
-        with_one_server(&world, Act::Answer(200, "made".into())).await;
+        start_one_server(&world, Act::Answer(200, "made".into())).await;
         let entry = world.entry.clone();
         tokio::task::spawn_local(async move { entry.drain().await });
         let stream = world.send(request("/stream/", "keeps the entry running")).await;
@@ -165,18 +165,18 @@
             confidence: None,
             cut_in: None,
         };
-        with_one_server(&world, slow).await;
+        start_one_server(&world, slow).await;
         let entry = world.entry.clone();
-        let response = world.send(request("/stream/", "r1")).await;
+        let streamed = world.send(request("/stream/", "r1")).await;
         let stopping = tokio::task::spawn_local(async move { entry.drain().await });
         sleep(Duration::from_millis(100)).await;
         assert!(!world.entry.is_ready());
         world.backends.script(address(1), [Act::Answer(200, "late".into())]);
-        let answer = world.call(request("/once/", "r2")).await;
-        assert_eq!(answer.body, "late");
-        assert_eq!(answer.headers["connection"], "close");
+        let response = world.call(request("/once/", "r2")).await;
+        assert_eq!(response.body, "late");
+        assert_eq!(response.headers["connection"], "close");
         sleep(Duration::from_millis(2_950)).await;
-        let body = http_body_util::BodyExt::collect(response.into_body());
+        let body = http_body_util::BodyExt::collect(streamed.into_body());
         let body = body.await.expect("a complete stream").to_bytes();
         assert_eq!(body, events(1..=40));
         stopping.await.expect("it ends");
--- a/crates/direct/tests/server_backoff.rs
+++ b/crates/direct/tests/server_backoff.rs
@@ -12,7 +12,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use common::{Answer, World, address, catalog, request, run_test, stream, with, with_body};
+use common::{TestResponse, World, address, catalog, request, run_test, stream, with, with_body};
 use pondwalk_direct::port::RollOutOrder;
 use pondwalk_standin::backends::Act;
 use tokio::{
@@ -53,7 +53,7 @@
     path: &str,
     gap: Duration,
     time: Duration,
-) -> Vec<JoinHandle<Answer>> {
+) -> Vec<JoinHandle<TestResponse>> {
     let end = Instant::now() + time;
     let mut pending = Vec::new();
     while Instant::now() < end {
@@ -65,12 +65,12 @@
     pending
 }
 
-async fn answers(pending: Vec<JoinHandle<Answer>>) -> Vec<Answer> {
-    let mut answers = Vec::new();
-    for answer in pending {
-        answers.push(answer.await.expect("a response"));
+async fn responses(pending: Vec<JoinHandle<TestResponse>>) -> Vec<TestResponse> {
+    let mut responses = Vec::new();
+    for response in pending {
+        responses.push(response.await.expect("a response"));
     }
-    answers
+    responses
 }
 
 fn seen(world: &World, n: u16) -> usize {
@@ -95,9 +95,9 @@
         let reached = seen(&world, n) - before[usize::from(n) - 1];
         assert!(reached <= MAX_REQUESTS, "{reached} requests on {path} in {seconds} s");
     }
-    for answer in answers(first).await.into_iter().chain(answers(pending).await) {
-        assert_eq!(answer.status.as_u16(), 503);
-        assert!(answer.body.contains("\"ran\":false"), "{}", answer.body);
+    for response in responses(first).await.into_iter().chain(responses(pending).await) {
+        assert_eq!(response.status.as_u16(), 503);
+        assert!(response.body.contains("\"ran\":false"), "{}", response.body);
     }
 }
 
@@ -124,10 +124,10 @@
         for caller in 0..30 {
             let world = Rc::clone(&world);
             callers.push(spawn_local(async move {
-                let mut tries = 0;
+                let mut attempts = 0;
                 while Instant::now() < end {
-                    tries += 1;
-                    world.call(request("/again/x", &format!("c{caller}-{tries}"))).await;
+                    attempts += 1;
+                    world.call(request("/again/x", &format!("c{caller}-{attempts}"))).await;
                     sleep(Duration::from_millis(50)).await;
                 }
             }));
@@ -153,7 +153,7 @@
     let pending = send_for(&world, "/again/x", Duration::from_millis(40), Duration::from_secs(5));
     let pending = pending.await;
     assert!(seen(&world, 1) <= 1 + MAX_REQUESTS, "{}", seen(&world, 1));
-    assert!(answers(pending).await.iter().all(|answer| answer.status.as_u16() == 503));
+    assert!(responses(pending).await.iter().all(|response| response.status.as_u16() == 503));
 }
 
 #[test]
@@ -198,7 +198,7 @@
             send_for(&world, "/again/x", Duration::from_millis(40), Duration::from_secs(3));
         let pending = pending.await;
         assert!(seen(&world, 1) <= 2 + MAX_REQUESTS, "{}", seen(&world, 1));
-        assert!(answers(pending).await.iter().all(|answer| answer.status.as_u16() == 503));
+        assert!(responses(pending).await.iter().all(|response| response.status.as_u16() == 503));
     });
 }
 
@@ -257,8 +257,8 @@
             sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(seen(&world, 1), 1);
-        let answers = answers(pending).await;
-        let served = answers.iter().filter(|answer| answer.status.as_u16() == 200).count();
+        let responses = responses(pending).await;
+        let served = responses.iter().filter(|response| response.status.as_u16() == 200).count();
         assert_eq!(served, 40, "all within a part of their objective");
     });
 }
@@ -270,11 +270,11 @@
         world.configure(catalog(1));
         world.start_server(1, "m", "v1", stream(2, Some(100)));
         world.start().await;
-        let asks = |id: &str| {
+        let session_request = |id: &str| {
             let sent = request("/models/x", id);
             with(sent, "pondwalk-prompt-parts", "a1:100,b2:50")
         };
-        assert_eq!(world.call(asks("r1")).await.status.as_u16(), 200);
+        assert_eq!(world.call(session_request("r1")).await.status.as_u16(), 200);
         world.start_server(2, "m", "v2", stream(2, Some(100)));
         let order = RollOutOrder {
             service: "m".into(),
@@ -285,8 +285,12 @@
         sleep(Duration::from_millis(900)).await;
         reject_with_backoff(&world, 1, "3");
         for n in 0..5 {
-            let answer = world.call(asks(&format!("s{n}"))).await;
-            assert_eq!(answer.status.as_u16(), 503, "the session does not move to the new version");
+            let response = world.call(session_request(&format!("s{n}"))).await;
+            assert_eq!(
+                response.status.as_u16(),
+                503,
+                "the session does not move to the new version"
+            );
             sleep(Duration::from_millis(200)).await;
         }
         assert_eq!(seen(&world, 2), 0);
@@ -358,7 +362,7 @@
     world.call(request(path, "first")).await;
     let before = seen(&world, 1);
     let pending = send_for(&world, path, Duration::from_millis(40), Duration::from_secs(5)).await;
-    answers(pending).await;
+    responses(pending).await;
     seen(&world, 1) - before
 }
 
--- a/crates/direct/tests/server_rate_limits.rs
+++ b/crates/direct/tests/server_rate_limits.rs
@@ -8,8 +8,8 @@
 use common::{
     World, address,
     limits::{
-        Load, allowed, answers, check, count_from, load_at, load_evenly, max_in_window,
-        report_limit, start,
+        Load, allowed, check_limit, count_from, load_at, load_evenly, max_in_window, report_limit,
+        responses, start,
     },
     net::Net,
     request, run_test, stream,
@@ -32,7 +32,7 @@
 }
 
 /// Four servers and four entries; the first server reports a limit.
-async fn one_limits(
+async fn start_one_limited(
     world: World,
     (service, usual): (&str, Act),
     limit: &str,
@@ -46,14 +46,14 @@
 /// One of four servers reports a limit of 1.7 requests a second under a load of one kind.
 fn check_limit_is_kept(path: &'static str, service: &'static str, usual: Act) {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, (service, usual), "1.7").await;
-        let named = Instant::now();
+        let (world, _net, entries) = start_one_limited(world, (service, usual), "1.7").await;
+        let reported_at = Instant::now();
         let pending = load_evenly(&world, &entries, load(path, 15)).await;
-        let answers = answers(pending).await;
-        check(&world, 1, 1.7, named);
-        assert!(count_from(&world, 1, named + Duration::from_secs(2)) >= 10, "it is used");
-        let served = answers.iter().filter(|answer| answer.status.is_success()).count();
-        assert_eq!(served, answers.len(), "the other three serve all that it does not take");
+        let responses = responses(pending).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        assert!(count_from(&world, 1, reported_at + Duration::from_secs(2)) >= 10, "it is used");
+        let served = responses.iter().filter(|response| response.status.is_success()).count();
+        assert_eq!(served, responses.len(), "the other three serve all that it does not take");
     });
 }
 
@@ -81,7 +81,7 @@
 #[test]
 fn resumed_streams_keep_the_limit() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", stream(3, None)), "0.5").await;
+        let (world, _net, entries) = start_one_limited(world, ("s", stream(3, None)), "0.5").await;
         let cut = Act::Stream {
             last: 9,
             gap: Duration::from_millis(10),
@@ -89,20 +89,20 @@
             cut_in: Some(2),
         };
         (2..=4).for_each(|n| world.backends.does(address(n), cut.clone()));
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load("/stream/x", 10)).await).await;
-        check(&world, 1, 0.5, named);
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load("/stream/x", 10)).await).await;
+        check_limit(&world, 1, 0.5, reported_at);
     });
 }
 
 #[test]
 fn retries_after_failures_keep_the_limit() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.4").await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "1.4").await;
         (2..=4).for_each(|n| world.backends.does(address(n), Act::Answer(500, "failed".into())));
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
-        check(&world, 1, 1.4, named);
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+        check_limit(&world, 1, 1.4, reported_at);
     });
 }
 
@@ -110,18 +110,19 @@
 fn limit_below_one_per_second_is_kept() {
     for limit in ["0.4", "0.05", "0"] {
         run_test(move |world| async move {
-            let (world, _net, entries) = one_limits(world, ("s", ok_response()), limit).await;
-            let named = Instant::now();
-            answers(load_evenly(&world, &entries, load("/again/x", 40)).await).await;
-            check(&world, 1, limit.parse().expect("a number"), named);
-            let from = named + Duration::from_secs(2);
+            let (world, _net, entries) =
+                start_one_limited(world, ("s", ok_response()), limit).await;
+            let reported_at = Instant::now();
+            responses(load_evenly(&world, &entries, load("/again/x", 40)).await).await;
+            check_limit(&world, 1, limit.parse().expect("a number"), reported_at);
+            let from = reported_at + Duration::from_secs(2);
             let count = count_from(&world, 1, from);
             assert!(
                 count >= 1,
                 "it gets a request now and then that shows whether the limit still applies"
             );
-            let most = limit.parse::<f64>().expect("a number").max(0.05) * 40.0 + 2.0;
-            assert!(count <= most as usize, "{count} in 40 s");
+            let max_count = limit.parse::<f64>().expect("a number").max(0.05) * 40.0 + 2.0;
+            assert!(count <= max_count as usize, "{count} in 40 s");
         });
     }
 }
@@ -133,13 +134,13 @@
         let entries = start(&world, &net, (4, "s", ok_response()), ENTRIES).await;
         (1..=4).for_each(|n| report_limit(&world, n, "1.5"));
         let world = Rc::new(world);
-        let named = Instant::now();
+        let reported_at = Instant::now();
         let pending = load_evenly(&world, &entries, load("/again/x", 20)).await;
-        let answers = answers(pending).await;
-        (1..=4).for_each(|n| check(&world, n, 1.5, named));
-        let served = answers.iter().filter(|answer| answer.status.is_success()).count();
+        let responses = responses(pending).await;
+        (1..=4).for_each(|n| check_limit(&world, n, 1.5, reported_at));
+        let served = responses.iter().filter(|response| response.status.is_success()).count();
         assert!((100..=140).contains(&served), "{served} of 120 that the servers take in 20 s");
-        for refused in answers.iter().filter(|answer| !answer.status.is_success()) {
+        for refused in responses.iter().filter(|response| !response.status.is_success()) {
             assert_eq!(refused.status.as_u16(), 503);
             assert!(refused.body.contains("\"ran\":false"), "{}", refused.body);
             assert!(refused.headers.contains_key("retry-after"));
@@ -160,11 +161,11 @@
             let entries = start(&world, &net, (1, "s", ok_response()), ENTRIES).await;
             report_limit(&world, 1, "1.7");
             let world = Rc::new(world);
-            let named = Instant::now();
+            let reported_at = Instant::now();
             let pending = load_at(&world, &entries, load("/again/x", 30), at).await;
-            answers(pending).await;
-            check(&world, 1, 1.7, named);
-            let count = count_from(&world, 1, named + Duration::from_secs(2));
+            responses(pending).await;
+            check_limit(&world, 1, 1.7, reported_at);
+            let count = count_from(&world, 1, reported_at + Duration::from_secs(2));
             assert!(count >= 38, "{count} of the 48 that it takes in 28 s");
         });
     }
@@ -173,16 +174,16 @@
 #[test]
 fn lowered_limit_is_kept_and_lifted_limit_is_dropped() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "6").await;
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "6").await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         report_limit(&world, 1, "1.2");
         let lowered = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 12)).await).await;
-        check(&world, 1, 1.2, lowered);
+        responses(load_evenly(&world, &entries, load("/again/x", 12)).await).await;
+        check_limit(&world, 1, 1.2, lowered);
         world.backends.tell_no_more(address(1), "server-limit");
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         let lifted = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
         let count = count_from(&world, 1, lifted);
         assert!((60..=140).contains(&count), "{count}, where a quarter of 400 is usual");
     });
@@ -192,17 +193,18 @@
 fn invalid_limit_value_changes_nothing() {
     for value in ["-1", "inf", "NaN", "1e3", "soon", "", "1,5", "1.2.3"] {
         run_test(move |world| async move {
-            let (world, _net, entries) = one_limits(world, ("s", ok_response()), value).await;
+            let (world, _net, entries) =
+                start_one_limited(world, ("s", ok_response()), value).await;
             let from = Instant::now();
-            answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+            responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
             let count = count_from(&world, 1, from);
             assert!((60..=140).contains(&count), "{count} of 400 for {value}");
             report_limit(&world, 1, "1.1");
-            answers(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
+            responses(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
             report_limit(&world, 1, value);
-            let named = Instant::now();
-            answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
-            check(&world, 1, 1.1, named);
+            let reported_at = Instant::now();
+            responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+            check_limit(&world, 1, 1.1, reported_at);
         });
     }
 }
@@ -211,10 +213,12 @@
 fn limit_above_the_load_changes_nothing() {
     for value in ["1000000", "99999999999999999999999"] {
         run_test(move |world| async move {
-            let (world, _net, entries) = one_limits(world, ("s", ok_response()), value).await;
+            let (world, _net, entries) =
+                start_one_limited(world, ("s", ok_response()), value).await;
             let from = Instant::now();
-            let answers = answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
-            assert!(answers.iter().all(|answer| answer.status.is_success()));
+            let responses =
+                responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+            assert!(responses.iter().all(|response| response.status.is_success()));
             let count = count_from(&world, 1, from);
             assert!((60..=140).contains(&count), "{count} of 400 for {value}");
         });
@@ -224,27 +228,27 @@
 #[test]
 fn limit_is_kept_during_store_outage() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.7").await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "1.7").await;
         world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
         sleep(Duration::from_millis(500)).await;
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load("/open/x", 15)).await).await;
-        check(&world, 1, 1.7, named);
-        assert!(count_from(&world, 1, named + Duration::from_secs(2)) >= 10, "it is used");
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load("/open/x", 15)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        assert!(count_from(&world, 1, reported_at + Duration::from_secs(2)) >= 10, "it is used");
     });
 }
 
 #[test]
 fn limit_belongs_to_one_incarnation() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "0").await;
-        answers(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "0").await;
+        responses(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
         world.store.remove("server/s1");
         world.backends.start(address(1), "s1b", ok_response());
         world.store.put("server/s1b", &format!("s {} dc1 v1 ready", address(1)));
         sleep(Duration::from_secs(1)).await;
         let from = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         assert!(count_from(&world, 1, from) >= 20, "the next server is used without a limit");
     });
 }
@@ -257,9 +261,9 @@
         (1..=2).for_each(|n| report_limit(&world, n, "2"));
         let world = Rc::new(world);
         let pending = load_evenly(&world, &entries, load("/models/x", 20)).await;
-        for answer in answers(pending).await {
-            let status = answer.status.as_u16();
-            assert!(status == 200 || status == 503, "{status} {}", answer.body);
+        for response in responses(pending).await {
+            let status = response.status.as_u16();
+            assert!(status == 200 || status == 503, "{status} {}", response.body);
         }
     });
 }
@@ -273,9 +277,9 @@
         (1..=2).for_each(|n| report_limit(&world, n, "2"));
         let world = Rc::new(world);
         let pending = load_evenly(&world, &entries, load("/again/x", 20)).await;
-        for answer in answers(pending).await {
-            let status = answer.status.as_u16();
-            assert!(status == 500 || status == 503, "{status} {}", answer.body);
+        for response in responses(pending).await {
+            let status = response.status.as_u16();
+            assert!(status == 500 || status == 503, "{status} {}", response.body);
         }
         assert!(max_in_window(&world, 1, Instant::now() - Duration::from_secs(18)) <= allowed(2.0));
     });
@@ -288,20 +292,20 @@
         let entries = start(&world, &net, (2, "s", ok_response()), ENTRIES).await;
         (1..=2).for_each(|n| report_limit(&world, n, "1"));
         let world = Rc::new(world);
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         let start = Instant::now();
         let callers = (0..20).map(|n| {
             let (world, entry) = (Rc::clone(&world), entries[0].clone());
             spawn_local(async move {
-                let answer = world.call_at(&entry, request("/again/x", &format!("c{n}"))).await;
-                (answer, start.elapsed())
+                let response = world.call_at(&entry, request("/again/x", &format!("c{n}"))).await;
+                (response, start.elapsed())
             })
         });
         let mut at_once = 0;
         for caller in callers.collect::<Vec<_>>() {
-            let (answer, took) = caller.await.expect("a response");
-            let is_refused = answer.status.as_u16() == 503;
-            at_once += usize::from(is_refused && took <= Duration::from_millis(50));
+            let (response, elapsed) = caller.await.expect("a response");
+            let is_refused = response.status.as_u16() == 503;
+            at_once += usize::from(is_refused && elapsed <= Duration::from_millis(50));
         }
         assert!(at_once >= 16, "{at_once} of 20, where two servers take one a second each");
     });
@@ -313,13 +317,13 @@
         [Act::Unsigned, Act::AnswerAnother, Act::NotRun(503), Act::Answer(500, "failed".into())]
     {
         run_test(move |world| async move {
-            let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1").await;
-            answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
-            let named = Instant::now();
+            let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "1").await;
+            responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+            let reported_at = Instant::now();
             world.backends.tell_no_more(address(1), "server-limit");
             world.backends.does(address(1), act.clone());
-            answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
-            check(&world, 1, 1.0, named);
+            responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+            check_limit(&world, 1, 1.0, reported_at);
         });
     }
 }
@@ -327,17 +331,17 @@
 #[test]
 fn restarted_server_has_no_limit() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "0").await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "0").await;
         let list = |started_ms: u32| {
             world.store.put("server/s1", &format!("s {} dc1 v1 ready 0 {started_ms}", address(1)));
         };
         list(1);
-        answers(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
         world.backends.start(address(1), "s1", ok_response());
         list(2);
         sleep(Duration::from_secs(1)).await;
         let from = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         assert!(count_from(&world, 1, from) >= 20, "{}", count_from(&world, 1, from));
     });
 }
@@ -345,28 +349,28 @@
 #[test]
 fn limited_server_is_used_again_after_its_listing_lapsed() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.7").await;
-        answers(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "1.7").await;
+        responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
         world.store.remove("server/s1");
         sleep(Duration::from_secs(3)).await;
-        answers(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
+        responses(load_evenly(&world, &entries, load("/again/x", 3)).await).await;
         world.list_server(1, "s", "v1", "ready");
         sleep(Duration::from_secs(1)).await;
-        let back = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 15)).await).await;
-        check(&world, 1, 1.7, back);
-        assert!(count_from(&world, 1, back) >= 12, "{}", count_from(&world, 1, back));
+        let restored_at = Instant::now();
+        responses(load_evenly(&world, &entries, load("/again/x", 15)).await).await;
+        check_limit(&world, 1, 1.7, restored_at);
+        assert!(count_from(&world, 1, restored_at) >= 12, "{}", count_from(&world, 1, restored_at));
     });
 }
 
 #[test]
 fn retries_after_silence_keep_the_limit() {
     run_test(|world| async move {
-        let (world, _net, entries) = one_limits(world, ("s", ok_response()), "1.4").await;
+        let (world, _net, entries) = start_one_limited(world, ("s", ok_response()), "1.4").await;
         (2..=4).for_each(|n| world.backends.does(address(n), Act::Silent));
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
-        check(&world, 1, 1.4, named);
-        assert!(count_from(&world, 1, named) >= 10, "it is used");
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
+        check_limit(&world, 1, 1.4, reported_at);
+        assert!(count_from(&world, 1, reported_at) >= 10, "it is used");
     });
 }
--- a/crates/direct/tests/server_rate_limits_many_entries.rs
+++ b/crates/direct/tests/server_rate_limits_many_entries.rs
@@ -6,7 +6,7 @@
 
 use common::{
     World,
-    limits::{Load, answers, check, count_from, load_at, load_evenly, report_limit, start},
+    limits::{Load, check_limit, count_from, load_at, load_evenly, report_limit, responses, start},
     net::{Impostor, Net, peer_address},
     run_test, stream, total,
 };
@@ -27,7 +27,7 @@
 }
 
 /// Four servers and `entries` entries; the first server reports a limit of 1.7 requests a second.
-async fn one_limits(world: World, entries: u16) -> (Rc<World>, Net, Vec<Entry>) {
+async fn start_one_limited(world: World, entries: u16) -> (Rc<World>, Net, Vec<Entry>) {
     let net = Net::default();
     let entries = start(&world, &net, (4, "s", ok_response()), entries).await;
     report_limit(&world, 1, "1.7");
@@ -36,11 +36,11 @@
 
 fn check_limit_is_kept(entries: u16) {
     run_test(move |world| async move {
-        let (world, _net, entries) = one_limits(world, entries).await;
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load(15)).await).await;
-        check(&world, 1, 1.7, named);
-        let count = count_from(&world, 1, named + Duration::from_secs(2));
+        let (world, _net, entries) = start_one_limited(world, entries).await;
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load(15)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        let count = count_from(&world, 1, reported_at + Duration::from_secs(2));
         assert!(count >= 12, "{count} of the 22 that it takes in 13 s");
     });
 }
@@ -62,10 +62,10 @@
         let entries = start(&world, &net, (1, "s", ok_response()), 357).await;
         report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load(20)).await).await;
-        check(&world, 1, 1.7, named);
-        let count = count_from(&world, 1, named + Duration::from_secs(2));
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load(20)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        let count = count_from(&world, 1, reported_at + Duration::from_secs(2));
         assert!(count >= 24, "{count} of the 30 that it takes in 18 s");
     });
 }
@@ -77,10 +77,10 @@
         let entries = start(&world, &net, (1, "s", ok_response()), 24).await;
         report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
-        let named = Instant::now();
-        answers(load_at(&world, &entries, load(30), |_| 17).await).await;
-        check(&world, 1, 1.7, named);
-        let count = count_from(&world, 1, named + Duration::from_secs(2));
+        let reported_at = Instant::now();
+        responses(load_at(&world, &entries, load(30), |_| 17).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        let count = count_from(&world, 1, reported_at + Duration::from_secs(2));
         assert!(count >= 38, "{count} of the 48 that it takes in 28 s");
     });
 }
@@ -89,13 +89,16 @@
 fn limit_is_kept_by_both_partitions() {
     for seconds_before in [0, 5] {
         run_test(move |world| async move {
-            let (world, net, entries) = one_limits(world, 8).await;
-            let named = Instant::now();
-            answers(load_evenly(&world, &entries, load(seconds_before)).await).await;
+            let (world, net, entries) = start_one_limited(world, 8).await;
+            let reported_at = Instant::now();
+            responses(load_evenly(&world, &entries, load(seconds_before)).await).await;
             net.split(4);
-            answers(load_evenly(&world, &entries, load(20)).await).await;
-            check(&world, 1, 1.7, named);
-            assert!(count_from(&world, 1, named + Duration::from_secs(2)) >= 15, "it is used");
+            responses(load_evenly(&world, &entries, load(20)).await).await;
+            check_limit(&world, 1, 1.7, reported_at);
+            assert!(
+                count_from(&world, 1, reported_at + Duration::from_secs(2)) >= 15,
+                "it is used"
+            );
         });
     }
 }
@@ -103,18 +106,18 @@
 #[test]
 fn limit_is_kept_while_entries_stop_in_turn() {
     run_test(|world| async move {
-        let (world, net, entries) = one_limits(world, 8).await;
-        let named = Instant::now();
+        let (world, net, entries) = start_one_limited(world, 8).await;
+        let reported_at = Instant::now();
         for ended in 0..6u16 {
             let alive = &entries[usize::from(ended)..];
-            answers(load_evenly(&world, alive, load(3)).await).await;
-            net.end(ended);
+            responses(load_evenly(&world, alive, load(3)).await).await;
+            net.stop(ended);
         }
-        check(&world, 1, 1.7, named);
-        let left = Instant::now();
-        answers(load_evenly(&world, &entries[6..], load(20)).await).await;
-        check(&world, 1, 1.7, named);
-        let count = count_from(&world, 1, left);
+        check_limit(&world, 1, 1.7, reported_at);
+        let stopped_at = Instant::now();
+        responses(load_evenly(&world, &entries[6..], load(20)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        let count = count_from(&world, 1, stopped_at);
         assert!(count >= 8, "{count} by the two remaining entries");
     });
 }
@@ -122,43 +125,43 @@
 #[test]
 fn limit_is_kept_by_later_entries() {
     run_test(|world| async move {
-        let (world, net, mut entries) = one_limits(world, 4).await;
-        let named = Instant::now();
+        let (world, net, mut entries) = start_one_limited(world, 4).await;
+        let reported_at = Instant::now();
         for n in 4..10 {
-            answers(load_evenly(&world, &entries, load(2)).await).await;
+            responses(load_evenly(&world, &entries, load(2)).await).await;
             entries.push(net.start_later(&world, n));
         }
-        answers(load_evenly(&world, &entries, load(8)).await).await;
-        check(&world, 1, 1.7, named);
+        responses(load_evenly(&world, &entries, load(8)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
     });
 }
 
 #[test]
 fn limit_is_kept_after_a_restart_of_all_entries() {
     run_test(|world| async move {
-        let (world, net, entries) = one_limits(world, 5).await;
-        answers(load_evenly(&world, &entries, load(5)).await).await;
-        (0..5).for_each(|n| net.end(n));
+        let (world, net, entries) = start_one_limited(world, 5).await;
+        responses(load_evenly(&world, &entries, load(5)).await).await;
+        (0..5).for_each(|n| net.stop(n));
         drop(entries);
         sleep(Duration::from_millis(500)).await;
         net.cut.borrow_mut().clear();
         let entries = net.start_many(&world, 5, "");
         sleep(Duration::from_secs(1)).await;
         let started = Instant::now();
-        answers(load_evenly(&world, &entries, load(15)).await).await;
-        check(&world, 1, 1.7, started);
+        responses(load_evenly(&world, &entries, load(15)).await).await;
+        check_limit(&world, 1, 1.7, started);
     });
 }
 
 #[test]
 fn limit_is_kept_when_all_connections_go_silent() {
     run_test(|world| async move {
-        let (world, net, entries) = one_limits(world, 6).await;
-        let named = Instant::now();
-        answers(load_evenly(&world, &entries, load(4)).await).await;
+        let (world, net, entries) = start_one_limited(world, 6).await;
+        let reported_at = Instant::now();
+        responses(load_evenly(&world, &entries, load(4)).await).await;
         net.silence_open_connections();
-        answers(load_evenly(&world, &entries, load(10)).await).await;
-        check(&world, 1, 1.7, named);
+        responses(load_evenly(&world, &entries, load(10)).await).await;
+        check_limit(&world, 1, 1.7, reported_at);
     });
 }
 
@@ -169,11 +172,11 @@
         let entries = start(&world, &net, (40, "m", stream(2, Some(100))), 24).await;
         (1..=40).for_each(|n| report_limit(&world, n, "0.8"));
         let world = Rc::new(world);
-        let named = Instant::now();
+        let reported_at = Instant::now();
         let load = Load { path: "/models/x", ..load(20) };
-        let answers = answers(load_evenly(&world, &entries, load).await).await;
-        (1..=40).for_each(|n| check(&world, n, 0.8, named));
-        let served = answers.iter().filter(|answer| answer.status.is_success()).count();
+        let responses = responses(load_evenly(&world, &entries, load).await).await;
+        (1..=40).for_each(|n| check_limit(&world, n, 0.8, reported_at));
+        let served = responses.iter().filter(|response| response.status.is_success()).count();
         assert!(served >= 512, "{served} of the 640 that they take in 20 s");
     });
 }
@@ -187,24 +190,24 @@
         granter_order(u128::from(server_hash("s1")), &mut names);
         let granter =
             entries.iter().position(|entry| entry.name() == names[0]).expect("it is used");
-        let stands_still: Impostor = Rc::new(|io| {
+        let unresponsive: Impostor = Rc::new(|io| {
             spawn_local(async move {
                 sleep(Duration::from_secs(3_600)).await;
                 drop(io);
             });
         });
         let address = peer_address(u16::try_from(granter).expect("a few"));
-        net.impostors.borrow_mut().insert(address, stands_still);
+        net.impostors.borrow_mut().insert(address, unresponsive);
         report_limit(&world, 1, "1.7");
         let world = Rc::new(world);
-        let named = Instant::now();
+        let reported_at = Instant::now();
         let others = load_at(&world, &entries, load(30), |number| {
             let place = number % 5;
             if place >= granter { place + 1 } else { place }
         });
-        answers(others.await).await;
-        check(&world, 1, 1.7, named);
-        let count = count_from(&world, 1, named + Duration::from_secs(2));
+        responses(others.await).await;
+        check_limit(&world, 1, 1.7, reported_at);
+        let count = count_from(&world, 1, reported_at + Duration::from_secs(2));
         assert!(count >= 10, "{count} of the 14 that a stand-in grants in 28 s");
     });
 }
@@ -216,14 +219,14 @@
         let entries = start(&world, &net, (300, "s", ok_response()), 4).await;
         (1..=300).for_each(|n| report_limit(&world, n, "0"));
         let world = Rc::new(world);
-        answers(load_evenly(&world, &entries, load(10)).await).await;
+        responses(load_evenly(&world, &entries, load(10)).await).await;
         let permit_requests = || {
             let names = ["pondwalk_permits_given_total", "pondwalk_permits_refused_total"];
             names.iter().map(|name| total(&entries, name)).sum::<u64>()
         };
         let before = permit_requests();
         let slow_load = Load { gap: Duration::from_millis(400), ..load(20) };
-        let requests = answers(load_evenly(&world, &entries, slow_load).await).await.len();
+        let requests = responses(load_evenly(&world, &entries, slow_load).await).await.len();
         let per_request = (permit_requests() - before) as f64 / requests as f64;
         assert!(per_request <= 24.0, "{per_request} permit requests per request");
     });
--- a/crates/direct/tests/slow_callers.rs
+++ b/crates/direct/tests/slow_callers.rs
@@ -21,13 +21,14 @@
 
 /// Sends a request over a connection with a small buffer, and reads only the response head.
 async fn open(world: &World, path: &str, id: &str, connection_bytes: usize) -> Response<Incoming> {
-    let (near, far) = duplex(connection_bytes);
+    let (client_end, server_end) = duplex(connection_bytes);
     let entry = world.entry.clone();
-    spawn_local(async move { entry.serve(far).await });
-    let handshake = http1::Builder::new().max_buf_size(8 * 1024).handshake(TokioIo::new(near));
+    spawn_local(async move { entry.serve(server_end).await });
+    let handshake =
+        http1::Builder::new().max_buf_size(8 * 1024).handshake(TokioIo::new(client_end));
     let (mut sender, connection) = handshake.await.expect("open");
     spawn_local(async move { connection.await.unwrap_or_default() });
-    let answer: Response<Incoming> = sender
+    let response: Response<Incoming> = sender
         .send_request(request(path, id) as hyper::Request<Full<Bytes>>)
         .await
         .expect("a response");
@@ -36,7 +37,7 @@
         let _sender = sender;
         sleep(Duration::from_secs(3_600)).await;
     });
-    answer
+    response
 }
 
 fn endless() -> Act {
@@ -49,7 +50,7 @@
         world.configure(catalog(1));
         world.start_server(1, "s", "v1", stream(600, None));
         world.start().await;
-        let answer = open(&world, "/fixed/", "r1", 512).await;
+        let response = open(&world, "/fixed/", "r1", 512).await;
         sleep(Duration::from_secs(60)).await;
         let whole: usize = common::events(1..=600).len();
         assert_eq!(
@@ -57,7 +58,7 @@
             whole,
             "the server still holds some of it"
         );
-        let read = answer.into_body().collect().await.expect("a complete response");
+        let read = response.into_body().collect().await.expect("a complete response");
         assert_eq!(read.to_bytes().len(), whole);
     });
 }
@@ -69,9 +70,9 @@
         world.start_server(1, "s", "v1", endless());
         world.start().await;
         let callers = 50;
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for n in 0..callers {
-            answers.push(open(&world, "/fixed/", &format!("slow{n}"), 512).await);
+            responses.push(open(&world, "/fixed/", &format!("slow{n}"), 512).await);
         }
         sleep(Duration::from_secs(6)).await;
         let buffered = world.backends.taken_bytes(address(1)) / callers;
@@ -82,6 +83,6 @@
         );
         world.backends.does(address(1), Act::Answer(200, "made".into()));
         assert_eq!(world.call(request("/again/", "quick")).await.status, 200);
-        drop(answers);
+        drop(responses);
     });
 }
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -24,9 +24,9 @@
 /// Time in which a change must be in force unless a test states otherwise.
 const PROPAGATION: Duration = Duration::from_secs(2);
 /// Bandwidth of a link of 10 Mbit/s, in bytes a second.
-const NARROW: u64 = 1_250_000;
+const NARROW_BYTES_PER_S: u64 = 1_250_000;
 /// Encoded size of a configuration near the largest value that the store takes, in bytes.
-const LARGE: usize = 1_300_000;
+const LARGE_BYTES: usize = 1_300_000;
 /// Interval at which the tests check the state.
 const STEP: Duration = Duration::from_millis(20);
 
@@ -59,7 +59,7 @@
 }
 
 /// Time until all entries have a configuration in force, up to 30 s.
-async fn until_in_force(entries: &[Entry], version: u64) -> Duration {
+async fn time_until_in_force(entries: &[Entry], version: u64) -> Duration {
     let from = Instant::now();
     while !entries.iter().all(|entry| holds(entry, version)) && from.elapsed().as_secs() < 30 {
         sleep(STEP).await;
@@ -72,14 +72,14 @@
     run_test(|world| async move {
         let entries = start(&world, 40).await;
         for entry in &entries {
-            world.set_store_fault(entry, Weather::Narrow(NARROW));
+            world.set_store_fault(entry, Weather::Narrow(NARROW_BYTES_PER_S));
         }
         // At different points of the interval between two requests.
         for (round, pause_ms) in [1_000, 1_130, 1_270, 1_390].into_iter().enumerate() {
             sleep(Duration::from_millis(pause_ms)).await;
             let version = round as u64 + 2;
-            world.configure_large(catalog_with_keys(version, &["k1"]), LARGE);
-            let time = until_in_force(&entries, version).await;
+            world.configure_large(catalog_with_keys(version, &["k1"]), LARGE_BYTES);
+            let time = time_until_in_force(&entries, version).await;
             assert!(time <= PROPAGATION, "configuration {version} took {time:?}");
         }
     });
@@ -99,7 +99,7 @@
         };
         let entries: Vec<(Entry, u64)> = (0..32).map(start).collect();
         for (entry, link_mbps) in &entries {
-            world.set_store_fault(entry, Weather::Narrow(link_mbps * NARROW / 10));
+            world.set_store_fault(entry, Weather::Narrow(link_mbps * NARROW_BYTES_PER_S / 10));
         }
         sleep(Duration::from_secs(6)).await;
         let (wide, narrow): (Vec<_>, Vec<_>) =
@@ -109,28 +109,28 @@
         let roots: Vec<usize> = (0..32).filter(|n| asks_store(&entries[*n])).collect();
         assert_eq!(roots.len(), 3);
         assert!(roots.iter().all(|root| *root < 5), "{roots:?} have wide links, which are 0 to 4");
-        world.configure_large(catalog_with_keys(2, &["k1"]), LARGE);
-        let time = until_in_force(&entries, 2).await;
-        let read = Duration::from_secs_f64(LARGE as f64 / (20.0 * NARROW as f64));
+        world.configure_large(catalog_with_keys(2, &["k1"]), LARGE_BYTES);
+        let time = time_until_in_force(&entries, 2).await;
+        let read = Duration::from_secs_f64(LARGE_BYTES as f64 / (20.0 * NARROW_BYTES_PER_S as f64));
         assert!(time <= world.entry_times().normal_confirmation_age() + read, "{time:?}");
     });
 }
 
 #[test]
 fn change_is_in_force_within_response_time_and_interval() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             let entries = start(&world, 40).await;
-            let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            let response_time = Duration::from_millis(response_ms);
+            world.store.set_weather(Weather::Late(response_time));
             sleep(Duration::from_secs(10)).await;
             let times = world.entry_times();
-            let bound = answer + times.normal_confirmation_age() + STEP;
+            let bound = response_time + times.normal_confirmation_age() + STEP;
             for version in 2..8 {
                 sleep(Duration::from_millis(700 + 170 * version)).await;
                 world.configure(catalog_with_keys(version, &["k1"]));
-                let time = until_in_force(&entries, version).await;
-                assert!(time <= bound, "{time:?} with responses that take {answer:?}");
+                let time = time_until_in_force(&entries, version).await;
+                assert!(time <= bound, "{time:?} with responses that take {response_time:?}");
             }
         });
     }
@@ -138,15 +138,15 @@
 
 #[test]
 fn keys_are_honoured_while_a_slow_store_confirms_within_the_bound() {
-    for answer_ms in [10, 500, 2_000, 3_500] {
+    for response_ms in [10, 500, 2_000, 3_500] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_weather(Weather::Late(Duration::from_millis(response_ms)));
             for _ in 0..60 {
                 sleep(Duration::from_millis(500)).await;
                 for entry in &entries {
                     let status = status(&world, entry, "k1").await;
-                    assert_eq!(status, 200, "{} at {answer_ms} ms", entry.name());
+                    assert_eq!(status, 200, "{} at {response_ms} ms", entry.name());
                 }
             }
         });
@@ -155,16 +155,16 @@
 
 #[test]
 fn removed_key_is_refused_in_time_with_a_slow_store() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_weather(Weather::Late(Duration::from_millis(response_ms)));
             sleep(Duration::from_secs(7)).await;
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(Duration::from_secs(5)).await;
             for entry in &entries {
                 let status = status(&world, entry, "k2").await;
-                assert_ne!(status, 200, "{} at {answer_ms} ms", entry.name());
+                assert_ne!(status, 200, "{} at {response_ms} ms", entry.name());
             }
         });
     }
@@ -172,17 +172,17 @@
 
 #[test]
 fn starting_entry_reads_initial_state_from_a_slow_store() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             world.configure(catalog(1));
             world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
-            let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            let response_time = Duration::from_millis(response_ms);
+            world.store.set_weather(Weather::Late(response_time));
             let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
             let entry = Net::default().start_with(&world, 9, &seeds);
             // It first polls the seed for 0.9 s.
-            sleep(Duration::from_millis(1_000) + answer).await;
-            assert!(holds(&entry, 1), "at {answer_ms} ms");
+            sleep(Duration::from_millis(1_000) + response_time).await;
+            assert!(holds(&entry, 1), "at {response_ms} ms");
         });
     }
 }
@@ -223,58 +223,58 @@
 
 #[test]
 fn roll_out_completes_in_time_with_a_slow_store() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
             for n in 11..=13 {
                 world.start_server(n, "s", "v2", Act::Answer(200, "new".into()));
             }
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_weather(Weather::Late(Duration::from_millis(response_ms)));
             sleep(Duration::from_secs(7)).await;
             world.store.put("order/s", "v2 24");
             sleep(Duration::from_secs(24)).await;
             let progress = world.store.value("progress/s");
-            assert_eq!(progress.as_deref(), Some("v2 Completed"), "at {answer_ms} ms");
+            assert_eq!(progress.as_deref(), Some("v2 Completed"), "at {response_ms} ms");
             let lost = store_calls(&entries, "step_lost");
-            assert!(lost <= 12, "{lost} conflicting writes of steps at {answer_ms} ms");
+            assert!(lost <= 12, "{lost} conflicting writes of steps at {response_ms} ms");
         });
     }
 }
 
 #[test]
 fn starting_entries_are_listed_with_a_slow_store() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             world.configure(catalog(1));
             world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
-            world.store.set_weather(Weather::Late(Duration::from_millis(answer_ms)));
+            world.store.set_weather(Weather::Late(Duration::from_millis(response_ms)));
             let entries = Net::default().start_many(&world, 20, "");
             sleep(Duration::from_secs(20)).await;
             for entry in &entries {
                 let text = entry.metrics_text();
-                assert!(text.contains("entries_listed 20"), "{} at {answer_ms} ms", entry.name());
+                assert!(text.contains("entries_listed 20"), "{} at {response_ms} ms", entry.name());
             }
             let writes = store_calls(&entries, "listing");
-            assert!(writes <= 30, "{writes} writes of listings at {answer_ms} ms");
+            assert!(writes <= 30, "{writes} writes of listings at {response_ms} ms");
         });
     }
 }
 
 #[test]
 fn draining_server_is_avoided_within_response_time_and_interval() {
-    for answer_ms in [10, 500, 2_000, 4_000] {
+    for response_ms in [10, 500, 2_000, 4_000] {
         run_test(|world| async move {
             let entries = start(&world, 20).await;
-            let answer = Duration::from_millis(answer_ms);
-            world.store.set_weather(Weather::Late(answer));
+            let response_time = Duration::from_millis(response_ms);
+            world.store.set_weather(Weather::Late(response_time));
             sleep(Duration::from_secs(7)).await;
             world.list_server(1, "s", "v1", "draining");
-            sleep(answer + world.entry_times().normal_confirmation_age() + STEP).await;
+            sleep(response_time + world.entry_times().normal_confirmation_age() + STEP).await;
             let has_received = |entry: &&Entry| entry.buffered_log_lines().contains("Draining");
             assert_eq!(
                 entries.iter().filter(has_received).count(),
                 entries.len(),
-                "at {answer_ms} ms"
+                "at {response_ms} ms"
             );
         });
     }
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -35,17 +35,17 @@
 }
 
 /// Age of the oldest state; `None` if an entry has no state.
-fn oldest(entries: &[Entry]) -> Option<Duration> {
+fn max_state_age(entries: &[Entry]) -> Option<Duration> {
     let ages: Option<Vec<Duration>> = entries.iter().map(Entry::state_age).collect();
     ages?.into_iter().max()
 }
 
 /// Age of the oldest state observed during `time`.
-async fn oldest_within(entries: &[Entry], time: Duration) -> Duration {
+async fn max_state_age_within(entries: &[Entry], time: Duration) -> Duration {
     let step = Duration::from_millis(20);
     let mut seen = Duration::ZERO;
     for _ in 0..time.as_millis() / step.as_millis() {
-        seen = seen.max(oldest(entries).expect("every entry has a state"));
+        seen = seen.max(max_state_age(entries).expect("every entry has a state"));
         sleep(step).await;
     }
     seen
@@ -77,13 +77,13 @@
                 world.list_server(n, "s", "v1", state);
             }
             let pause = Duration::from_millis(rng.random_range(20..500));
-            let seen = oldest_within(&entries, pause).await;
+            let seen = max_state_age_within(&entries, pause).await;
             assert!(seen <= bound, "{seen:?} is older than {bound:?}");
         }
     });
 }
 
-const WARMING: &str =
+const WARM_UP_SETTINGS: &str =
     "[warm_up]\novershoot=1.5\ntolerance=5\nheartbeat_ms=1200\n[membership]\npropagation_ms=2000\n";
 
 /// Starts forty listed entries, and two servers that warm up.
@@ -92,7 +92,7 @@
     set_up(world, 2);
     let warm_up = WarmUp { time: Duration::from_secs(3), requests_per_s: 14.0 };
     world.configure(catalog_warming(2, Some(warm_up)));
-    let entries = net.start_many(world, 40, WARMING);
+    let entries = net.start_many(world, 40, WARM_UP_SETTINGS);
     sleep(Duration::from_secs(6)).await;
     entries
 }
@@ -145,7 +145,7 @@
         let bound = world.entry_times().normal_confirmation_age();
         for late_ms in (10..450).step_by(10) {
             world.list_server(1, "s", "v1", "ready");
-            let seen = oldest_within(&entries, Duration::from_millis(late_ms)).await;
+            let seen = max_state_age_within(&entries, Duration::from_millis(late_ms)).await;
             assert!(seen <= bound, "{seen:?} is older than {bound:?}");
         }
     });
@@ -169,9 +169,9 @@
 
 #[test]
 fn store_calls_are_bounded_by_three_roots() {
-    let (some, many, most) =
+    let (some, many, max_children) =
         (idle_store_calls(40), idle_store_calls(MANY_ENTRIES), idle_store_calls(420));
-    assert_eq!((some, many), (most, most), "40, 103 and 420 entries");
+    assert_eq!((some, many), (max_children, max_children), "40, 103 and 420 entries");
     let interval = Duration::from_millis(400);
     let expected = 3 * 60_000 / interval.as_millis() as u64;
     assert!(many <= expected + expected / 20, "{many} calls");
@@ -217,8 +217,11 @@
         sleep(Duration::from_millis(300)).await;
         assert_eq!(status(&world, &late, "k1").await, 200);
         assert_eq!(status(&world, &late_seed, "k1").await, 200);
-        let (own, of_others) = (late.state_age(), oldest(&entries));
-        assert!(own >= Some(Duration::from_millis(1_300)), "{own:?}, as old as {of_others:?}");
+        let (own_age, peer_age) = (late.state_age(), max_state_age(&entries));
+        assert!(
+            own_age >= Some(Duration::from_millis(1_300)),
+            "{own_age:?}, as old as {peer_age:?}"
+        );
         // Keys are refused everywhere once nothing has been confirmed for the key bound.
         sleep(Duration::from_secs(4)).await;
         assert_eq!(status(&world, &late, "k1").await, 503);
@@ -235,23 +238,25 @@
         let isolated = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_secs(3)).await;
         let start = tokio::time::Instant::now();
-        let answer = world.call_at(&isolated, request("/again/", "r")).await;
-        assert_eq!(answer.status.as_u16(), 503);
-        assert!(answer.body.contains("not_configured") && answer.body.contains("\"ran\":false"));
-        assert!(answer.headers.contains_key("retry-after"));
+        let response = world.call_at(&isolated, request("/again/", "r")).await;
+        assert_eq!(response.status.as_u16(), 503);
+        assert!(
+            response.body.contains("not_configured") && response.body.contains("\"ran\":false")
+        );
+        assert!(response.headers.contains_key("retry-after"));
         assert!(start.elapsed() < Duration::from_millis(50));
     });
 }
 
 #[test]
 fn invalid_response_of_seed_is_skipped_and_logged() {
-    let answers: [&'static [u8]; 4] = [
+    let responses: [&'static [u8]; 4] = [
         b"",
         b"\x00\x05rubbish",
         b"\xff\xff",
         b"\x00\x30\x02aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa",
     ];
-    for answer in answers {
+    for response in responses {
         run_test(|world| async move {
             let net = Net::default();
             set_up(&world, 3);
@@ -259,10 +264,12 @@
                 spawn_local(async move {
                     let mut question = [0; 4_096];
                     while stream.read(&mut question).await.is_ok_and(|bytes| bytes > 0) {
-                        let head =
-                            format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", answer.len());
+                        let head = format!(
+                            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
+                            response.len()
+                        );
                         let _ = stream.write_all(head.as_bytes()).await;
-                        let _ = stream.write_all(answer).await;
+                        let _ = stream.write_all(response).await;
                     }
                 });
             };
@@ -292,7 +299,7 @@
             assert_eq!(status(&world, entry, "k2").await, 401, "{}", entry.name());
         }
         sleep(Duration::from_secs(1)).await;
-        let seen = oldest_within(&entries, Duration::from_secs(5)).await;
+        let seen = max_state_age_within(&entries, Duration::from_secs(5)).await;
         assert!(seen <= world.entry_times().normal_confirmation_age(), "{seen:?}");
     });
 }
@@ -322,10 +329,10 @@
         sleep(Duration::from_secs(5)).await;
         // The first entries in order, the roots among them.
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
-        let mut left: Vec<usize> = (0..entries.len()).collect();
+        let mut remaining: Vec<usize> = (0..entries.len()).collect();
         for _ in 0..20 {
-            let among: Vec<&str> = left.iter().map(|n| names[*n]).collect();
-            let first = left.remove(Members::first_in_order(&among));
+            let among: Vec<&str> = remaining.iter().map(|n| names[*n]).collect();
+            let first = remaining.remove(Members::first_in_order(&among));
             world.set_store_fault(&entries[first], Weather::Refused);
         }
         sleep(Duration::from_secs(6)).await;
@@ -367,7 +374,7 @@
         let names: Vec<&str> = entries.iter().map(Entry::name).collect();
         let first = Members::first_in_order(&names);
         world.set_store_fault(&entries[first], Weather::Silent(Duration::from_secs(60)));
-        net.end(first as u16);
+        net.stop(first as u16);
         sleep(Duration::from_secs(5)).await;
         world.store.put("order/s", "v2 20");
         sleep(Duration::from_secs(2)).await;
@@ -426,8 +433,8 @@
                 return false;
             }
         }
-        let most = children.iter().copied().max().unwrap_or(0);
-        root_count(entries) <= 3 && most <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
+        let max_children = children.iter().copied().max().unwrap_or(0);
+        root_count(entries) <= 3 && max_children <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(2_000, 8)).tests(500);
     checks.quickcheck(holds as fn(u16) -> bool);
--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -9,7 +9,7 @@
 use pondwalk_standin::{backends::Act, memory_store::Weather};
 use tokio::time::sleep;
 
-async fn with_one_server(world: &World) {
+async fn start_one_server(world: &World) {
     world.configure(catalog(1));
     world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
     world.start().await;
@@ -25,7 +25,7 @@
     let silent = Weather::Silent(Duration::from_secs(1));
     for weather in [Weather::Refused, silent] {
         run_test(|world| async move {
-            with_one_server(&world).await;
+            start_one_server(&world).await;
             world.store.set_weather(weather);
             sleep(Duration::from_secs(2)).await;
             assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
@@ -42,7 +42,7 @@
 #[test]
 fn non_strict_deployment_honours_known_keys_longer() {
     run_test_with("strict_keys=false\nlenient_key_bound_ms=20000", |world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(15)).await;
         assert_eq!(status(&world, "k1").await, 200);
@@ -57,7 +57,7 @@
 #[test]
 fn strict_deployment_ignores_the_longer_bound() {
     run_test_with("strict_keys=true\nlenient_key_bound_ms=20000", |world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(6)).await;
         assert_eq!(status(&world, "k1").await, 503);
@@ -67,7 +67,7 @@
 #[test]
 fn anonymous_requests_are_served_during_store_outage() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(30)).await;
         let mut open = request("/open/", "r1");
@@ -82,7 +82,7 @@
 #[test]
 fn removed_key_is_refused_and_added_key_accepted_at_once() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.configure(catalog_with_keys(2, &["k1", "k3"]));
         sleep(Duration::from_millis(500)).await;
         assert_eq!(status(&world, "k2").await, 401);
@@ -111,7 +111,7 @@
 #[test]
 fn older_configuration_is_not_applied() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.configure(catalog_with_keys(5, &["k1"]));
         sleep(Duration::from_millis(500)).await;
         world.configure(catalog(4));
@@ -123,7 +123,7 @@
 #[test]
 fn changes_are_found_after_lost_history() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.start_server(2, "s", "v1", Act::Answer(200, "made".into()));
         sleep(Duration::from_millis(500)).await;
         world.store.set_weather(Weather::Refused);
@@ -145,7 +145,7 @@
 #[test]
 fn idle_store_is_called_less_than_once_a_second() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         let before = world.store.calls();
         sleep(Duration::from_secs(60)).await;
         let calls = world.store.calls() - before;
@@ -263,11 +263,11 @@
 #[test]
 fn refusal_log_shows_its_reason() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(6)).await;
-        let answer = world.call(request("/once/", "r-17")).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+        let response = world.call(request("/once/", "r-17")).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
         let lines = world.entry.buffered_log_lines();
         let line = lines.lines().find(|line| line.contains("r-17")).expect("a line");
         for part in ["request_refused", "\"stale\"", "\"freshness_ms\":", "\"configuration\":1"] {
@@ -280,7 +280,7 @@
 #[test]
 fn server_lapsed_during_outage_serves_for_a_grace_period() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
@@ -296,7 +296,7 @@
 #[test]
 fn server_missing_after_outage_gets_nothing_two_seconds_later() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_weather(Weather::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
@@ -309,7 +309,7 @@
 #[test]
 fn server_removed_with_working_store_gets_nothing_at_once() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(100)).await;
         assert_eq!(status(&world, "k1").await, 503);
--- a/crates/direct/tests/store_outage_recovery.rs
+++ b/crates/direct/tests/store_outage_recovery.rs
@@ -27,7 +27,7 @@
 
 /// Measurements of one outage.
 #[derive(Debug, Default)]
-struct Return {
+struct Recovery {
     /// Time until half of the entries, and all of them, honour keys again.
     half: Duration,
     all: Duration,
@@ -44,7 +44,7 @@
     entries: &[Entry],
     outage: Duration,
     copy: Option<StoreCopy>,
-) -> Return {
+) -> Recovery {
     world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
     sleep(outage).await;
     assert_eq!(ready(entries), 0, "keys are refused by then");
@@ -53,16 +53,16 @@
         world.store.restore(copy);
     }
     world.store.set_weather(Weather::Fair);
-    let back = Instant::now();
-    let mut seen = Return::default();
-    while back.elapsed() < COUNTING_TIME {
+    let returned_at = Instant::now();
+    let mut seen = Recovery::default();
+    while returned_at.elapsed() < COUNTING_TIME {
         sleep(POLL_INTERVAL).await;
         let count = ready(entries);
         if seen.half.is_zero() && 2 * count >= entries.len() {
-            seen.half = back.elapsed();
+            seen.half = returned_at.elapsed();
         }
         if seen.all.is_zero() && count == entries.len() {
-            seen.all = back.elapsed();
+            seen.all = returned_at.elapsed();
         }
     }
     seen.calls = world.store.calls() - calls;
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -17,13 +17,13 @@
 use tokio::time::sleep;
 
 /// Time for which the store is unreachable before it is restored.
-const AWAY: Duration = Duration::from_millis(2_400);
+const OUTAGE: Duration = Duration::from_millis(2_400);
 /// Time after the restoration from which changes must again be in force in time.
-const SETTLED: Duration = Duration::from_secs(3);
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 /// Time in which a change must be in force at all entries.
-const IN_FORCE: Duration = Duration::from_secs(1);
+const CHANGE_LIMIT: Duration = Duration::from_secs(1);
 /// Number of changes that are lost with the restoration.
-const LOST: u32 = 12;
+const LOST_CHANGES: u32 = 12;
 
 async fn start(world: &World, net: &Net, count: u16) -> Vec<Entry> {
     world.configure(catalog(1));
@@ -36,7 +36,7 @@
 }
 
 fn write_lost_changes(world: &World) {
-    for n in 0..LOST {
+    for n in 0..LOST_CHANGES {
         world.store.put(&format!("other/{n}"), "written after the copy");
     }
 }
@@ -57,24 +57,24 @@
 }
 
 /// Entries that refuse a key of the current configuration, or honour another one.
-async fn count_wrong_keys(
+async fn entries_with_wrong_keys(
     world: &World,
     entries: &[Entry],
     honoured: &str,
     refused: &str,
 ) -> Vec<String> {
-    let mut count_wrong_keys = Vec::new();
+    let mut wrong = Vec::new();
     for entry in entries {
         let found = (status(world, entry, honoured).await, status(world, entry, refused).await);
         if found != (200, 401) {
-            count_wrong_keys.push(format!("{}: {found:?}", entry.name()));
+            wrong.push(format!("{}: {found:?}", entry.name()));
         }
     }
-    count_wrong_keys
+    wrong
 }
 
 /// Requests that reach a server which no entry should use any more.
-async fn sent_to(world: &World, entries: &[Entry], n: u16) -> usize {
+async fn count_sent_to(world: &World, entries: &[Entry], n: u16) -> usize {
     let before = world.backends.seen(address(n)).len();
     for entry in entries {
         for number in 0..6 {
@@ -93,8 +93,8 @@
 }
 
 async fn assert_in_force(world: &World, entries: &[Entry]) {
-    assert_eq!(count_wrong_keys(world, entries, "k1", "k2").await, Vec::<String>::new());
-    assert_eq!(sent_to(world, entries, 1).await, 0);
+    assert_eq!(entries_with_wrong_keys(world, entries, "k1", "k2").await, Vec::<String>::new());
+    assert_eq!(count_sent_to(world, entries, 1).await, 0);
 }
 
 fn changes_reach_all(count: u16, away: Duration) {
@@ -103,26 +103,26 @@
         let entries = start(&world, &net, count).await;
         let copy = world.store.copy();
         write_lost_changes(&world);
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         restore(&world, &copy, away).await;
-        sleep(SETTLED).await;
-        assert_changes_reach(&world, &entries, IN_FORCE).await;
+        sleep(SETTLING_TIME).await;
+        assert_changes_reach(&world, &entries, CHANGE_LIMIT).await;
     });
 }
 
 #[test]
 fn changes_after_restoration_reach_all_of_4_entries() {
-    changes_reach_all(4, AWAY);
+    changes_reach_all(4, OUTAGE);
 }
 
 #[test]
 fn changes_after_restoration_reach_all_of_24_entries() {
-    changes_reach_all(24, AWAY);
+    changes_reach_all(24, OUTAGE);
 }
 
 #[test]
 fn changes_after_restoration_reach_all_of_103_entries() {
-    changes_reach_all(103, AWAY);
+    changes_reach_all(103, OUTAGE);
 }
 
 #[test]
@@ -138,12 +138,12 @@
             let entries = start(&world, &net, count).await;
             let copy = world.store.copy();
             write_lost_changes(&world);
-            sleep(IN_FORCE).await;
+            sleep(CHANGE_LIMIT).await;
             restore(&world, &copy, Duration::ZERO).await;
             world.configure(catalog_with_keys(2, &["k1"]));
             world.list_server(1, "s", "v1", "draining");
             write_lost_changes(&world);
-            sleep(IN_FORCE).await;
+            sleep(CHANGE_LIMIT).await;
             assert_in_force(&world, &entries).await;
         });
     }
@@ -157,11 +157,11 @@
             let entries = start(&world, &net, 4).await;
             let copy = world.store.copy();
             write_lost_changes(&world);
-            sleep(IN_FORCE).await;
+            sleep(CHANGE_LIMIT).await;
             world.set_store_fault(&entries[position], Weather::Silent(Duration::from_secs(30)));
-            restore(&world, &copy, AWAY).await;
-            sleep(SETTLED).await;
-            assert_changes_reach(&world, &entries, 2 * IN_FORCE).await;
+            restore(&world, &copy, OUTAGE).await;
+            sleep(SETTLING_TIME).await;
+            assert_changes_reach(&world, &entries, 2 * CHANGE_LIMIT).await;
         });
     }
 }
@@ -175,13 +175,13 @@
             let copy = world.store.copy();
             write_lost_changes(&world);
             world.store.set_weather(Weather::Late(Duration::from_millis(late_ms)));
-            sleep(2 * SETTLED).await;
+            sleep(2 * SETTLING_TIME).await;
             world.store.restore(copy);
-            sleep(2 * SETTLED).await;
+            sleep(2 * SETTLING_TIME).await;
             assert_changes_reach(
                 &world,
                 &entries,
-                2 * IN_FORCE + 2 * Duration::from_millis(late_ms),
+                2 * CHANGE_LIMIT + 2 * Duration::from_millis(late_ms),
             )
             .await;
         });
@@ -195,15 +195,15 @@
         let mut entries = start(&world, &net, 8).await;
         let copy = world.store.copy();
         write_lost_changes(&world);
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
-        sleep(AWAY).await;
+        sleep(OUTAGE).await;
         entries.extend((8..12).map(|n| net.start_later(&world, n)));
         sleep(Duration::from_millis(300)).await;
         restore(&world, &copy, Duration::ZERO).await;
         entries.extend((12..16).map(|n| net.start_later(&world, n)));
-        sleep(SETTLED).await;
-        assert_changes_reach(&world, &entries, IN_FORCE).await;
+        sleep(SETTLING_TIME).await;
+        assert_changes_reach(&world, &entries, CHANGE_LIMIT).await;
     });
 }
 
@@ -236,7 +236,7 @@
             // After a restoration, the operator writes the last configuration again.
             world.configure(catalog_with_keys(version + 1, &["k1"]));
             world.list_server(1, "s", "v1", "draining");
-            sleep(SETTLED).await;
+            sleep(SETTLING_TIME).await;
             assert_in_force(&world, &entries).await;
         });
     }
@@ -249,8 +249,8 @@
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
         world.configure(catalog_with_keys(2, &["k1"]));
-        sleep(IN_FORCE).await;
-        restore(&world, &copy, AWAY).await;
+        sleep(CHANGE_LIMIT).await;
+        restore(&world, &copy, OUTAGE).await;
         for _ in 0..20 {
             sleep(Duration::from_millis(100)).await;
             for entry in &entries {
@@ -267,11 +267,11 @@
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
         world.list_server(1, "s", "v1", "draining");
-        sleep(IN_FORCE).await;
-        restore(&world, &copy, AWAY).await;
+        sleep(CHANGE_LIMIT).await;
+        restore(&world, &copy, OUTAGE).await;
         for _ in 0..10 {
             sleep(Duration::from_millis(150)).await;
-            assert_eq!(sent_to(&world, &entries, 1).await, 0);
+            assert_eq!(count_sent_to(&world, &entries, 1).await, 0);
         }
     });
 }
@@ -283,19 +283,19 @@
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
         world.list_server(1, "s", "v1", "draining");
-        sleep(IN_FORCE).await;
-        restore(&world, &copy, AWAY).await;
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
+        restore(&world, &copy, OUTAGE).await;
+        sleep(CHANGE_LIMIT).await;
         let next = format!("s {} dc1 v1 ready 0 77", address(1));
         world.store.put("server/s1", &next);
-        sleep(IN_FORCE).await;
-        assert!(sent_to(&world, &entries, 1).await > 0);
+        sleep(CHANGE_LIMIT).await;
+        assert!(count_sent_to(&world, &entries, 1).await > 0);
     });
 }
 
 #[test]
 fn servers_missing_in_the_copy_serve_for_a_grace_period() {
-    for away in [AWAY, Duration::ZERO] {
+    for away in [OUTAGE, Duration::ZERO] {
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
@@ -306,7 +306,7 @@
             for n in 1..=3 {
                 world.list_server(n, "s", "v1", "ready");
             }
-            sleep(IN_FORCE).await;
+            sleep(CHANGE_LIMIT).await;
             restore(&world, &copy, away).await;
             for _ in 0..12 {
                 sleep(Duration::from_millis(100)).await;
@@ -319,10 +319,10 @@
 }
 
 /// Requests that reach the servers of the evacuated data centre.
-async fn sent_to_evacuated(world: &World, entries: &[Entry]) -> usize {
+async fn count_sent_to_evacuated(world: &World, entries: &[Entry]) -> usize {
     let seen = || (1..=3).map(|n| world.backends.seen(address(n)).len()).sum::<usize>();
     let before = seen();
-    sent_to(world, entries, 1).await;
+    count_sent_to(world, entries, 1).await;
     seen() - before
 }
 
@@ -332,9 +332,9 @@
     world.list_server_in("dc2", 9, "s", "v1", "ready");
     let copy = world.store.copy();
     world.store.put("evacuate/dc1", "");
-    sleep(IN_FORCE).await;
-    assert_eq!(sent_to_evacuated(world, entries).await, 0, "before");
-    restore(world, &copy, AWAY).await;
+    sleep(CHANGE_LIMIT).await;
+    assert_eq!(count_sent_to_evacuated(world, entries).await, 0, "before");
+    restore(world, &copy, OUTAGE).await;
 }
 
 #[test]
@@ -345,11 +345,11 @@
         lose_evacuation(&world, &entries).await;
         for _ in 0..10 {
             sleep(Duration::from_millis(100)).await;
-            assert_eq!(sent_to_evacuated(&world, &entries).await, 0);
+            assert_eq!(count_sent_to_evacuated(&world, &entries).await, 0);
         }
         world.store.put("evacuate/dc1", "");
-        sleep(SETTLED).await;
-        assert_eq!(sent_to_evacuated(&world, &entries).await, 0);
+        sleep(SETTLING_TIME).await;
+        assert_eq!(count_sent_to_evacuated(&world, &entries).await, 0);
     });
 }
 
@@ -359,8 +359,8 @@
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
         lose_evacuation(&world, &entries).await;
-        sleep(2 * SETTLED).await;
-        assert!(sent_to_evacuated(&world, &entries).await > 0, "it is revoked in the end");
+        sleep(2 * SETTLING_TIME).await;
+        assert!(count_sent_to_evacuated(&world, &entries).await > 0, "it is revoked in the end");
     });
 }
 
@@ -377,15 +377,21 @@
                 world.store.value(&format!("pondwalk/entries/{}", entry.name())).is_some()
             };
             assert!(later.iter().all(listed), "listed before");
-            restore(&world, &copy, AWAY).await;
+            restore(&world, &copy, OUTAGE).await;
             assert!(!later.iter().any(listed), "lost");
-            sleep(2 * SETTLED).await;
+            sleep(2 * SETTLING_TIME).await;
             let unlisted = later.iter().filter(|entry| !listed(entry)).count();
             assert_eq!(unlisted, 0, "of {count}");
             world.configure(catalog_with_keys(2, &["k1"]));
-            sleep(IN_FORCE).await;
-            assert_eq!(count_wrong_keys(&world, &later, "k1", "k2").await, Vec::<String>::new());
-            assert_eq!(count_wrong_keys(&world, &entries, "k1", "k2").await, Vec::<String>::new());
+            sleep(CHANGE_LIMIT).await;
+            assert_eq!(
+                entries_with_wrong_keys(&world, &later, "k1", "k2").await,
+                Vec::<String>::new()
+            );
+            assert_eq!(
+                entries_with_wrong_keys(&world, &entries, "k1", "k2").await,
+                Vec::<String>::new()
+            );
         });
     }
 }
@@ -397,12 +403,12 @@
         let copy = world.store.copy();
         let entries = start(&world, &net, 24).await;
         let calls = world.store.calls();
-        restore(&world, &copy, AWAY).await;
+        restore(&world, &copy, OUTAGE).await;
         world.configure(catalog(1));
         for n in 1..=3 {
             world.list_server(n, "s", "v1", "ready");
         }
-        sleep(3 * SETTLED).await;
+        sleep(3 * SETTLING_TIME).await;
         let names: BTreeSet<String> = entries.iter().map(|one| one.name().to_owned()).collect();
         let listed =
             |name: &&String| world.store.value(&format!("pondwalk/entries/{name}")).is_some();
@@ -438,11 +444,11 @@
                 break;
             }
         }
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         let before = world.store.value("progress/s");
-        restore(&world, &copy.expect("a copy before the end"), AWAY).await;
+        restore(&world, &copy.expect("a copy before the end"), OUTAGE).await;
         assert_ne!(world.store.value("progress/s"), before, "it is lost");
-        sleep(2 * SETTLED).await;
+        sleep(2 * SETTLING_TIME).await;
         assert_eq!(world.store.value("progress/s"), before, "it is reported again");
         *recorded.borrow_mut() = before;
     });
@@ -487,9 +493,9 @@
         )
         .await;
         assert!(world.store.value("pondwalk/quarantine").is_some(), "stored before");
-        restore(&world, &copy, AWAY).await;
+        restore(&world, &copy, OUTAGE).await;
         assert!(world.store.value("pondwalk/quarantine").is_none(), "lost");
-        sleep(2 * SETTLED).await;
+        sleep(2 * SETTLING_TIME).await;
         assert!(world.store.value("pondwalk/quarantine").is_some(), "stored again");
     });
 }
@@ -501,9 +507,9 @@
         let entries = start(&world, &net, 4).await;
         let copy = world.store.copy();
         write_lost_changes(&world);
-        sleep(IN_FORCE).await;
-        restore(&world, &copy, AWAY).await;
-        sleep(SETTLED).await;
+        sleep(CHANGE_LIMIT).await;
+        restore(&world, &copy, OUTAGE).await;
+        sleep(SETTLING_TIME).await;
         assert_eq!(total(&entries, "pondwalk_store_era"), 4);
         for entry in &entries {
             let lines = entry.buffered_log_lines();
@@ -522,7 +528,7 @@
         let root = Members::first_in_order(&names);
         let copy = world.store.copy();
         write_lost_changes(&world);
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         // The root that most others poll is the last to read the restored store.
         world.set_store_fault(&entries[root], Weather::Silent(Duration::from_secs(30)));
         restore(&world, &copy, Duration::ZERO).await;
@@ -530,7 +536,7 @@
         world.list_server(1, "s", "v1", "draining");
         sleep(Duration::from_millis(1_500)).await;
         world.set_store_fault(&entries[root], Weather::Fair);
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         assert_in_force(&world, &entries).await;
     });
 }
@@ -546,11 +552,11 @@
         }
         let copy = world.store.copy();
         world.store.put("order/s", "v2 20");
-        sleep(IN_FORCE).await;
+        sleep(CHANGE_LIMIT).await;
         for _ in 0..times {
-            restore(&world, &copy, AWAY).await;
+            restore(&world, &copy, OUTAGE).await;
             world.store.put("order/s", "v2 20");
-            sleep(IN_FORCE).await;
+            sleep(CHANGE_LIMIT).await;
         }
         for n in 0..400 {
             let entry = &entries[n % entries.len()];
@@ -559,9 +565,9 @@
             world.call_at(entry, sent).await;
             sleep(Duration::from_millis(25)).await;
         }
-        sleep(SETTLED).await;
+        sleep(SETTLING_TIME).await;
         assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
-        assert_eq!(sent_to(&world, &entries, 11).await, 0);
+        assert_eq!(count_sent_to(&world, &entries, 11).await, 0);
     });
 }
 
@@ -581,12 +587,12 @@
         lose_evacuation(&world, &entries).await;
         let copy = world.store.copy();
         world.store.put("evacuate/dc1", "");
-        sleep(IN_FORCE).await;
-        restore(&world, &copy, AWAY).await;
+        sleep(CHANGE_LIMIT).await;
+        restore(&world, &copy, OUTAGE).await;
         world.store.put("evacuate/dc1", "");
         for _ in 0..20 {
             sleep(Duration::from_millis(200)).await;
-            assert_eq!(sent_to_evacuated(&world, &entries).await, 0);
+            assert_eq!(count_sent_to_evacuated(&world, &entries).await, 0);
         }
     });
 }
--- a/crates/direct/tests/suspended_machine.rs
+++ b/crates/direct/tests/suspended_machine.rs
@@ -59,8 +59,8 @@
             world.store.set_weather(Weather::Silent(Duration::from_secs(1)));
             world.entry.simulate_suspension(Duration::from_secs(5));
         };
-        let (answer, ()) = tokio::join!(asking, resuming);
-        assert!(answer.status.is_server_error());
+        let (response, ()) = tokio::join!(asking, resuming);
+        assert!(response.status.is_server_error());
         assert!(world.backends.runs() <= 1, "nothing is sent after the resume");
     });
 }
--- a/crates/direct/tests/usage_reports.rs
+++ b/crates/direct/tests/usage_reports.rs
@@ -13,13 +13,13 @@
 };
 use tokio::time::{Instant, sleep};
 
-const USAGE: &str = "[usage]\naddress=127.0.0.1:4\ntasks=metering,autoscaling\nlease_ms=3000\n\
+const USAGE_SETTINGS: &str = "[usage]\naddress=127.0.0.1:4\ntasks=metering,autoscaling\nlease_ms=3000\n\
     report_interval_s=5\nusage_delay_s=10\n";
 /// Time at which a window begins.
 const START_MS: u64 = 1_790_000_000_000;
 const WINDOW_MS: u64 = 5_000;
 /// Windows after which a report is due.
-const DUE_AFTER: u64 = 2;
+const REPORT_DELAY_WINDOWS: u64 = 2;
 
 /// Entries, and the requests sent to them.
 struct Deployment<'a> {
@@ -39,7 +39,7 @@
             world.start_server(n, "s", "v1", Act::Answer(200, "made".into()));
         }
         let started = Instant::now();
-        let entries = net.start_many(world, count, USAGE);
+        let entries = net.start_many(world, count, USAGE_SETTINGS);
         entries.iter().for_each(|entry| entry.simulate_unix_ms(START_MS));
         let deployment = Deployment { world, net, entries, started, served: BTreeMap::new() };
         sleep(Duration::from_secs(10)).await;
@@ -47,19 +47,19 @@
     }
 
     fn window(&self) -> u64 {
-        let since = self.started.elapsed().as_millis() as u64;
-        (START_MS + since) / WINDOW_MS
+        let elapsed_ms = self.started.elapsed().as_millis() as u64;
+        (START_MS + elapsed_ms) / WINDOW_MS
     }
 
     /// Sends `per_s` requests a second to the entries in turn, for `time`.
-    async fn ask_for(&mut self, time: Duration, per_s: u32) {
+    async fn send_load(&mut self, time: Duration, per_s: u32) {
         let end = Instant::now() + time;
         let mut n = 0;
         while Instant::now() < end {
             n += 1;
             let entry = &self.entries[n % self.entries.len()];
-            let answer = self.world.call_at(entry, request("/again/", &format!("r{n}"))).await;
-            if answer.status == 200 {
+            let response = self.world.call_at(entry, request("/again/", &format!("r{n}"))).await;
+            if response.status == 200 {
                 *self.served.entry(self.window()).or_default() += 1;
             }
             sleep(Duration::from_secs(1) / per_s).await;
@@ -68,7 +68,7 @@
 
     /// Waits until the reports of all windows so far are due.
     async fn wait_until_due(&self) {
-        sleep(Duration::from_millis(WINDOW_MS * (1 + DUE_AFTER))).await;
+        sleep(Duration::from_millis(WINDOW_MS * (1 + REPORT_DELAY_WINDOWS))).await;
     }
 
     /// Index of the entry that last reported.
@@ -81,22 +81,22 @@
     fn end(&mut self, position: usize) -> Entry {
         let entry = self.entries.remove(position);
         let number = entry.name().trim_start_matches('e').parse().expect("a number");
-        self.net.end(number);
+        self.net.stop(number);
         self.world.set_store_fault(&entry, Weather::Silent(Duration::from_secs(3_600)));
         self.world.usage_sink.cut(Some(entry.name()));
         entry
     }
 
     /// Windows whose report is missing, or wrong by more than a share of `tolerance`.
-    fn windows_off_by(&self, tolerance: f64) -> Vec<(u64, u64, Option<u64>)> {
+    fn wrong_windows(&self, tolerance: f64) -> Vec<(u64, u64, Option<u64>)> {
         let reported = self.world.usage_sink.reported();
         let sum = |window: &u64| reported.get(window).map(|counts| counts.values().sum::<u64>());
         let rows = self.served.iter().map(|(window, served)| (*window, *served, sum(window)));
-        let is_off = |served: u64, reported: Option<u64>| {
+        let is_wrong = |served: u64, reported: Option<u64>| {
             reported
                 .is_none_or(|reported| reported.abs_diff(served) as f64 > served as f64 * tolerance)
         };
-        rows.filter(|(_, served, reported)| is_off(*served, *reported)).collect()
+        rows.filter(|(_, served, reported)| is_wrong(*served, *reported)).collect()
     }
 
     fn assert_consistent_reports(&self) {
@@ -104,25 +104,26 @@
     }
 }
 
-const NOTHING: Vec<(u64, u64, Option<u64>)> = Vec::new();
+const NO_WINDOWS: Vec<(u64, u64, Option<u64>)> = Vec::new();
 
 #[test]
 fn each_window_is_reported_exactly_once_in_time() {
     for count in [1, 3, 24, 60] {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, count).await;
-            all.ask_for(Duration::from_secs(30), 20).await;
-            all.wait_until_due().await;
-            assert_eq!(all.windows_off_by(0.0), NOTHING, "{count} entries");
-            all.assert_consistent_reports();
+            let mut deployment = Deployment::start(&world, count).await;
+            deployment.send_load(Duration::from_secs(30), 20).await;
+            deployment.wait_until_due().await;
+            assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS, "{count} entries");
+            deployment.assert_consistent_reports();
             let taken = world.usage_sink.taken();
-            for one in &taken {
-                let due_ms = (one.call.window + 1 + DUE_AFTER) * WINDOW_MS - START_MS;
-                assert!(one.at <= all.started + Duration::from_millis(due_ms));
+            for report in &taken {
+                let due_ms = (report.call.window + 1 + REPORT_DELAY_WINDOWS) * WINDOW_MS - START_MS;
+                assert!(report.at <= deployment.started + Duration::from_millis(due_ms));
             }
             let windows = world.usage_sink.reported().len();
             assert_eq!(taken.len(), windows, "no more calls than one per window");
-            let writes = total(&all.entries, "pondwalk_store_calls_total{cause=\"usage_record\"}");
+            let writes =
+                total(&deployment.entries, "pondwalk_store_calls_total{cause=\"usage_record\"}");
             assert_eq!(writes as usize, windows, "no more writes than one per window");
         });
     }
@@ -131,75 +132,75 @@
 #[test]
 fn request_counts_once_on_several_servers() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 3).await;
+        let mut deployment = Deployment::start(&world, 3).await;
         world.backends.stop(common::address(1));
         world.start_server(1, "s", "v1", Act::Answer(500, "failed".into()));
-        all.ask_for(Duration::from_secs(20), 20).await;
-        assert!(total(&all.entries, "pondwalk_further_sends_total") > 0);
-        all.wait_until_due().await;
-        assert_eq!(all.windows_off_by(0.0), NOTHING);
+        deployment.send_load(Duration::from_secs(20), 20).await;
+        assert!(total(&deployment.entries, "pondwalk_further_sends_total") > 0);
+        deployment.wait_until_due().await;
+        assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS);
     });
 }
 
 #[test]
 fn another_entry_reports_after_the_holder_stops() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 24).await;
-        all.ask_for(Duration::from_secs(12), 40).await;
-        let holder = all.holder();
-        all.end(holder);
-        all.ask_for(Duration::from_secs(20), 40).await;
-        all.wait_until_due().await;
+        let mut deployment = Deployment::start(&world, 24).await;
+        deployment.send_load(Duration::from_secs(12), 40).await;
+        let holder = deployment.holder();
+        deployment.end(holder);
+        deployment.send_load(Duration::from_secs(20), 40).await;
+        deployment.wait_until_due().await;
         // The holder's own counts of the last half second are lost with it.
-        assert_eq!(all.windows_off_by(0.02), NOTHING);
-        all.assert_consistent_reports();
+        assert_eq!(deployment.wrong_windows(0.02), NO_WINDOWS);
+        deployment.assert_consistent_reports();
     });
 }
 
 #[test]
 fn stopping_half_of_the_entries_loses_little() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 24).await;
-        all.ask_for(Duration::from_secs(12), 100).await;
+        let mut deployment = Deployment::start(&world, 24).await;
+        deployment.send_load(Duration::from_secs(12), 100).await;
         for _ in 0..12 {
-            all.end(0);
+            deployment.end(0);
         }
-        all.ask_for(Duration::from_secs(20), 100).await;
-        all.wait_until_due().await;
-        assert_eq!(all.windows_off_by(0.05), NOTHING);
-        all.assert_consistent_reports();
+        deployment.send_load(Duration::from_secs(20), 100).await;
+        deployment.wait_until_due().await;
+        assert_eq!(deployment.wrong_windows(0.05), NO_WINDOWS);
+        deployment.assert_consistent_reports();
     });
 }
 
 #[test]
 fn holder_rejected_by_the_store_yields() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 24).await;
-        all.ask_for(Duration::from_secs(12), 40).await;
-        let before = all.holder();
-        world.set_store_fault(&all.entries[before], Weather::Refused);
-        all.ask_for(Duration::from_secs(20), 40).await;
-        assert_ne!(all.holder(), before);
-        world.set_store_fault(&all.entries[before], Weather::Fair);
-        all.ask_for(Duration::from_secs(15), 40).await;
-        all.wait_until_due().await;
-        assert_eq!(all.windows_off_by(0.0), NOTHING);
-        all.assert_consistent_reports();
+        let mut deployment = Deployment::start(&world, 24).await;
+        deployment.send_load(Duration::from_secs(12), 40).await;
+        let before = deployment.holder();
+        world.set_store_fault(&deployment.entries[before], Weather::Refused);
+        deployment.send_load(Duration::from_secs(20), 40).await;
+        assert_ne!(deployment.holder(), before);
+        world.set_store_fault(&deployment.entries[before], Weather::Fair);
+        deployment.send_load(Duration::from_secs(15), 40).await;
+        deployment.wait_until_due().await;
+        assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS);
+        deployment.assert_consistent_reports();
     });
 }
 
 #[test]
 fn holder_that_cannot_reach_the_platform_yields() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 24).await;
-        all.ask_for(Duration::from_secs(12), 40).await;
-        let before = all.entries[all.holder()].name().to_owned();
+        let mut deployment = Deployment::start(&world, 24).await;
+        deployment.send_load(Duration::from_secs(12), 40).await;
+        let before = deployment.entries[deployment.holder()].name().to_owned();
         world.usage_sink.cut(Some(&before));
-        all.ask_for(Duration::from_secs(30), 40).await;
-        all.wait_until_due().await;
-        let missed = all.windows_off_by(0.0).len();
+        deployment.send_load(Duration::from_secs(30), 40).await;
+        deployment.wait_until_due().await;
+        let missed = deployment.wrong_windows(0.0).len();
         assert!(missed <= 1, "{missed} windows missed");
-        all.assert_consistent_reports();
+        deployment.assert_consistent_reports();
     });
 }
 
@@ -208,15 +209,15 @@
     let late = Reach::LateBy(Duration::from_secs(4));
     for reach in [Reach::AnswersLost, Reach::TooMany, Reach::Silent, late] {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, 24).await;
-            all.ask_for(Duration::from_secs(12), 40).await;
+            let mut deployment = Deployment::start(&world, 24).await;
+            deployment.send_load(Duration::from_secs(12), 40).await;
             world.usage_sink.set_reach(reach);
-            all.ask_for(Duration::from_secs(6), 40).await;
+            deployment.send_load(Duration::from_secs(6), 40).await;
             world.usage_sink.set_reach(Reach::Fair);
-            all.ask_for(Duration::from_secs(15), 40).await;
-            all.wait_until_due().await;
-            assert_eq!(all.windows_off_by(0.0), NOTHING, "{reach:?}");
-            all.assert_consistent_reports();
+            deployment.send_load(Duration::from_secs(15), 40).await;
+            deployment.wait_until_due().await;
+            assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS, "{reach:?}");
+            deployment.assert_consistent_reports();
         });
     }
 }
@@ -227,16 +228,16 @@
     let away = [Weather::Silent(seconds(1)), Weather::Refused, Weather::AnswersLost];
     for weather in away {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, 24).await;
-            all.ask_for(seconds(12), 40).await;
+            let mut deployment = Deployment::start(&world, 24).await;
+            deployment.send_load(seconds(12), 40).await;
             world.store.set_weather(weather);
             // Keys are honoured only for the first seconds of that, so some requests are refused.
-            all.ask_for(seconds(5), 40).await;
+            deployment.send_load(seconds(5), 40).await;
             world.store.set_weather(Weather::Fair);
-            all.ask_for(seconds(15), 40).await;
-            all.wait_until_due().await;
-            assert_eq!(all.windows_off_by(0.0), NOTHING, "{weather:?}");
-            all.assert_consistent_reports();
+            deployment.send_load(seconds(15), 40).await;
+            deployment.wait_until_due().await;
+            assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS, "{weather:?}");
+            deployment.assert_consistent_reports();
         });
     }
 }
@@ -244,50 +245,50 @@
 #[test]
 fn wrong_clocks_of_some_entries_are_ignored() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 24).await;
-        all.ask_for(Duration::from_secs(12), 40).await;
+        let mut deployment = Deployment::start(&world, 24).await;
+        deployment.send_load(Duration::from_secs(12), 40).await;
         // The holder's own clock jumps, and other entries restart with wrong clocks.
-        let holder = all.holder();
-        all.entries[holder].simulate_unix_ms(START_MS + 20_000);
+        let holder = deployment.holder();
+        deployment.entries[holder].simulate_unix_ms(START_MS + 20_000);
         for n in 0..3 {
-            let later = all.net.start_with(
+            let later = deployment.net.start_with(
                 &world,
                 100 + n,
-                &format!("[membership]\nseeds={}\n{USAGE}", common::net::peer_address(0)),
+                &format!("[membership]\nseeds={}\n{USAGE_SETTINGS}", common::net::peer_address(0)),
             );
             later.simulate_unix_ms(START_MS + 8_000);
         }
-        all.ask_for(Duration::from_secs(25), 40).await;
-        all.wait_until_due().await;
+        deployment.send_load(Duration::from_secs(25), 40).await;
+        deployment.wait_until_due().await;
         // Requests served by an entry with a wrong clock count in another window.
-        assert_eq!(all.windows_off_by(0.05), NOTHING);
-        all.assert_consistent_reports();
+        assert_eq!(deployment.wrong_windows(0.05), NO_WINDOWS);
+        deployment.assert_consistent_reports();
     });
 }
 
 #[test]
 fn restarted_entries_continue_with_a_higher_fencing_token() {
     run_test(|world| async move {
-        let mut all = Deployment::start(&world, 3).await;
-        all.ask_for(Duration::from_secs(12), 40).await;
+        let mut deployment = Deployment::start(&world, 3).await;
+        deployment.send_load(Duration::from_secs(12), 40).await;
         let before = world.usage_sink.taken().last().expect("a report").call.fencing_token;
         for _ in 0..3 {
-            all.end(0);
+            deployment.end(0);
         }
         world.usage_sink.cut(None);
-        all.net.cut.borrow_mut().clear();
-        let at_start = START_MS + all.started.elapsed().as_millis() as u64;
-        all.entries = all.net.start_many(&world, 3, USAGE);
-        all.entries.iter().for_each(|entry| entry.simulate_unix_ms(at_start));
-        all.served.clear();
+        deployment.net.cut.borrow_mut().clear();
+        let at_start = START_MS + deployment.started.elapsed().as_millis() as u64;
+        deployment.entries = deployment.net.start_many(&world, 3, USAGE_SETTINGS);
+        deployment.entries.iter().for_each(|entry| entry.simulate_unix_ms(at_start));
+        deployment.served.clear();
         sleep(Duration::from_millis(WINDOW_MS)).await;
-        all.ask_for(Duration::from_secs(15), 40).await;
-        all.wait_until_due().await;
-        let first = *all.served.keys().next().expect("some were asked");
-        all.served.remove(&first);
-        assert_eq!(all.windows_off_by(0.0), NOTHING);
+        deployment.send_load(Duration::from_secs(15), 40).await;
+        deployment.wait_until_due().await;
+        let first = *deployment.served.keys().next().expect("some were asked");
+        deployment.served.remove(&first);
+        assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS);
         assert!(world.usage_sink.taken().last().expect("a report").call.fencing_token > before);
-        all.assert_consistent_reports();
+        deployment.assert_consistent_reports();
     });
 }
 
@@ -295,13 +296,13 @@
 fn record_of_another_writer_is_kept_and_logged() {
     run_test(|world| async move {
         world.store.put("pondwalk/usage-reporter", "no record");
-        let mut all = Deployment::start(&world, 3).await;
-        all.ask_for(Duration::from_secs(10), 20).await;
-        all.wait_until_due().await;
+        let mut deployment = Deployment::start(&world, 3).await;
+        deployment.send_load(Duration::from_secs(10), 20).await;
+        deployment.wait_until_due().await;
         assert_eq!(world.usage_sink.calls(), 0);
         let logged = |entry: &Entry| entry.buffered_log_lines().contains("usage_record_unreadable");
-        assert!(total(&all.entries, "pondwalk_requests_total") > 0);
-        assert!(all.entries.iter().any(logged));
+        assert!(total(&deployment.entries, "pondwalk_requests_total") > 0);
+        assert!(deployment.entries.iter().any(logged));
     });
 }
 
@@ -318,18 +319,18 @@
 fn reports_stay_consistent_after_the_store_loses_the_record() {
     for copy_after_s in [1, 6, 11] {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, 5).await;
-            all.ask_for(Duration::from_secs(copy_after_s), 20).await;
+            let mut deployment = Deployment::start(&world, 5).await;
+            deployment.send_load(Duration::from_secs(copy_after_s), 20).await;
             let copy = world.store.copy();
-            all.ask_for(Duration::from_secs(9), 20).await;
+            deployment.send_load(Duration::from_secs(9), 20).await;
             restore(&world, &copy).await;
-            all.ask_for(Duration::from_secs(25), 20).await;
-            all.wait_until_due().await;
-            all.assert_consistent_reports();
+            deployment.send_load(Duration::from_secs(25), 20).await;
+            deployment.wait_until_due().await;
+            deployment.assert_consistent_reports();
             // A window that ended during the outage may have been reported by an unknown entry.
-            let off = all.windows_off_by(0.0);
-            assert!(off.len() <= 1, "copy after {copy_after_s} s: {off:?}");
-            assert!(off.iter().all(|(_, _, reported)| reported.is_none()), "{off:?}");
+            let wrong = deployment.wrong_windows(0.0);
+            assert!(wrong.len() <= 1, "copy after {copy_after_s} s: {wrong:?}");
+            assert!(wrong.iter().all(|(_, _, reported)| reported.is_none()), "{wrong:?}");
         });
     }
 }
@@ -338,16 +339,16 @@
 fn no_conflicting_reports_if_holder_and_record_are_lost() {
     for copy_after_s in [1, 6, 11] {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, 5).await;
-            all.ask_for(Duration::from_secs(copy_after_s), 20).await;
+            let mut deployment = Deployment::start(&world, 5).await;
+            deployment.send_load(Duration::from_secs(copy_after_s), 20).await;
             let copy = world.store.copy();
-            all.ask_for(Duration::from_secs(9), 20).await;
-            let holder = all.holder();
-            all.end(holder);
+            deployment.send_load(Duration::from_secs(9), 20).await;
+            let holder = deployment.holder();
+            deployment.end(holder);
             restore(&world, &copy).await;
-            all.ask_for(Duration::from_secs(25), 20).await;
-            all.wait_until_due().await;
-            all.assert_consistent_reports();
+            deployment.send_load(Duration::from_secs(25), 20).await;
+            deployment.wait_until_due().await;
+            deployment.assert_consistent_reports();
         });
     }
 }
@@ -356,25 +357,27 @@
 fn no_fencing_token_is_reused_after_a_lost_record() {
     for copy_after_s in [1, 6, 11] {
         run_test(|world| async move {
-            let mut all = Deployment::start(&world, 4).await;
-            all.ask_for(Duration::from_secs(copy_after_s), 20).await;
+            let mut deployment = Deployment::start(&world, 4).await;
+            deployment.send_load(Duration::from_secs(copy_after_s), 20).await;
             let copy = world.store.copy();
-            let holder = all.holder();
-            all.end(holder);
-            all.ask_for(Duration::from_secs(14), 20).await;
-            while !all.entries.is_empty() {
-                all.end(0);
+            let holder = deployment.holder();
+            deployment.end(holder);
+            deployment.send_load(Duration::from_secs(14), 20).await;
+            while !deployment.entries.is_empty() {
+                deployment.end(0);
             }
             restore(&world, &copy).await;
-            all.entries = (10..14).map(|n| all.net.start_with(&world, n, USAGE)).collect();
-            let now_ms = START_MS + all.started.elapsed().as_millis() as u64;
-            all.entries.iter().for_each(|entry| entry.simulate_unix_ms(now_ms));
+            deployment.entries =
+                (10..14).map(|n| deployment.net.start_with(&world, n, USAGE_SETTINGS)).collect();
+            let now_ms = START_MS + deployment.started.elapsed().as_millis() as u64;
+            deployment.entries.iter().for_each(|entry| entry.simulate_unix_ms(now_ms));
             sleep(Duration::from_secs(10)).await;
-            all.ask_for(Duration::from_secs(15), 20).await;
-            all.wait_until_due().await;
+            deployment.send_load(Duration::from_secs(15), 20).await;
+            deployment.wait_until_due().await;
             let broken = world.usage_sink.broken();
-            let of_numbers = broken.iter().filter(|violation| violation.contains("the number"));
-            assert_eq!(of_numbers.count(), 0, "{broken:?}");
+            let token_violations =
+                broken.iter().filter(|violation| violation.contains("the number"));
+            assert_eq!(token_violations.count(), 0, "{broken:?}");
         });
     }
 }
