--- a/crates/decide/src/direct/fleet.rs
+++ b/crates/decide/src/direct/fleet.rs
@@ -131,7 +131,7 @@
             self.servers.iter_mut().flatten().find(|server| server.info.id == info.id);
         if let Some(server) = known_server {
             let reported = ServerIncarnation::of(&info);
-            let (mark, notice) = match server.incarnation.matches(&reported) {
+            let (incarnation, notice) = match server.incarnation.matches(&reported) {
                 true => (
                     server.incarnation.clone().updated_with(reported),
                     std::mem::take(&mut server.notice),
@@ -144,16 +144,16 @@
             } else {
                 server.apply_info(info);
             }
-            server.incarnation = mark;
+            server.incarnation = incarnation;
             server.notice = notice;
             return;
         }
         self.incarnations += 1;
         let restored = self.restore_notice(&info);
         let mut server = Server::new(info, self.incarnations);
-        if let Some((mark, notice)) = restored {
+        if let Some((incarnation, notice)) = restored {
             self.may_have_rate_limits |= notice.rate_limit().is_some();
-            server.incarnation = mark.updated_with(server.incarnation);
+            server.incarnation = incarnation.updated_with(server.incarnation);
             server.notice = notice;
         }
         match self.servers.iter_mut().find(|slot| slot.is_none()) {
@@ -177,11 +177,11 @@
 
     /// Admits a version again, since it is to be rolled out again.
     pub fn readmit_version(&mut self, version: &str) {
-        self.excluded_versions.retain(|bad| bad != version);
+        self.excluded_versions.retain(|excluded| excluded != version);
     }
 
     fn is_excluded(&self, version: &str) -> bool {
-        self.excluded_versions.iter().any(|bad| bad == version)
+        self.excluded_versions.iter().any(|excluded| excluded == version)
     }
 
     /// Whether a server may get requests under a version rule.
@@ -252,7 +252,7 @@
         if is_paced {
             server.warm_up.record_sent(now);
         }
-        let permit = server.notice.rate_limit().and_then(|_| server.permits.take(now));
+        let permit_granted_at = server.notice.rate_limit().and_then(|_| server.permits.take(now));
         let queued_ms = server.waiting_ms;
         server.admit(request, expected_ms, now);
         Some(Ticket {
@@ -261,7 +261,7 @@
             incarnation_number: server.incarnation_number,
             incarnation: server.incarnation.clone(),
             placed_at: now,
-            permit_granted_at: permit,
+            permit_granted_at,
             expected_ms,
             prefill_tokens: best.prefill_ms / request.prefill_ms_per_token.max(f64::MIN_POSITIVE),
             queued_ms,
@@ -287,33 +287,32 @@
     ) -> Option<Candidate> {
         let shared = shared_part(request.parts);
         let hashed_part = shared.filter(|_| self.scoring.named_servers);
-        let preferred =
-            hashed_part.and_then(|part_id| self.preferred_server(part_id.id, request, now));
+        let preferred = hashed_part.and_then(|part| self.preferred_server(part.id, request, now));
         let uncached_ms_per_token = PREFERRED_CACHE_PROBABILITY * request.prefill_ms_per_token
             + RECOMPUTE_MS_PER_1000_TOKENS / 1_000.0;
         let mut best: Option<Candidate> = None;
         for (index, server) in self.servers.iter().enumerate() {
             let Some(server) = server else { continue };
-            let open = self.may_serve(server, request.versions, now)
+            let is_available = self.may_serve(server, request.versions, now)
                 && self.has_room(server, permit_rule, now);
-            if !open || !request.allows(&server.info) {
+            if !is_available || !request.allows(&server.info) {
                 continue;
             }
-            let read_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
-            let begins_ms = server.first_byte_ms(request, read_ms, self.mean_prefill_ms, now);
-            let mut cost = server.cost(request, begins_ms, now, &self.local_data_centre);
+            let prefill_ms = server.uncached_tokens(request, now) * request.prefill_ms_per_token;
+            let first_byte_ms =
+                server.first_byte_ms(request, prefill_ms, self.mean_prefill_ms, now);
+            let mut cost = server.cost(request, first_byte_ms, now, &self.local_data_centre);
             // NB: without the random amount, the server that was chosen when its permit was
             // requested is chosen again once the permit is available.
             if !server.permits.is_available(now) {
                 cost += tie_breaker();
             }
             if preferred.is_some_and(|preferred| preferred != index) {
-                let tokens = shared.map_or(0, |part_id| part_id.tokens);
+                let tokens = shared.map_or(0, |part| part.tokens);
                 cost += f64::from(tokens) * uncached_ms_per_token;
             }
             if best.as_ref().is_none_or(|best| cost < best.cost) {
-                best =
-                    Some(Candidate { index, cost, prefill_ms: read_ms, first_byte_ms: begins_ms });
+                best = Some(Candidate { index, cost, prefill_ms, first_byte_ms });
             }
         }
         best
@@ -348,7 +347,7 @@
         }
     }
 
-    /// Records an answer of the server; `failed` says whether it was a failure of the server's own.
+    /// Records an answer of the server; `failed` says whether it was a failure of the server itself.
     pub fn record_outcome(&mut self, ticket: &Ticket, failed: bool, now: Duration) {
         if let Some(server) = self.server_of(ticket) {
             server.record_outcome(failed, now);
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -280,7 +280,7 @@
         let job = &self.job;
         let objective_ms = job.route.objective.as_millis().max(1) as f64;
         let elapsed_share = self.after_ms() as f64 / objective_ms;
-        let terms = forecasts::model_terms(&self.core, job, &self.avoid, elapsed_share);
+        let terms = forecasts::model_costs(&self.core, job, &self.avoid, elapsed_share);
         let mut state = self.core.state.borrow_mut();
         let cascade = state.cascades.entry(job.service.name.clone()).or_default();
         let response = (self.model, confidence);
