--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -174,9 +174,9 @@
     }
 
     /// Sets the fault mode of one entry's store connection.
-    pub fn set_store_fault(&self, entry: &Entry, weather: Weather) {
+    pub fn set_store_fault(&self, entry: &Entry, fault_mode: Weather) {
         let connections = self.connections.borrow();
-        connections.get(entry.name()).expect("an entry of this world").set_own_weather(weather);
+        connections.get(entry.name()).expect("an entry of this world").set_own_weather(fault_mode);
     }
 
     /// Writes a configuration to the store.
--- a/crates/direct/tests/peer_polling.rs
+++ b/crates/direct/tests/peer_polling.rs
@@ -72,16 +72,16 @@
 #[test]
 fn unreachable_source_is_replaced_within_two_seconds() {
     let silent = Weather::Silent(Duration::from_secs(30));
-    for weather in [silent, Weather::Refused] {
+    for fault_mode in [silent, Weather::Refused] {
         run_test(|world| async move {
             let net = Net::default();
             let entries = run_with_entries(&world, &net, 4).await;
             let source = Members::first_in_order(&["e0", "e1", "e2", "e3"]);
-            world.set_store_fault(&entries[source], weather);
+            world.set_store_fault(&entries[source], fault_mode);
             world.configure(catalog_with_keys(2, &["k1"]));
             sleep(Duration::from_millis(1_900)).await;
             for (n, entry) in entries.iter().enumerate().filter(|(n, _)| *n != source) {
-                assert_eq!(status(&world, entry, "k2").await, 401, "entry {n}, {weather:?}");
+                assert_eq!(status(&world, entry, "k2").await, 401, "entry {n}, {fault_mode:?}");
             }
             sleep(Duration::from_secs(4)).await;
             let of_source = [
@@ -89,7 +89,7 @@
                 status(&world, &entries[source], "k2").await,
             ];
             // The entry polls its peers, whether its store calls are refused or time out.
-            assert_eq!(of_source, [200, 401], "{weather:?}");
+            assert_eq!(of_source, [200, 401], "{fault_mode:?}");
         });
     }
 }
--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -23,18 +23,18 @@
 #[test]
 fn keys_are_honoured_only_while_confirmed() {
     let silent = Weather::Silent(Duration::from_secs(1));
-    for weather in [Weather::Refused, silent] {
+    for fault_mode in [Weather::Refused, silent] {
         run_test(|world| async move {
             start_one_server(&world).await;
-            world.store.set_weather(weather);
+            world.store.set_weather(fault_mode);
             sleep(Duration::from_secs(2)).await;
-            assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 200, "{fault_mode:?}");
             sleep(Duration::from_secs(3)).await;
-            assert_eq!(status(&world, "k1").await, 503, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 503, "{fault_mode:?}");
             assert!(!world.entry.is_ready());
             world.store.set_weather(Weather::Fair);
             sleep(Duration::from_secs(2)).await;
-            assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 200, "{fault_mode:?}");
         });
     }
 }
@@ -193,12 +193,12 @@
 
 #[test]
 fn bad_version_is_left_at_once_and_reported_reverted() {
-    for weather in [Weather::Fair, Weather::Refused, Weather::AnswersLost] {
+    for fault_mode in [Weather::Fair, Weather::Refused, Weather::AnswersLost] {
         run_test(|world| async move {
             roll_out(&world, Act::Answer(500, "bad".into())).await;
-            world.store.set_weather(weather);
+            world.store.set_weather(fault_mode);
             let bad = requests(&world, 60, "a").await + requests(&world, 20, "b").await;
-            assert!((4..=16).contains(&bad), "{bad} with {weather:?}");
+            assert!((4..=16).contains(&bad), "{bad} with {fault_mode:?}");
             world.store.set_weather(Weather::Fair);
             sleep(Duration::from_secs(3)).await;
             assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -41,11 +41,11 @@
     }
 }
 
-/// Makes the store unreachable for `away`, and restores it from the copy.
-async fn restore(world: &World, copy: &StoreCopy, away: Duration) {
-    if !away.is_zero() {
+/// Makes the store unreachable for `outage`, and restores it from the copy.
+async fn restore(world: &World, copy: &StoreCopy, outage: Duration) {
+    if !outage.is_zero() {
         world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
-        sleep(away).await;
+        sleep(outage).await;
     }
     world.store.restore(copy.clone());
     world.store.set_weather(Weather::Fair);
@@ -97,14 +97,14 @@
     assert_eq!(count_sent_to(world, entries, 1).await, 0);
 }
 
-fn changes_reach_all(count: u16, away: Duration) {
+fn changes_reach_all(count: u16, outage: Duration) {
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
         let copy = world.store.copy();
         write_lost_changes(&world);
         sleep(CHANGE_LIMIT).await;
-        restore(&world, &copy, away).await;
+        restore(&world, &copy, outage).await;
         sleep(SETTLING_TIME).await;
         assert_changes_reach(&world, &entries, CHANGE_LIMIT).await;
     });
@@ -220,8 +220,8 @@
                 match rng.random_range(0..6) {
                     0 => copy = world.store.copy(),
                     1 => {
-                        let away = Duration::from_millis(rng.random_range(0..3_000));
-                        restore(&world, &copy, if rng.random() { away } else { Duration::ZERO })
+                        let outage = Duration::from_millis(rng.random_range(0..3_000));
+                        restore(&world, &copy, if rng.random() { outage } else { Duration::ZERO })
                             .await;
                         copy = world.store.copy();
                     }
@@ -295,7 +295,7 @@
 
 #[test]
 fn servers_missing_in_the_copy_serve_for_a_grace_period() {
-    for away in [OUTAGE, Duration::ZERO] {
+    for outage in [OUTAGE, Duration::ZERO] {
         run_test(|world| async move {
             let net = Net::default();
             let entries = start(&world, &net, 4).await;
@@ -307,11 +307,11 @@
                 world.list_server(n, "s", "v1", "ready");
             }
             sleep(CHANGE_LIMIT).await;
-            restore(&world, &copy, away).await;
+            restore(&world, &copy, outage).await;
             for _ in 0..12 {
                 sleep(Duration::from_millis(100)).await;
                 for entry in &entries {
-                    assert_eq!(status(&world, entry, "k1").await, 200, "{away:?}");
+                    assert_eq!(status(&world, entry, "k1").await, 200, "{outage:?}");
                 }
             }
         });
@@ -327,7 +327,7 @@
 }
 
 /// Evacuates all data centres but one, and restores the store from a copy without that evacuation.
-async fn lose_evacuation(world: &World, entries: &[Entry]) {
+async fn restore_without_evacuation(world: &World, entries: &[Entry]) {
     world.backends.start(address(9), "s9", Act::Answer(200, "made".into()));
     world.list_server_in("dc2", 9, "s", "v1", "ready");
     let copy = world.store.copy();
@@ -342,7 +342,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        lose_evacuation(&world, &entries).await;
+        restore_without_evacuation(&world, &entries).await;
         for _ in 0..10 {
             sleep(Duration::from_millis(100)).await;
             assert_eq!(count_sent_to_evacuated(&world, &entries).await, 0);
@@ -358,7 +358,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        lose_evacuation(&world, &entries).await;
+        restore_without_evacuation(&world, &entries).await;
         sleep(2 * SETTLING_TIME).await;
         assert!(count_sent_to_evacuated(&world, &entries).await > 0, "it is revoked in the end");
     });
@@ -584,7 +584,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let entries = start(&world, &net, 4).await;
-        lose_evacuation(&world, &entries).await;
+        restore_without_evacuation(&world, &entries).await;
         let copy = world.store.copy();
         world.store.put("evacuate/dc1", "");
         sleep(CHANGE_LIMIT).await;
--- a/crates/direct/tests/usage_reports.rs
+++ b/crates/direct/tests/usage_reports.rs
@@ -225,18 +225,18 @@
 #[test]
 fn reports_catch_up_after_store_outage_or_lost_responses() {
     let seconds = Duration::from_secs;
-    let away = [Weather::Silent(seconds(1)), Weather::Refused, Weather::AnswersLost];
-    for weather in away {
+    let fault_modes = [Weather::Silent(seconds(1)), Weather::Refused, Weather::AnswersLost];
+    for fault_mode in fault_modes {
         run_test(|world| async move {
             let mut deployment = Deployment::start(&world, 24).await;
             deployment.send_load(seconds(12), 40).await;
-            world.store.set_weather(weather);
+            world.store.set_weather(fault_mode);
             // Keys are honoured only for the first seconds of that, so some requests are refused.
             deployment.send_load(seconds(5), 40).await;
             world.store.set_weather(Weather::Fair);
             deployment.send_load(seconds(15), 40).await;
             deployment.wait_until_due().await;
-            assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS, "{weather:?}");
+            assert_eq!(deployment.wrong_windows(0.0), NO_WINDOWS, "{fault_mode:?}");
             deployment.assert_consistent_reports();
         });
     }
