--- a/crates/decide/src/admission.rs
+++ b/crates/decide/src/admission.rs
@@ -133,7 +133,7 @@
         self.displace(work, start_tag)
     }
 
-    /// Starts the backoff that the server requested, capped at [`LONGEST_BACKOFF`].
+    /// Starts the backoff that the server requested, capped at [`MAX_SERVER_BACKOFF`].
     ///
     /// A later, shorter backoff does not shorten an earlier one.
     pub fn back_off(&mut self, now: Duration, backoff: Duration) {
