--- a/crates/pondwalk/src/commands/agent_mode/bench.rs
+++ b/crates/pondwalk/src/commands/agent_mode/bench.rs
@@ -24,13 +24,13 @@
 
 fn print(figures: &BenchFigures) {
     println!("{:<8} {:>10} {:>22} {:>22}", "way", "requests", "first token us", "whole answer us");
-    for (name, way) in [("direct", &figures.direct), ("routed", &figures.routed)] {
+    for (name, path) in [("direct", &figures.direct), ("routed", &figures.routed)] {
         for (quantile, q) in QUANTILES {
             println!(
                 "{name:<8} {:>10} {quantile:>8} {:>13} {quantile:>8} {:>13}",
-                way.sent,
-                way.first_us.value_at_quantile(q),
-                way.whole_us.value_at_quantile(q)
+                path.sent,
+                path.first_us.value_at_quantile(q),
+                path.whole_us.value_at_quantile(q)
             );
         }
     }
@@ -51,18 +51,18 @@
 }
 
 fn to_json(figures: &BenchFigures) -> Value {
-    let way = |way: &WayFigures| {
+    let path = |path: &WayFigures| {
         json!({
-            "requests": way.sent,
-            "first_token_us": QUANTILES.map(|(_, q)| way.first_us.value_at_quantile(q)),
-            "whole_answer_us": QUANTILES.map(|(_, q)| way.whole_us.value_at_quantile(q)),
-            "cpu_us": way.cpu.as_micros() as u64,
+            "requests": path.sent,
+            "first_token_us": QUANTILES.map(|(_, q)| path.first_us.value_at_quantile(q)),
+            "whole_answer_us": QUANTILES.map(|(_, q)| path.whole_us.value_at_quantile(q)),
+            "cpu_us": path.cpu.as_micros() as u64,
         })
     };
     json!({
         "quantiles": QUANTILES.map(|(name, _)| name),
-        "direct": way(&figures.direct),
-        "routed": way(&figures.routed),
+        "direct": path(&figures.direct),
+        "routed": path(&figures.routed),
         "added_first_token_us": QUANTILES.map(|(_, q)| figures.added_first_us(q)),
         "added_whole_answer_us": QUANTILES.map(|(_, q)| figures.added_whole_us(q)),
         "cpu_added_us_per_request": figures.cpu_per_request_us(),
