--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -73,12 +73,12 @@
     ///
     /// Returns whether it was drained within the configured limit.
     pub async fn drain(mut self) -> bool {
-        const POLL: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         self.begin_drain();
         let limit = self.core.settings.drain;
         let idle = async {
             while !self.is_drained() {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
         let completed = tokio::time::timeout(limit, idle).await.is_ok();
--- a/crates/agent/src/trials.rs
+++ b/crates/agent/src/trials.rs
@@ -49,9 +49,9 @@
 
     /// Records the end of a run.
     pub fn record_end(&mut self, now: Duration, version: &VersionId, failed: bool) {
-        const OLD_FAILURE_RATE: f64 = 0.01;
+        const ASSUMED_OLD_FAILURE_RATE: f64 = 0.01;
         if let Some((_, trial)) = self.trials.get_mut(version) {
-            trial.record_end(now, failed, OLD_FAILURE_RATE);
+            trial.record_end(now, failed, ASSUMED_OLD_FAILURE_RATE);
         }
     }
 
--- a/crates/decide/src/estimate.rs
+++ b/crates/decide/src/estimate.rs
@@ -10,7 +10,7 @@
     plan::duration_from_ms,
     tuning::{
         OUTPUT_PRIOR_TOKENS, PRIOR_ON_TIME_PROBABILITY, QUALITY_PRIOR_CHEAPEST,
-        QUALITY_PRIOR_DEAREST, QUALITY_PRIOR_WEIGHT, RUNNING_MEAN_GAIN, SERVICE_PRIOR_MS,
+        QUALITY_PRIOR_MOST_EXPENSIVE, QUALITY_PRIOR_WEIGHT, RUNNING_MEAN_GAIN, SERVICE_PRIOR_MS,
         TIME_PRIOR_MAX_OBSERVATIONS, TIME_PRIOR_WEIGHT,
     },
 };
@@ -132,12 +132,12 @@
         order.sort_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)));
         let last = order.len().saturating_sub(1).max(1) as f64;
         for (version, price) in prices {
-            let place = order.iter().position(|(other, _)| other == version).unwrap_or(0);
+            let position = order.iter().position(|(other, _)| other == version).unwrap_or(0);
             let entry = self.version_mut(*version);
             entry.price = *price;
             // NB: service times grow roughly with the cube root of the price.
             entry.prior_slowness = reference_cost(price).max(1e-9).cbrt();
-            entry.price_rank = place as f64 / last;
+            entry.price_rank = position as f64 / last;
         }
     }
 
@@ -165,8 +165,8 @@
         let quality = &self.version_task(version, task).quality;
         let rank = self.version(version).map_or(0.5, |estimate| estimate.price_rank);
         // NB: quality rises steeply among the cheapest versions and flattens with the price.
-        let span = QUALITY_PRIOR_DEAREST - QUALITY_PRIOR_CHEAPEST;
-        let prior = QUALITY_PRIOR_DEAREST - span * (1.0 - rank).powi(2);
+        let span = QUALITY_PRIOR_MOST_EXPENSIVE - QUALITY_PRIOR_CHEAPEST;
+        let prior = QUALITY_PRIOR_MOST_EXPENSIVE - span * (1.0 - rank).powi(2);
         let hits = quality.weight_at_least(target) + prior * QUALITY_PRIOR_WEIGHT;
         hits / (quality.total() + QUALITY_PRIOR_WEIGHT)
     }
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -316,9 +316,9 @@
 
     /// Whether the answer may be held: streaming callers have a bound on the first token.
     fn can_hold(&self, in_flight: &InFlightRequest, first: &Assessed) -> bool {
-        let shown_after =
+        let delivered_after =
             duration_from_ms(first.candidate.wait_ms + first.service_ms) + self.rating.delay;
-        !in_flight.streaming || shown_after <= MAX_FIRST_TOKEN_DELAY
+        !in_flight.streaming || delivered_after <= MAX_FIRST_TOKEN_DELAY
     }
 
     fn penalties(&self, in_flight: &InFlightRequest) -> Penalties {
--- a/crates/decide/src/servers.rs
+++ b/crates/decide/src/servers.rs
@@ -13,8 +13,8 @@
 use crate::{
     intern::{ServerIx, VersionIx},
     tuning::{
-        INITIAL_SERVER_BACKOFF, LOAD_HALF_LIFE, MAX_FULL_SCAN_SERVERS, MAX_PREFIX_SAVING,
-        MAX_SERVER_BACKOFF, REMOTE_PENALTY_MS, SAMPLED_SERVERS,
+        INITIAL_FAILURE_BACKOFF, LOAD_HALF_LIFE, MAX_FAILURE_BACKOFF, MAX_FULL_SCAN_SERVERS,
+        MAX_PREFIX_SAVING, REMOTE_PENALTY_MS, SAMPLED_SERVERS,
     },
 };
 
@@ -143,11 +143,11 @@
     /// Records a failure; repeated failures start an exponential backoff.
     pub fn record_failure(&mut self, ix: ServerIx, now: Duration) {
         if let Some(server) = self.get_mut(ix) {
-            let backoff = INITIAL_SERVER_BACKOFF * 2_u32.pow(server.failures.min(8));
+            let backoff = INITIAL_FAILURE_BACKOFF * 2_u32.pow(server.failures.min(8));
             server.failures += 1;
             // NB: a single failure is often caused by the request itself, so it starts no backoff.
             if server.failures > 1 {
-                server.backoff_until = now + backoff.min(MAX_SERVER_BACKOFF);
+                server.backoff_until = now + backoff.min(MAX_FAILURE_BACKOFF);
             }
         }
     }
@@ -198,8 +198,8 @@
             (backoff > 0.0, server.wait_ms(now, service_ms))
         });
         // NB: servers in backoff count only if there is no other; `false` sorts before `true`.
-        let least = waits.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        least.map_or(f64::INFINITY, |(_, wait_ms)| wait_ms)
+        let min_wait = waits.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        min_wait.map_or(f64::INFINITY, |(_, wait_ms)| wait_ms)
     }
 
     /// The server that most likely has the prefix in its cache.
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -7,7 +7,7 @@
 /// Prior share of answers that meet the target, for the cheapest version.
 pub const QUALITY_PRIOR_CHEAPEST: f64 = 0.5;
 /// Prior share of answers that meet the target, for the most expensive version.
-pub const QUALITY_PRIOR_DEAREST: f64 = 0.97;
+pub const QUALITY_PRIOR_MOST_EXPENSIVE: f64 = 0.97;
 /// Total weight of a histogram at which all weights are halved.
 pub const HISTOGRAM_WINDOW: f32 = 600.0;
 /// Number of observations that the prior of a service time counts as.
@@ -75,9 +75,9 @@
 /// Age at which a load report counts half.
 pub const LOAD_HALF_LIFE: Duration = Duration::from_millis(1_000);
 /// Base of the backoff of a failing server; doubles with each failure in a row.
-pub const INITIAL_SERVER_BACKOFF: Duration = Duration::from_millis(500);
+pub const INITIAL_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 /// Maximum backoff of a failing server.
-pub const MAX_SERVER_BACKOFF: Duration = Duration::from_secs(15);
+pub const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(15);
 
 /// Retries added to the budget by each first attempt.
 pub const RETRIES_PER_REQUEST: f64 = 0.1;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -107,9 +107,9 @@
     }
 
     async fn wait_for_bills(&self) {
-        const POLL: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         while self.core.bills.backlog() > 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
