--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -99,7 +99,10 @@
         };
         let entries: Vec<(Entry, u64)> = (0..32).map(start).collect();
         for (entry, link_mbps) in &entries {
-            world.set_store_fault(entry, FaultMode::LimitedBandwidth(link_mbps * NARROW_BYTES_PER_S / 10));
+            world.set_store_fault(
+                entry,
+                FaultMode::LimitedBandwidth(link_mbps * NARROW_BYTES_PER_S / 10),
+            );
         }
         sleep(Duration::from_secs(6)).await;
         let (wide, narrow): (Vec<_>, Vec<_>) =
