--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -61,6 +61,7 @@
     /// `None` if the run was admitted; otherwise the reason why it was not run.
     pub refusal: Option<Refusal>,
     /// Current state of the agent.
+    #[serde(rename = "news")]
     pub snapshot: AgentSnapshot,
 }
 
@@ -96,6 +97,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FrameBatch {
     /// Current state of the agent.
+    #[serde(rename = "news")]
     pub snapshot: AgentSnapshot,
     /// Frames with consecutive sequence numbers.
     pub frames: Vec<Frame>,
@@ -151,6 +153,7 @@
     /// Number of requests that the server runs concurrently.
     pub slots: u32,
     /// Current state of the agent.
+    #[serde(rename = "news")]
     pub snapshot: AgentSnapshot,
 }
 
