--- a/crates/direct/tests/store_faults.rs
+++ b/crates/direct/tests/store_faults.rs
@@ -9,7 +9,7 @@
 use pondwalk_standin::{backends::Behaviour, memory_store::FaultMode};
 use tokio::time::sleep;
 
-async fn with_one_server(world: &World) {
+async fn start_one_server(world: &World) {
     world.configure(catalog(1));
     world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
     world.start().await;
@@ -23,18 +23,18 @@
 #[test]
 fn keys_are_honoured_only_while_confirmed() {
     let silent = FaultMode::Silent(Duration::from_secs(1));
-    for weather in [FaultMode::Refused, silent] {
+    for fault_mode in [FaultMode::Refused, silent] {
         run_test(|world| async move {
-            with_one_server(&world).await;
-            world.store.set_fault_mode(weather);
+            start_one_server(&world).await;
+            world.store.set_fault_mode(fault_mode);
             sleep(Duration::from_secs(2)).await;
-            assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 200, "{fault_mode:?}");
             sleep(Duration::from_secs(3)).await;
-            assert_eq!(status(&world, "k1").await, 503, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 503, "{fault_mode:?}");
             assert!(!world.entry.is_ready());
             world.store.set_fault_mode(FaultMode::Normal);
             sleep(Duration::from_secs(2)).await;
-            assert_eq!(status(&world, "k1").await, 200, "{weather:?}");
+            assert_eq!(status(&world, "k1").await, 200, "{fault_mode:?}");
         });
     }
 }
@@ -42,7 +42,7 @@
 #[test]
 fn non_strict_deployment_honours_known_keys_longer() {
     run_test_with("strict_keys=false\nlenient_key_bound_ms=20000", |world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(15)).await;
         assert_eq!(status(&world, "k1").await, 200);
@@ -57,7 +57,7 @@
 #[test]
 fn strict_deployment_ignores_the_longer_bound() {
     run_test_with("strict_keys=true\nlenient_key_bound_ms=20000", |world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(6)).await;
         assert_eq!(status(&world, "k1").await, 503);
@@ -67,7 +67,7 @@
 #[test]
 fn anonymous_requests_are_served_during_store_outage() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(30)).await;
         let mut open = request("/open/", "r1");
@@ -82,7 +82,7 @@
 #[test]
 fn removed_key_is_refused_and_added_key_accepted_at_once() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.configure(catalog_with_keys(2, &["k1", "k3"]));
         sleep(Duration::from_millis(500)).await;
         assert_eq!(status(&world, "k2").await, 401);
@@ -111,7 +111,7 @@
 #[test]
 fn older_configuration_is_not_applied() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.configure(catalog_with_keys(5, &["k1"]));
         sleep(Duration::from_millis(500)).await;
         world.configure(catalog(4));
@@ -123,7 +123,7 @@
 #[test]
 fn changes_are_found_after_lost_history() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.start_server(2, "s", "v1", Behaviour::Answer(200, "made".into()));
         sleep(Duration::from_millis(500)).await;
         world.store.set_fault_mode(FaultMode::Refused);
@@ -145,7 +145,7 @@
 #[test]
 fn idle_store_is_called_less_than_once_a_second() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         let before = world.store.calls();
         sleep(Duration::from_secs(60)).await;
         let calls = world.store.calls() - before;
@@ -193,12 +193,12 @@
 
 #[test]
 fn bad_version_is_left_at_once_and_reported_reverted() {
-    for weather in [FaultMode::Normal, FaultMode::Refused, FaultMode::AnswersLost] {
+    for fault_mode in [FaultMode::Normal, FaultMode::Refused, FaultMode::AnswersLost] {
         run_test(|world| async move {
             roll_out(&world, Behaviour::Answer(500, "bad".into())).await;
-            world.store.set_fault_mode(weather);
+            world.store.set_fault_mode(fault_mode);
             let bad = requests(&world, 60, "a").await + requests(&world, 20, "b").await;
-            assert!((4..=16).contains(&bad), "{bad} with {weather:?}");
+            assert!((4..=16).contains(&bad), "{bad} with {fault_mode:?}");
             world.store.set_fault_mode(FaultMode::Normal);
             sleep(Duration::from_secs(3)).await;
             assert_eq!(world.store.value("progress/s").as_deref(), Some("v2 Reverted"));
@@ -263,11 +263,11 @@
 #[test]
 fn refusal_log_shows_its_reason() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(6)).await;
-        let answer = world.call(request("/once/", "r-17")).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+        let response = world.call(request("/once/", "r-17")).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
         let lines = world.entry.buffered_log_lines();
         let line = lines.lines().find(|line| line.contains("r-17")).expect("a line");
         for part in ["request_refused", "\"stale\"", "\"freshness_ms\":", "\"configuration\":1"] {
@@ -280,7 +280,7 @@
 #[test]
 fn server_lapsed_during_outage_serves_for_a_grace_period() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
@@ -296,7 +296,7 @@
 #[test]
 fn server_missing_after_outage_gets_nothing_two_seconds_later() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.set_fault_mode(FaultMode::Refused);
         sleep(Duration::from_secs(1)).await;
         world.store.remove("server/s1");
@@ -309,7 +309,7 @@
 #[test]
 fn server_removed_with_working_store_gets_nothing_at_once() {
     run_test(|world| async move {
-        with_one_server(&world).await;
+        start_one_server(&world).await;
         world.store.remove("server/s1");
         sleep(Duration::from_millis(100)).await;
         assert_eq!(status(&world, "k1").await, 503);
