--- a/crates/replay/src/simulation/fleet.rs
+++ b/crates/replay/src/simulation/fleet.rs
@@ -10,7 +10,7 @@
 
 /// Service time that agents expect of every run on a model; it is constant because queues are
 /// ordered by shares rather than by service times.
-const EXPECTED_SERVICE: Duration = Duration::from_secs(1);
+const EXPECTED_SERVICE_TIME: Duration = Duration::from_secs(1);
 
 /// A simulated server.
 pub struct SimulatedServer {
@@ -75,7 +75,7 @@
         let fallback = WorkspacePolicy::default();
         let workspace = policy.workspaces.get(&recorded.workspace).unwrap_or(&fallback);
         let expected_service_time =
-            if run.is_service { Duration::from_millis(10) } else { EXPECTED_SERVICE };
+            if run.is_service { Duration::from_millis(10) } else { EXPECTED_SERVICE_TIME };
         QueuedWork {
             ticket,
             workspace: recorded.workspace.clone(),
--- a/crates/replay/src/simulation/runs.rs
+++ b/crates/replay/src/simulation/runs.rs
@@ -45,9 +45,9 @@
         let ends_at = now + self.runs[run].outcome.service_time;
         self.events.push(ends_at, Event::RunEnded(run));
         self.requests[request].starts += 1;
-        let is_second_start =
+        let is_forbidden_repeat =
             self.requests[request].starts == 2 && !self.requests[request].recorded.repeatable;
-        if is_second_start {
+        if is_forbidden_repeat {
             self.count(request, |stats| stats.ran_twice += 1);
         }
         let leaving = self.fleet.get_mut(server).leaving_since;
--- a/crates/replay/tests/policy_guarantees.rs
+++ b/crates/replay/tests/policy_guarantees.rs
@@ -73,9 +73,9 @@
         for (_, line) in &self.lines {
             writeln!(text, "{line}").expect("writes to a string");
         }
-        let trace = Trace::parse("trace", &text).expect("a good trace");
+        let trace = Trace::parse("trace", &text).expect("a valid trace");
         let settings = RawFile::parse(Path::new("settings"), SETTINGS).expect("INI");
-        let settings = ReplaySettings::try_from(settings).expect("good settings");
+        let settings = ReplaySettings::try_from(settings).expect("valid settings");
         let policy = PolicyName::parse(policy).expect("a policy");
         replay("trace", &trace, &settings, policy, 1).expect("replayed")
     }
@@ -204,7 +204,7 @@
     let text = "[outcome]\nrequests = == 20\nlatency_ms.p95 = < 10\n\
                 tasks.draft.answered = >= 20\nworkspaces.w.nothing = >= 0\n";
     let raw = RawFile::parse(Path::new("outcomes"), text).expect("INI");
-    let unmet = report.unmet(&Outcomes::try_from(raw).expect("good outcomes"));
+    let unmet = report.unmet(&Outcomes::try_from(raw).expect("valid outcomes"));
     let paths: Vec<&str> = unmet.iter().map(|unmet| unmet.outcome.path.as_str()).collect();
     assert_eq!(paths, ["latency_ms.p95", "workspaces.w.nothing"]);
     assert!(unmet[0].to_string().contains("found"), "{}", unmet[0]);
--- a/crates/replay/tests/trace_validation.rs
+++ b/crates/replay/tests/trace_validation.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn valid_trace_is_accepted() {
-    let trace = Trace::parse("t.jsonl", &request(("\"task\"", "\"task\""))).expect("good");
+    let trace = Trace::parse("t.jsonl", &request(("\"task\"", "\"task\""))).expect("a valid trace");
     assert_eq!(trace.lines.len(), 2);
 }
 
