--- a/crates/demo/src/bench.rs
+++ b/crates/demo/src/bench.rs
@@ -53,11 +53,11 @@
 
 /// Figures of one way.
 #[derive(Debug, Clone)]
-pub struct WayFigures {
+pub struct PathResults {
     /// Time to the whole answer.
-    pub whole_us: Histogram<u64>,
+    pub total_us: Histogram<u64>,
     /// Time to the first token.
-    pub first_us: Histogram<u64>,
+    pub first_token_us: Histogram<u64>,
     /// Processor time of the threads of entry and agent.
     pub cpu: Duration,
     /// Requests sent.
@@ -66,25 +66,25 @@
 
 /// Figures of both ways.
 #[derive(Debug, Clone)]
-pub struct BenchFigures {
+pub struct BenchResults {
     /// To the engine directly.
-    pub direct: WayFigures,
+    pub direct: PathResults,
     /// Through entry and agent.
-    pub routed: WayFigures,
+    pub routed: PathResults,
     /// Tokens of each answer.
     pub tokens: u64,
 }
 
-impl BenchFigures {
+impl BenchResults {
     /// Latency added at a quantile to the first token, in microseconds.
-    pub fn added_first_us(&self, quantile: f64) -> i64 {
-        let at = |way: &WayFigures| way.first_us.value_at_quantile(quantile) as i64;
+    pub fn added_first_token_us(&self, quantile: f64) -> i64 {
+        let at = |way: &PathResults| way.first_token_us.value_at_quantile(quantile) as i64;
         at(&self.routed) - at(&self.direct)
     }
 
     /// Latency added at a quantile to the whole answer, in microseconds.
-    pub fn added_whole_us(&self, quantile: f64) -> i64 {
-        let at = |way: &WayFigures| way.whole_us.value_at_quantile(quantile) as i64;
+    pub fn added_total_us(&self, quantile: f64) -> i64 {
+        let at = |way: &PathResults| way.total_us.value_at_quantile(quantile) as i64;
         at(&self.routed) - at(&self.direct)
     }
 
@@ -95,7 +95,7 @@
 }
 
 /// Runs both ways one after the other.
-pub async fn run(plan: &BenchPlan) -> Result<BenchFigures, BenchError> {
+pub async fn run(plan: &BenchPlan) -> Result<BenchResults, BenchError> {
     const VERSION: &str = "bench/1";
     const WARM_UP: Duration = Duration::from_secs(1);
     let deployment = start(plan, VERSION).await?;
@@ -107,7 +107,7 @@
     drive(&warm_up, entry, VERSION).await?;
     let direct = drive(plan, engine, VERSION).await?;
     let routed = drive(plan, entry, VERSION).await?;
-    Ok(BenchFigures { direct, routed, tokens: plan.tokens })
+    Ok(BenchResults { direct, routed, tokens: plan.tokens })
 }
 
 async fn start(plan: &BenchPlan, version: &str) -> Result<Deployment, BenchError> {
@@ -143,7 +143,7 @@
     plan: &BenchPlan,
     address: SocketAddr,
     version: &str,
-) -> Result<WayFigures, BenchError> {
+) -> Result<PathResults, BenchError> {
     let client = reqwest::Client::builder().pool_max_idle_per_host(1_000).build();
     let client = client.unwrap_or_default();
     let body = json!({
@@ -163,14 +163,14 @@
         let call = timed(client.clone(), address, body.clone());
         calls.spawn(async move { tokio::time::timeout(PATIENCE, call).await.ok().flatten() });
     }
-    let mut whole_us = histogram();
-    let mut first_us = histogram();
+    let mut total_us = histogram();
+    let mut first_token_us = histogram();
     let mut failed = 0;
     while let Some(ended) = calls.join_next().await {
         match ended {
             Ok(Some((first, whole))) => {
-                first_us.saturating_record(first.as_micros() as u64);
-                whole_us.saturating_record(whole.as_micros() as u64);
+                first_token_us.saturating_record(first.as_micros() as u64);
+                total_us.saturating_record(whole.as_micros() as u64);
             }
             _ => failed += 1,
         }
@@ -180,7 +180,7 @@
     if failed > 0 {
         return Err(BenchError::NotWhole { failed, sent });
     }
-    Ok(WayFigures { whole_us, first_us, cpu, sent })
+    Ok(PathResults { total_us, first_token_us, cpu, sent })
 }
 
 /// Times to the first token and to the end of one answer; `None` if it is not whole.
--- a/crates/demo/src/day.rs
+++ b/crates/demo/src/day.rs
@@ -61,7 +61,7 @@
 
 impl DemoReport {
     /// Whether every promise held.
-    pub fn is_good(&self) -> bool {
+    pub fn has_passed(&self) -> bool {
         self.promises.iter().all(|promise| promise.broken.is_empty())
     }
 }
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -30,19 +30,19 @@
     /// What was tried.
     pub name: &'static str,
     /// How often.
-    pub tried: u64,
+    pub checked: u64,
     /// Cases that broke, each with what was seen.
     pub broken: Vec<String>,
 }
 
 impl Finding {
     fn new(name: &'static str) -> Self {
-        Finding { name, tried: 0, broken: Vec::new() }
+        Finding { name, checked: 0, broken: Vec::new() }
     }
 
     /// Notes one case; `seen` is shown if it does not hold.
     fn expect(&mut self, holds: bool, seen: impl FnOnce() -> String) {
-        self.tried += 1;
+        self.checked += 1;
         if !holds {
             self.broken.push(seen());
         }
@@ -73,7 +73,7 @@
     /// Orders with an old fence, or whose time is over.
     StaleOrders,
     /// A roll-out whose conductor died.
-    ConductorKilled,
+    CoordinatorKilled,
     /// An entry that has nothing to do for longer than agents keep answers.
     IdleEntry,
     /// Servers that name rate limits.
@@ -93,13 +93,13 @@
         Fault::PlannedStops,
         Fault::CutAnswers,
         Fault::StaleOrders,
-        Fault::ConductorKilled,
+        Fault::CoordinatorKilled,
         Fault::IdleEntry,
         Fault::ServerLimits,
     ];
 
     /// Brings the fault about on a deployment of its own.
-    pub async fn bring_about(self) -> Result<Finding, DemoError> {
+    pub async fn inject(self) -> Result<Finding, DemoError> {
         let mut deployment = Deployment::start(&fault_plan()).await?;
         if !deployment.wait_ready(START_LIMIT).await {
             return Err(DemoError::NotReady);
@@ -117,7 +117,7 @@
             Fault::StaleOrders => orders::stale_orders(&deployment).await,
             Fault::IdleEntry => leaving::idle_entry(&deployment).await,
             Fault::ServerLimits => limits::server_limits(&deployment).await,
-            Fault::ConductorKilled => orders::conductor_killed(&mut deployment).await,
+            Fault::CoordinatorKilled => orders::coordinator_killed(&mut deployment).await,
         }
     }
 }
--- a/crates/demo/src/faults/orders.rs
+++ b/crates/demo/src/faults/orders.rs
@@ -41,7 +41,7 @@
 }
 
 /// The conductor dies in mid-roll-out: another goes on, with a higher fence.
-pub async fn conductor_killed(deployment: &mut Deployment) -> Result<Finding, DemoError> {
+pub async fn coordinator_killed(deployment: &mut Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("the conductor of a roll-out killed halfway: another one finishes it");
     let roll_out = RollOut { version: plan::NEW.to_owned(), replaces: plan::OLD.to_owned() };
--- a/crates/demo/src/promises.rs
+++ b/crates/demo/src/promises.rs
@@ -13,7 +13,7 @@
     /// What must hold.
     pub name: &'static str,
     /// How often it was tried.
-    pub tried: u64,
+    pub checked: u64,
     /// Cases in which it broke.
     pub broken: Vec<String>,
 }
@@ -76,7 +76,7 @@
 
     fn sessions(&self) -> Promise {
         let mut last: HashMap<&str, &str> = HashMap::new();
-        let mut tried = 0;
+        let mut checked = 0;
         let mut broken = Vec::new();
         for asked in self.in_order() {
             let (Some((session, _)), Some(version)) =
@@ -85,12 +85,12 @@
                 continue;
             };
             let before = last.insert(session, version);
-            tried += usize::from(before.is_some());
+            checked += usize::from(before.is_some());
             if before.is_some_and(|before| before != version) && !asked.reply.restarted {
                 broken.push(asked.request.request.clone());
             }
         }
-        promise("a session keeps its version", tried, broken)
+        promise("a session keeps its version", checked, broken)
     }
 
     fn billed_once(&self) -> Promise {
@@ -148,20 +148,20 @@
 
     fn configuration(&self) -> Promise {
         let mut broken = Vec::new();
-        let mut tried = 0;
+        let mut checked = 0;
         for (process, seen) in &self.generations {
-            tried += seen.len();
+            checked += seen.len();
             if seen.windows(2).any(|pair| pair[1] < pair[0]) {
                 broken.push(format!("{process} went back: {seen:?}"));
             }
         }
         for ms in &self.in_force_ms {
-            tried += 1;
+            checked += 1;
             if *ms > IN_FORCE_LIMIT_MS {
                 broken.push(format!("in force only after {ms} ms"));
             }
         }
-        promise("a configuration is in force within seconds and never reverts", tried, broken)
+        promise("a configuration is in force within seconds and never reverts", checked, broken)
     }
 
     fn runs_by_request(&self) -> HashMap<&str, Vec<&str>> {
@@ -183,6 +183,6 @@
     asked.map(|asked| asked.request.request.clone()).collect()
 }
 
-fn promise(name: &'static str, tried: usize, broken: Vec<String>) -> Promise {
-    Promise { name, tried: tried as u64, broken }
+fn promise(name: &'static str, checked: usize, broken: Vec<String>) -> Promise {
+    Promise { name, checked: checked as u64, broken }
 }
--- a/crates/demo/tests/survives_faults.rs
+++ b/crates/demo/tests/survives_faults.rs
@@ -3,8 +3,8 @@
 use pondwalk_demo::faults::Fault;
 
 async fn check(fault: Fault) {
-    let finding = fault.bring_about().await.expect("the deployment runs");
-    assert!(finding.tried > 0);
+    let finding = fault.inject().await.expect("the deployment runs");
+    assert!(finding.checked > 0);
     assert!(finding.broken.is_empty(), "{}: {:#?}", finding.name, finding.broken);
 }
 
@@ -31,6 +31,6 @@
     a_cut_answer_is_repeated_or_told => CutAnswers,
     stale_orders_are_not_carried_out => StaleOrders,
     an_idle_entry_is_not_taken_for_gone => IdleEntry,
-    a_roll_out_outlives_its_conductor => ConductorKilled,
+    a_roll_out_outlives_its_conductor => CoordinatorKilled,
     servers_that_name_a_limit_get_no_more => ServerLimits,
 }
--- a/crates/pondwalk/src/commands/agent_mode/bench.rs
+++ b/crates/pondwalk/src/commands/agent_mode/bench.rs
@@ -1,7 +1,7 @@
 //! `pondwalk bench`: measures the overhead of entry and agent.
 
 use pondwalk_config::shared::LogLevel;
-use pondwalk_demo::bench::{BenchFigures, WayFigures, run as measure};
+use pondwalk_demo::bench::{BenchResults, PathResults, run as measure};
 use serde_json::{Value, json};
 
 use crate::{exit::Exit, options::BenchOptions, telemetry};
@@ -22,23 +22,23 @@
     Ok(Exit::Success)
 }
 
-fn print(figures: &BenchFigures) {
+fn print(figures: &BenchResults) {
     println!("{:<8} {:>10} {:>22} {:>22}", "way", "requests", "first token us", "whole answer us");
     for (name, way) in [("direct", &figures.direct), ("routed", &figures.routed)] {
         for (quantile, q) in QUANTILES {
             println!(
                 "{name:<8} {:>10} {quantile:>8} {:>13} {quantile:>8} {:>13}",
                 way.sent,
-                way.first_us.value_at_quantile(q),
-                way.whole_us.value_at_quantile(q)
+                way.first_token_us.value_at_quantile(q),
+                way.total_us.value_at_quantile(q)
             );
         }
     }
     for (quantile, q) in QUANTILES {
         println!(
             "added at {quantile}: {} us to the first token, {} us to the whole answer",
-            figures.added_first_us(q),
-            figures.added_whole_us(q)
+            figures.added_first_token_us(q),
+            figures.added_total_us(q)
         );
     }
     let request_us = figures.cpu_per_request_us();
@@ -50,12 +50,12 @@
     );
 }
 
-fn to_json(figures: &BenchFigures) -> Value {
-    let way = |way: &WayFigures| {
+fn to_json(figures: &BenchResults) -> Value {
+    let way = |way: &PathResults| {
         json!({
             "requests": way.sent,
-            "first_token_us": QUANTILES.map(|(_, q)| way.first_us.value_at_quantile(q)),
-            "whole_answer_us": QUANTILES.map(|(_, q)| way.whole_us.value_at_quantile(q)),
+            "first_token_us": QUANTILES.map(|(_, q)| way.first_token_us.value_at_quantile(q)),
+            "whole_answer_us": QUANTILES.map(|(_, q)| way.total_us.value_at_quantile(q)),
             "cpu_us": way.cpu.as_micros() as u64,
         })
     };
@@ -63,8 +63,8 @@
         "quantiles": QUANTILES.map(|(name, _)| name),
         "direct": way(&figures.direct),
         "routed": way(&figures.routed),
-        "added_first_token_us": QUANTILES.map(|(_, q)| figures.added_first_us(q)),
-        "added_whole_answer_us": QUANTILES.map(|(_, q)| figures.added_whole_us(q)),
+        "added_first_token_us": QUANTILES.map(|(_, q)| figures.added_first_token_us(q)),
+        "added_whole_answer_us": QUANTILES.map(|(_, q)| figures.added_total_us(q)),
         "cpu_added_us_per_request": figures.cpu_per_request_us(),
         "tokens_per_answer": figures.tokens,
     })
--- a/crates/pondwalk/src/commands/agent_mode/demo.rs
+++ b/crates/pondwalk/src/commands/agent_mode/demo.rs
@@ -18,17 +18,17 @@
     let report = runtime.block_on(run_day(options.deployment, |step| println!("{step}")))?;
     println!("\n{}", report.table);
     for promise in &report.promises {
-        show(promise.name, promise.tried, &promise.broken);
+        show(promise.name, promise.checked, &promise.broken);
     }
-    Ok(if report.is_good() { Exit::Success } else { Exit::CheckFailed })
+    Ok(if report.has_passed() { Exit::Success } else { Exit::CheckFailed })
 }
 
 async fn inject_faults() -> anyhow::Result<Exit> {
     let mut all_kept = true;
     for fault in Fault::ALL {
-        let finding = fault.bring_about().await?;
+        let finding = fault.inject().await?;
         all_kept &= finding.broken.is_empty();
-        show(finding.name, finding.tried, &finding.broken);
+        show(finding.name, finding.checked, &finding.broken);
     }
     Ok(if all_kept { Exit::Success } else { Exit::CheckFailed })
 }
