--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until they are closed.
+//! Callers that reuse each connection until it is closed.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,81 +22,85 @@
 
 use crate::{
     deployment::{Deployment, HOST_NAME, key_text},
-    records::{End, Exchange, Route, Version, now_us},
+    records::{ConfigVersion, Exchange, Outcome, Route, now_us},
     roles::EVENTS,
 };
 
-/// Time that a caller gives its request.
+/// Deadline of each request.
 pub const DEADLINE: Duration = Duration::from_millis(3_000);
-/// Time beyond it after which no answer counts as coming any more.
-const WELL_AFTER: Duration = Duration::from_millis(1_000);
-/// Time for a connection to open.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-/// Longest pause between two requests.
-const LONGEST_PAUSE_MS: u64 = 200;
-/// Pause before another connection is tried.
+/// Time after the deadline until a request counts as unanswered.
+const ANSWER_GRACE: Duration = Duration::from_millis(1_000);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum pause between two requests, in milliseconds.
+const MAX_PAUSE_MS: u64 = 200;
+/// Pause before the next connection attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// One caller.
+/// A caller, which sends one request at a time.
 pub struct Caller {
-    /// Its place among all, which starts its random numbers.
+    /// Number among all callers; part of the random seed.
     pub number: usize,
-    /// Entry that it goes to as long as that is open.
-    pub home: usize,
-    /// When it makes its last request.
+    /// Entry that the caller uses while the entry is ready.
+    pub preferred_entry: usize,
+    /// Time after which the caller sends no more requests.
     pub until: Instant,
 }
 
 impl Caller {
-    /// Sends requests until its time is over.
+    /// Sends requests until the time is over.
     pub async fn run(self, deployment: Rc<Deployment>, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ ((self.number as u64 + 1) << 32));
         let dialect = pondwalk_platform::dialect();
         let sent = Cell::new(0);
         while Instant::now() < self.until {
-            let Some((entry, address)) = self.open_entry(&deployment) else {
+            let Some((entry, address)) = self.ready_entry(&deployment) else {
                 sleep(RETRY_PAUSE).await;
                 continue;
             };
-            match timeout(CONNECT_LIMIT, open(address)).await {
+            match timeout(CONNECT_TIMEOUT, connect(address)).await {
                 Ok(Some(mut sender)) => {
-                    let line = Line { caller: &self, deployment: &deployment, dialect: &dialect };
-                    line.use_up(&mut sender, entry, &sent, &mut rng).await;
+                    let connection = CallerConnection {
+                        caller: &self,
+                        deployment: &deployment,
+                        dialect: &dialect,
+                    };
+                    connection.send_until_closed(&mut sender, entry, &sent, &mut rng).await;
                 }
                 _ => sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    /// Its own entry, or the next that is open.
-    fn open_entry(&self, deployment: &Deployment) -> Option<(usize, SocketAddr)> {
+    /// Returns the preferred entry, or the next one that is ready, with its address.
+    fn ready_entry(&self, deployment: &Deployment) -> Option<(usize, SocketAddr)> {
         let count = deployment.entries();
-        let places = (0..count).map(|step| (self.home + step) % count);
-        let mut open = places.filter_map(|entry| Some((entry, deployment.open_at(entry)?)));
-        open.next()
+        let entries = (0..count).map(|step| (self.preferred_entry + step) % count);
+        let mut ready = entries.filter_map(|entry| Some((entry, deployment.ready_address(entry)?)));
+        ready.next()
     }
 }
 
 /// Opens a connection to an entry.
-pub async fn open(address: SocketAddr) -> Option<Sender> {
+pub async fn connect(address: SocketAddr) -> Option<Sender> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move { connection.await.unwrap_or_default() });
     Some(sender)
 }
 
-/// One connection of a caller.
-struct Line<'a> {
+/// Connection of a caller to an entry.
+struct CallerConnection<'a> {
     caller: &'a Caller,
     deployment: &'a Deployment,
     dialect: &'a Dialect,
 }
 
-impl Line<'_> {
-    /// Sends requests on it until it is closed.
-    async fn use_up(
+impl CallerConnection<'_> {
+    /// Sends requests on the connection until it is closed.
+    async fn send_until_closed(
         &self,
         sender: &mut Sender,
         entry: usize,
@@ -107,29 +111,29 @@
             let number = sent.replace(sent.get() + 1);
             let id = format!("{:04x}{number:08x}", self.caller.number);
             let route = *Route::ALL.choose(rng).unwrap_or(&Route::Again);
-            let key = draw_key(self.deployment.version(), rng);
+            let key = draw_key(self.deployment.config_version(), rng);
             let sent_us = now_us();
-            let asked = request(self.dialect, &id, route, key, "asked".to_owned());
-            let Ok(request) = asked else { return };
-            let limit = DEADLINE + WELL_AFTER;
+            let built = request(self.dialect, &id, route, key, "asked".to_owned());
+            let Ok(request) = built else { return };
+            let limit = DEADLINE + ANSWER_GRACE;
             let ended = timeout(limit, exchange(sender, request, &id, route, self.dialect)).await;
-            let (end, goes_on) = ended.unwrap_or((End::Never, false));
-            let exchange = Exchange { id, entry, route, key, sent_us, ended_us: now_us(), end };
+            let (outcome, is_reusable) = ended.unwrap_or((Outcome::NoAnswer, false));
+            let exchange = Exchange { id, entry, route, key, sent_us, ended_us: now_us(), outcome };
             self.deployment.records.borrow_mut().exchanges.push(exchange);
-            if !goes_on {
+            if !is_reusable {
                 return;
             }
-            sleep(Duration::from_millis(rng.random_range(0..LONGEST_PAUSE_MS))).await;
+            sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
         }
     }
 }
 
-/// A request to a route under a key.
+/// Builds a request for a route with the key of a configuration.
 pub fn request(
     dialect: &Dialect,
     id: &str,
     route: Route,
-    key: Version,
+    key: ConfigVersion,
     body: String,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
     Request::post(route.path())
@@ -140,43 +144,43 @@
         .body(Full::from(body))
 }
 
-/// Mostly the newest key, sometimes the one before, seldom one that was taken away.
-fn draw_key(version: Version, rng: &mut Pcg64Mcg) -> Version {
+/// Draws the key for a request: mostly the newest, sometimes the previous one, rarely a removed one.
+fn draw_key(config_version: ConfigVersion, rng: &mut Pcg64Mcg) -> ConfigVersion {
     let back = match rng.random_range(0..20) {
         0..16 => 0,
         16..19 => 1,
         _ => 2,
     };
-    version.saturating_sub(back).max(1)
+    config_version.saturating_sub(back).max(1)
 }
 
-/// Sends a request and judges its answer; tells too whether the connection goes on.
+/// Sends a request; returns its outcome and whether the connection can be reused.
 pub async fn exchange(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
     id: &str,
     route: Route,
     dialect: &Dialect,
-) -> (End, bool) {
-    let Ok(answer) = sender.send_request(request).await else { return (End::Cut, false) };
+) -> (Outcome, bool) {
+    let Ok(answer) = sender.send_request(request).await else { return (Outcome::Cut, false) };
     let status = answer.status().as_u16();
-    let closes = answer.headers().get(CONNECTION).is_some_and(|value| value == "close");
+    let closes_connection = answer.headers().get(CONNECTION).is_some_and(|value| value == "close");
     let is_own = answer.headers().get(&dialect.request_id).is_some_and(|value| value == id);
-    match read(answer).await {
+    match read_body(answer).await {
         Some(body) => {
-            let is_whole = status != 200 || is_own && body == expected(route, id);
-            (End::Answered { status, is_whole }, !closes)
+            let is_whole = status != 200 || is_own && body == expected_body(route, id);
+            (Outcome::Answered { status, is_whole }, !closes_connection)
         }
-        None => (End::Cut, false),
+        None => (Outcome::Cut, false),
     }
 }
 
-/// The body, if it ended as a whole one does.
-async fn read(answer: Response<Incoming>) -> Option<Bytes> {
+/// Reads the body; returns `None` if it is incomplete.
+async fn read_body(answer: Response<Incoming>) -> Option<Bytes> {
     Some(answer.into_body().collect().await.ok()?.to_bytes())
 }
 
-fn expected(route: Route, id: &str) -> String {
+fn expected_body(route: Route, id: &str) -> String {
     match route {
         Route::Once | Route::Again => id.to_owned(),
         Route::Stream => {
--- a/crates/soak/src/child.rs
+++ b/crates/soak/src/child.rs
@@ -1,4 +1,4 @@
-//! Processes that the soak starts, and ends by their ids.
+//! Child processes of the soak.
 
 use std::{fs::File, path::Path, process::Stdio};
 
@@ -9,43 +9,43 @@
 };
 use tokio::process::{Child as Process, ChildStdout, Command};
 
-/// One process; it is killed when dropped.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub struct Child {
     process: Process,
 }
 
 impl Child {
-    /// Starts this program in another role. What it writes goes to the file `log`.
+    /// Starts this program in another role and appends its output to the file `log`.
     pub fn start(arguments: &[&str], log: &Path) -> anyhow::Result<Self> {
         let file = File::options().create(true).append(true).open(log)?;
         let errors = file.try_clone()?;
         Ok(Child { process: spawn(arguments, Stdio::from(file), Stdio::from(errors))? })
     }
 
-    /// The same with standard output as a pipe.
+    /// Starts this program in another role with a pipe as its standard output; standard error goes to `log`.
     pub fn start_piped(arguments: &[&str], log: &Path) -> anyhow::Result<(Self, ChildStdout)> {
         let file = File::options().create(true).append(true).open(log)?;
         let mut process = spawn(arguments, Stdio::piped(), Stdio::from(file))?;
-        let output = process.stdout.take().context("a pipe")?;
+        let output = process.stdout.take().context("standard output is not a pipe")?;
         Ok((Child { process }, output))
     }
 
-    /// Sends it a signal, unless it has ended.
+    /// Sends a signal to the process, unless it has exited.
     pub fn signal(&self, signal: Signal) {
         let Some(id) = self.process.id().and_then(|id| i32::try_from(id).ok()) else { return };
-        // NB: it may have ended meanwhile; its id is not given away before it was waited for.
+        // The process may have exited meanwhile; its id is not reused before it is reaped.
         let _ = kill(Pid::from_raw(id), signal);
     }
 
-    /// Waits until it has ended.
-    pub async fn ended(&mut self) {
-        // NB: an error says that it was waited for before.
+    /// Waits until the process has exited.
+    pub async fn wait(&mut self) {
+        // Fails if the process was reaped before.
         let _ = self.process.wait().await;
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.process.try_wait(), Ok(None))
     }
 }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, and what is done to them.
+//! The processes of a run and the faults injected into them.
 
 mod addresses;
 mod entries;
@@ -25,86 +25,87 @@
 pub use servers::{DATA_CENTRES, SERVER_RESTART, data_centre_of};
 
 use addresses::Addresses;
-use entries::{EntrySlot, place_entries};
+use entries::{EntrySlot, prepare_entries};
 use servers::ServerSlot;
 
 use crate::{
-    checks::{COLD_REQUESTS_PER_S, COLD_TIME},
+    checks::{COLD_REQUESTS_PER_S, WARM_UP_TIME},
     child::Child,
     options::Plan,
     proxy::Proxy,
-    records::{Records, Route, Version, now_us},
+    records::{ConfigVersion, Records, Route, now_us},
 };
 
 /// Host of all routes.
 pub const HOST_NAME: &str = "soak.example";
-/// Time between two looks at whether an entry is ready.
-const READY_LOOK: Duration = Duration::from_millis(200);
-/// Time for all entries to become ready at the start.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// Polling interval for the readiness of processes.
+const READY_POLL: Duration = Duration::from_millis(200);
+/// Timeout for processes to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How servers warm up.
-const WARM_UP: WarmUpOrder = WarmUpOrder { time: COLD_TIME, requests_per_s: COLD_REQUESTS_PER_S };
+/// Warm-up settings of all servers.
+const WARM_UP: WarmUpOrder =
+    WarmUpOrder { time: WARM_UP_TIME, requests_per_s: COLD_REQUESTS_PER_S };
 
-/// Everything that runs.
+/// A running deployment.
 pub struct Deployment {
     folder: PathBuf,
     addresses: Addresses,
     store: SocketAddr,
-    /// Way by which entries reach it.
-    store_way: Rc<Proxy>,
+    /// Proxy through which entries reach the store.
+    store_proxy: Rc<Proxy>,
     _store: Child,
     entries: Vec<EntrySlot>,
     servers: RefCell<Vec<Option<ServerSlot>>>,
     servers_started: Cell<usize>,
     repeaters: Cell<usize>,
-    /// Data centres that are evacuated.
+    /// Data centres that are being evacuated.
     evacuated: RefCell<HashSet<usize>>,
-    version: Cell<Version>,
-    /// What is seen.
+    config_version: Cell<ConfigVersion>,
+    /// Records of the run.
     pub records: Rc<RefCell<Records>>,
 }
 
 impl Deployment {
-    /// Starts all processes, and returns once all entries are ready.
+    /// Starts all processes and returns when all entries are ready.
     pub async fn start(plan: &Plan) -> anyhow::Result<Rc<Self>> {
         if plan.folder.exists() {
             fs::remove_dir_all(&plan.folder)?;
         }
         fs::create_dir_all(&plan.folder)?;
-        let addresses = Addresses::of_this_run();
-        let store = addresses.free().await?;
+        let addresses = Addresses::for_this_process();
+        let store = addresses.allocate().await?;
         let log = plan.folder.join("store.log");
         let child = Child::start(&["store", &store.to_string()], &log)?;
-        let way = addresses.free().await?;
-        let store_way = Proxy::start(way, store).await?;
-        let entries = place_entries(plan, &addresses, way).await?;
+        let store_proxy_address = addresses.allocate().await?;
+        let store_proxy = Proxy::start(store_proxy_address, store).await?;
+        let entries = prepare_entries(plan, &addresses, store_proxy_address).await?;
         let deployment = Rc::new(Deployment {
             folder: plan.folder.clone(),
             addresses,
             store,
-            store_way,
+            store_proxy,
             _store: child,
             entries,
             servers: RefCell::default(),
             servers_started: Cell::new(0),
             repeaters: Cell::new(0),
             evacuated: RefCell::default(),
-            version: Cell::new(0),
+            config_version: Cell::new(0),
             records: Rc::default(),
         });
         deployment.wait_for_store().await?;
         deployment.configure().await?;
-        for place in 0..2 * plan.size.servers {
-            let server = deployment.start_server(place).await?;
+        for index in 0..2 * plan.size.servers {
+            let server = deployment.start_server(index).await?;
             deployment.servers.borrow_mut().push(Some(server));
         }
-        for place in 0..2 * plan.size.servers {
-            spawn_local(Rc::clone(&deployment).look_after_server(place));
+        for index in 0..2 * plan.size.servers {
+            spawn_local(Rc::clone(&deployment).supervise_server(index));
         }
         for entry in 0..plan.size.entries {
             deployment.start_entry(entry)?;
-            spawn_local(Rc::clone(&deployment).look_after(entry));
+            spawn_local(Rc::clone(&deployment).poll_readiness(entry));
         }
         deployment.wait_until_ready().await?;
         Ok(deployment)
@@ -115,63 +116,64 @@
         self.entries.len()
     }
 
-    /// Where callers reach an entry, if the balancer would send them there.
-    pub fn open_at(&self, entry: usize) -> Option<SocketAddr> {
+    /// Returns the address of an entry for callers if the entry is ready.
+    pub fn ready_address(&self, entry: usize) -> Option<SocketAddr> {
         let slot = &self.entries[entry];
-        slot.is_ready.get().then_some(slot.callers)
+        slot.is_ready.get().then_some(slot.caller_address)
     }
 
-    /// Number of another caller that brings a request again and again.
-    pub fn next_repeater(&self) -> usize {
+    /// Returns the number of the next repeater.
+    pub fn next_repeater_number(&self) -> usize {
         let number = self.repeaters.get();
         self.repeaters.set(number + 1);
         number
     }
 
-    /// Number of the newest configuration.
-    pub fn version(&self) -> Version {
-        self.version.get()
+    /// Returns the version of the newest configuration.
+    pub fn config_version(&self) -> ConfigVersion {
+        self.config_version.get()
     }
 
-    /// Writes a configuration with another key, and without the oldest.
+    /// Writes a configuration that adds a key and removes the oldest one.
     pub async fn configure(&self) -> anyhow::Result<()> {
-        let version = self.version.get() + 1;
+        let config_version = self.config_version.get() + 1;
         let route = |route: Route| RouteOrder {
             prefix: route.path().to_owned(),
             kind: kind_of(route),
             service: service_of(route),
         };
-        let keys: Vec<String> = [version, version.saturating_sub(1)].map(key_text).to_vec();
+        let keys: Vec<String> =
+            [config_version, config_version.saturating_sub(1)].map(key_text).to_vec();
         let routes = Route::ALL.map(route);
-        let (key, value) = configuration(version, HOST_NAME, &routes, &keys, WARM_UP);
+        let (key, value) = configuration(config_version, HOST_NAME, &routes, &keys, WARM_UP);
         self.put(&key, value.to_string()).await?;
-        self.records.borrow_mut().configured_us.insert(version, now_us());
-        self.version.set(version);
+        self.records.borrow_mut().configured_us.insert(config_version, now_us());
+        self.config_version.set(config_version);
         Ok(())
     }
 
     async fn wait_until_ready(&self) -> anyhow::Result<()> {
-        let limit = Instant::now() + START_LIMIT;
+        let limit = Instant::now() + START_TIMEOUT;
         while !self.entries.iter().all(|slot| slot.is_ready.get()) {
-            ensure!(Instant::now() < limit, "entries are not ready after {START_LIMIT:?}");
-            sleep(READY_LOOK).await;
+            ensure!(Instant::now() < limit, "entries are not ready after {START_TIMEOUT:?}");
+            sleep(READY_POLL).await;
         }
         Ok(())
     }
 
     async fn wait_for_store(&self) -> anyhow::Result<()> {
-        let limit = Instant::now() + START_LIMIT;
-        while self.set_weather(WeatherOrder::Fair).await.is_err() {
+        let limit = Instant::now() + START_TIMEOUT;
+        while self.set_fault_mode(WeatherOrder::Fair).await.is_err() {
             ensure!(Instant::now() < limit, "the store does not answer");
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL).await;
         }
         Ok(())
     }
 }
 
-/// Text of the key that a configuration brings.
-pub fn key_text(version: Version) -> String {
-    format!("key-{version}")
+/// Returns the text of the key that a configuration adds.
+pub fn key_text(config_version: ConfigVersion) -> String {
+    format!("key-{config_version}")
 }
 
 fn kind_of(route: Route) -> &'static str {
--- a/crates/soak/src/deployment/addresses.rs
+++ b/crates/soak/src/deployment/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of a run's processes.
+//! Allocation of loopback addresses.
 
 use std::{
     cell::RefCell,
@@ -9,30 +9,29 @@
 
 use tokio::net::TcpListener;
 
-/// Addresses for the processes of one run.
+/// Allocates addresses for the processes of one run.
 ///
-/// NB: they lie on a loopback address of the run's own. On the usual one, a port that was found free
-/// may be taken by any connection of the machine before its process listens: 8 of 50 runs, eight at a
-/// time, did not start for that.
+/// Each run has a loopback IP address of its own. On 127.0.0.1, another connection of the machine may
+/// take a free port before the process listens on it: 8 of 50 runs, eight at a time, failed to start.
 pub struct Addresses {
     ip: Ipv4Addr,
-    given: RefCell<HashSet<u16>>,
+    allocated: RefCell<HashSet<u16>>,
 }
 
 impl Addresses {
-    /// On a loopback address that follows from the id of this process.
-    pub fn of_this_run() -> Self {
+    /// Derives the loopback IP address from the id of this process.
+    pub fn for_this_process() -> Self {
         let [_, high, middle, low] = process::id().to_be_bytes();
-        // NB: neither the usual address nor one that ends like a network's own or a broadcast.
+        // Avoids 127.0.0.1 and addresses that end like a network or broadcast address.
         let ip = Ipv4Addr::new(127, 64 + (high & 0x3f), middle, low.clamp(1, 254));
-        Addresses { ip, given: RefCell::default() }
+        Addresses { ip, allocated: RefCell::default() }
     }
 
-    /// An address that nobody listens on, and that was not given before.
-    pub async fn free(&self) -> anyhow::Result<SocketAddr> {
+    /// Returns an address without a listener that was not allocated before.
+    pub async fn allocate(&self) -> anyhow::Result<SocketAddr> {
         loop {
             let address = TcpListener::bind((self.ip, 0)).await?.local_addr()?;
-            if self.given.borrow_mut().insert(address.port()) {
+            if self.allocated.borrow_mut().insert(address.port()) {
                 return Ok(address);
             }
         }
--- a/crates/soak/src/deployment/entries.rs
+++ b/crates/soak/src/deployment/entries.rs
@@ -1,4 +1,4 @@
-//! Entries, and what is done to them.
+//! Entries and the faults injected into them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,7 +16,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::{
-    Deployment, READY_LOOK, START_LIMIT, addresses::Addresses, servers::data_centre_of, store::call,
+    Deployment, READY_POLL, START_TIMEOUT, addresses::Addresses, servers::data_centre_of,
+    store::call,
 };
 use crate::{
     checks::{COLD_OVERSHOOT, COLD_TOLERANCE},
@@ -25,44 +26,44 @@
     records::{Span, TimeUs, now_us},
 };
 
-/// Time for a process to end after it was told to; then it is killed.
-const GRACE: Duration = Duration::from_secs(8);
-/// Time for which an entry that was paused or started may still be catching up.
-const CATCHING_UP: TimeUs = 1_000_000;
+/// Time for a process to exit after SIGTERM; then it is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time for which a resumed or started entry may still be catching up, in microseconds.
+const CATCH_UP_US: TimeUs = 1_000_000;
 
-/// One entry.
+/// An entry process with its addresses.
 pub struct EntrySlot {
-    /// Its process, while it runs and nothing is done to it.
+    /// Process; `None` while an action controls it.
     pub child: RefCell<Option<Child>>,
-    /// Where callers reach it.
-    pub callers: SocketAddr,
-    /// Where the balancer asks.
-    pub readiness: SocketAddr,
-    /// Its settings.
+    /// Address for callers.
+    pub caller_address: SocketAddr,
+    /// Address of the readiness probe.
+    pub readiness_address: SocketAddr,
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Whether it said so when last asked.
+    /// Result of the last readiness probe.
     pub is_ready: Cell<bool>,
 }
 
 impl Deployment {
-    /// Stops an entry as planned and starts it again; nothing if it is not running.
+    /// Stops an entry gracefully and starts it again; does nothing if it is not running.
     pub async fn stop(&self, entry: usize) -> anyhow::Result<()> {
         let Some(mut child) = self.entries[entry].child.take() else { return Ok(()) };
         child.signal(Signal::SIGTERM);
-        let ended_in_time = timeout(GRACE, child.ended()).await.is_ok();
+        let ended_in_time = timeout(STOP_TIMEOUT, child.wait()).await.is_ok();
         self.restart(entry, child, now_us()).await?;
-        ensure!(ended_in_time, "entry {entry} did not end within {GRACE:?}");
+        ensure!(ended_in_time, "entry {entry} did not exit within {STOP_TIMEOUT:?}");
         Ok(())
     }
 
-    /// Kills an entry and starts it again; nothing if it is not running.
+    /// Kills an entry and starts it again; does nothing if it is not running.
     pub async fn kill(&self, entry: usize) -> anyhow::Result<()> {
         let Some(child) = self.entries[entry].child.take() else { return Ok(()) };
         let from_us = now_us();
         self.restart(entry, child, from_us).await
     }
 
-    /// Lets an entry stand still for a while; nothing if it is not running.
+    /// Suspends an entry for `time`; does nothing if it is not running.
     pub async fn pause(&self, entry: usize, time: Duration) {
         let slot = &self.entries[entry];
         let Some(child) = slot.child.take() else { return };
@@ -71,25 +72,25 @@
         sleep(time).await;
         child.signal(Signal::SIGCONT);
         *slot.child.borrow_mut() = Some(child);
-        self.note_disturbed(entry, from_us);
+        self.record_disturbance(entry, from_us);
     }
 
     async fn restart(&self, entry: usize, mut child: Child, from_us: TimeUs) -> anyhow::Result<()> {
         let slot = &self.entries[entry];
         slot.is_ready.set(false);
         child.signal(Signal::SIGKILL);
-        child.ended().await;
+        child.wait().await;
         self.start_entry(entry)?;
-        let limit = Instant::now() + START_LIMIT;
+        let limit = Instant::now() + START_TIMEOUT;
         while !slot.is_ready.get() && Instant::now() < limit {
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL).await;
         }
-        self.note_disturbed(entry, from_us);
+        self.record_disturbance(entry, from_us);
         Ok(())
     }
 
-    fn note_disturbed(&self, entry: usize, from_us: TimeUs) {
-        let span = Span { from_us, to_us: now_us() + CATCHING_UP };
+    fn record_disturbance(&self, entry: usize, from_us: TimeUs) {
+        let span = Span { from_us, to_us: now_us() + CATCH_UP_US };
         self.records.borrow_mut().disturbed.entry(entry).or_default().push(span);
     }
 
@@ -101,36 +102,37 @@
         Ok(())
     }
 
-    /// Asks an entry again and again whether callers should come, as the balancer does.
-    pub(super) async fn look_after(self: Rc<Self>, entry: usize) {
+    /// Probes the readiness of an entry periodically, as a load balancer does.
+    pub(super) async fn poll_readiness(self: Rc<Self>, entry: usize) {
         let slot = &self.entries[entry];
         let path = pondwalk_platform::dialect().readiness_path;
         loop {
-            let answer = call(slot.readiness, Method::GET, path, Bytes::new()).await;
+            let answer = call(slot.readiness_address, Method::GET, path, Bytes::new()).await;
             slot.is_ready.set(answer.is_ok());
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL).await;
         }
     }
 }
 
-/// Gives each entry its addresses and its settings.
-pub async fn place_entries(
+/// Allocates the addresses of all entries and writes their settings.
+pub async fn prepare_entries(
     plan: &Plan,
     addresses: &Addresses,
     store: SocketAddr,
 ) -> anyhow::Result<Vec<EntrySlot>> {
     let mut peers = Vec::new();
     for _ in 0..plan.size.entries {
-        peers.push(addresses.free().await?);
+        peers.push(addresses.allocate().await?);
     }
     let seeds: Vec<String> = peers.iter().take(3).map(SocketAddr::to_string).collect();
     let mut slots = Vec::new();
     for (entry, peers) in peers.into_iter().enumerate() {
-        let (callers, readiness) = (addresses.free().await?, addresses.free().await?);
+        let (caller_address, readiness_address) =
+            (addresses.allocate().await?, addresses.allocate().await?);
         let settings = plan.folder.join(format!("entry-{entry}.ini"));
         let text = format!(
-            "[direct]\nname = e{entry}\ndata_centre = {}\ncallers = {callers}\n\
-             readiness = {readiness}\npeers = {peers}\nkey_bound_ms = 5000\ngrace_s = 6\n\
+            "[direct]\nname = e{entry}\ndata_centre = {}\ncallers = {caller_address}\n\
+             readiness = {readiness_address}\npeers = {peers}\nkey_bound_ms = 5000\ngrace_s = 6\n\
              session_ttl_s = 5\n[membership]\nseeds = {}\npropagation_ms = 2000\n\
              evacuation_ms = 2000\n[warm_up]\novershoot = {COLD_OVERSHOOT}\n\
              tolerance = {COLD_TOLERANCE}\nheartbeat_ms = 1200\n[retries]\nratio = 0.9\nextra = 54\nwindow_s = 10\n\
@@ -141,7 +143,7 @@
         );
         fs::write(&settings, text)?;
         let (child, is_ready) = (RefCell::default(), Cell::new(false));
-        slots.push(EntrySlot { child, callers, readiness, settings, is_ready });
+        slots.push(EntrySlot { child, caller_address, readiness_address, settings, is_ready });
     }
     Ok(slots)
 }
--- a/crates/soak/src/deployment/servers.rs
+++ b/crates/soak/src/deployment/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers, and what is done to them.
+//! Backend servers and the faults injected into them.
 
 use std::{
     net::SocketAddr,
@@ -17,26 +17,26 @@
     time::{Instant, sleep},
 };
 
-use super::{Deployment, READY_LOOK, START_LIMIT};
+use super::{Deployment, READY_POLL, START_TIMEOUT};
 use crate::{
-    checks::COLD_TIME,
+    checks::WARM_UP_TIME,
     child::Child,
     proxy::Proxy,
     records::{Run, Span, now_us},
 };
 
-/// Time for which a server works on after it has said that it leaves.
-const LEAVING: Duration = Duration::from_secs(4);
-/// Time between two words of a server on itself.
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// Time until a server that ended by itself starts again.
+/// Time for which a draining server keeps serving.
+const DRAIN_TIME: Duration = Duration::from_secs(4);
+/// Interval at which a cold server publishes its state.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
+/// Time until a crashed server restarts.
 pub const SERVER_RESTART: Duration = Duration::from_secs(1);
-/// Time between two looks at whether one has.
-const END_LOOK: Duration = Duration::from_millis(20);
-/// Data centres that servers stand in, in turn.
+/// Polling interval for crashed servers.
+const EXIT_POLL: Duration = Duration::from_millis(20);
+/// Number of data centres, over which servers and entries are distributed round-robin.
 pub const DATA_CENTRES: usize = 3;
-/// What another writer may leave among the servers' entries.
-const LITTER: [&str; 5] = [
+/// Values of unreadable server records.
+const UNREADABLE_RECORDS: [&str; 5] = [
     "",
     "no JSON",
     r#"{"backend":"plain","address":"127.0.0.1:9"}"#,
@@ -44,142 +44,142 @@
     r#"{"backend":"plain","address":"127.0.0.1:9","zone":"dc1","version":"v1","capacity":9,"state":"resting","warmup_left_ms":0,"sequence":1}"#,
 ];
 
-/// One backend server.
+/// A backend server process behind its proxy.
 pub struct ServerSlot {
     child: Child,
     id: String,
-    /// Way by which it is reached, its address, and that of the server itself.
-    way: Rc<Proxy>,
+    /// Proxy through which entries reach the server, its address, and the server's own address.
+    proxy: Rc<Proxy>,
     address: SocketAddr,
-    behind: SocketAddr,
-    born_ms: u64,
+    upstream: SocketAddr,
+    started_ms: u64,
 }
 
 impl Deployment {
-    /// Lets all open connections to a server go silent.
-    pub fn silence_server(&self, place: usize) {
-        if let Some(server) = &self.servers.borrow()[place] {
-            server.way.silence();
+    /// Stalls all open connections to a server.
+    pub fn silence_server(&self, index: usize) {
+        if let Some(server) = &self.servers.borrow()[index] {
+            server.proxy.silence();
         }
     }
 
-    /// A server says that it leaves, goes, and another comes in its place.
-    pub async fn replace(&self, place: usize) -> anyhow::Result<()> {
-        let Some(server) = self.servers.borrow_mut()[place].take() else { return Ok(()) };
-        let word = ServerEntry { is_ready: false, ..word(&server, place) };
-        let (key, value) = server_entry(&word);
+    /// Announces in the store that a server drains, and replaces the server.
+    pub async fn replace(&self, index: usize) -> anyhow::Result<()> {
+        let Some(server) = self.servers.borrow_mut()[index].take() else { return Ok(()) };
+        let listing = ServerEntry { is_ready: false, ..listing(&server, index) };
+        let (key, value) = server_entry(&listing);
         self.put(&key, value.to_string()).await?;
-        self.records.borrow_mut().left_us.insert(server.id.clone(), now_us());
-        self.give_way(server, place).await
+        self.records.borrow_mut().draining_us.insert(server.id.clone(), now_us());
+        self.hand_over(server, index).await
     }
 
-    /// A server says in its answers alone that it leaves, goes, and another comes in its place.
-    pub async fn leave_by_word(&self, place: usize) -> anyhow::Result<()> {
-        let Some(server) = self.servers.borrow_mut()[place].take() else { return Ok(()) };
+    /// Makes a server announce only in its response headers that it drains, and replaces the server.
+    pub async fn drain_by_header(&self, index: usize) -> anyhow::Result<()> {
+        let Some(server) = self.servers.borrow_mut()[index].take() else { return Ok(()) };
         server.child.signal(Signal::SIGUSR1);
-        self.give_way(server, place).await
+        self.hand_over(server, index).await
     }
 
-    /// Another server comes in the place of one that leaves, which serves on for a while.
-    async fn give_way(&self, server: ServerSlot, place: usize) -> anyhow::Result<()> {
+    /// Starts the replacement of a draining server, which keeps serving for a while.
+    async fn hand_over(&self, server: ServerSlot, index: usize) -> anyhow::Result<()> {
         self.records.borrow_mut().replaced.insert(server.id.clone());
-        let next = self.start_server(place).await?;
-        self.servers.borrow_mut()[place] = Some(next);
-        sleep(LEAVING).await;
-        let (key, _) = server_entry(&word(&server, place));
+        let next = self.start_server(index).await?;
+        self.servers.borrow_mut()[index] = Some(next);
+        sleep(DRAIN_TIME).await;
+        let (key, _) = server_entry(&listing(&server, index));
         self.remove(&key).await?;
-        // NB: what it runs is told until the end, so it goes on a while longer.
-        sleep(LEAVING).await;
-        drop((server.child, server.way));
+        // The server keeps running after its removal, so that late requests to it are recorded.
+        sleep(DRAIN_TIME).await;
+        drop((server.child, server.proxy));
         Ok(())
     }
 
-    /// A server turns everything away for a while, and asks for pauses.
-    pub fn turn_away(&self, place: usize) {
-        if let Some(server) = &self.servers.borrow()[place] {
+    /// Makes a server reject all requests for a while and ask for backoff.
+    pub fn reject_requests(&self, index: usize) {
+        if let Some(server) = &self.servers.borrow()[index] {
             server.child.signal(Signal::SIGUSR2);
         }
     }
 
-    /// A server names a rate limit in its answers for a while.
-    pub fn limit(&self, place: usize) {
-        if let Some(server) = &self.servers.borrow()[place] {
+    /// Makes a server announce a rate limit in its responses for a while.
+    pub fn announce_limit(&self, index: usize) {
+        if let Some(server) = &self.servers.borrow()[index] {
             server.child.signal(Signal::SIGHUP);
         }
     }
 
-    /// A server turns cold and says so, until it is warm again.
-    pub async fn cool(&self, place: usize) -> anyhow::Result<()> {
-        let Some(server) = self.servers.borrow_mut()[place].take() else { return Ok(()) };
-        self.warm_up(server, place).await
+    /// Makes a server cold, which it publishes until it is warm again.
+    pub async fn cool(&self, index: usize) -> anyhow::Result<()> {
+        let Some(server) = self.servers.borrow_mut()[index].take() else { return Ok(()) };
+        self.warm_up(server, index).await
     }
 
-    /// A server is killed, and starts again some time later under the identity that it had.
-    pub async fn kill_server(&self, place: usize, time: Duration) -> anyhow::Result<()> {
-        let Some(server) = self.servers.borrow_mut()[place].take() else { return Ok(()) };
+    /// Kills a server and restarts it under the same id after `time`.
+    pub async fn kill_server(&self, index: usize, time: Duration) -> anyhow::Result<()> {
+        let Some(server) = self.servers.borrow_mut()[index].take() else { return Ok(()) };
         server.child.signal(Signal::SIGKILL);
-        self.start_anew(server, place, time).await
+        self.restart_and_warm_up(server, index, time).await
     }
 
-    /// Starts a server anew whose process has ended by itself, for as long as the run lasts.
-    pub(super) async fn look_after_server(self: Rc<Self>, place: usize) {
+    /// Restarts a server whenever its process has exited by itself, until the run ends.
+    pub(super) async fn supervise_server(self: Rc<Self>, index: usize) {
         loop {
-            sleep(END_LOOK).await;
-            let Some(server) = self.take_ended(place) else { continue };
-            if let Err(error) = self.start_anew(server, place, SERVER_RESTART).await {
-                eprintln!("soak: a server that ended did not start again: {error:#}");
+            sleep(EXIT_POLL).await;
+            let Some(server) = self.take_exited(index) else { continue };
+            if let Err(error) = self.restart_and_warm_up(server, index, SERVER_RESTART).await {
+                eprintln!("soak: cannot restart a crashed server: {error:#}");
             }
         }
     }
 
-    fn take_ended(&self, place: usize) -> Option<ServerSlot> {
-        self.servers.borrow_mut()[place].take_if(|server| server.child.has_ended())
+    fn take_exited(&self, index: usize) -> Option<ServerSlot> {
+        self.servers.borrow_mut()[index].take_if(|server| server.child.has_exited())
     }
 
-    /// Starts a server again some time after its end, under the identity that it had, and lets it warm up.
-    async fn start_anew(
+    /// Restarts a server under the same id after `time`, and waits until it is warm.
+    async fn restart_and_warm_up(
         &self,
         server: ServerSlot,
-        place: usize,
+        index: usize,
         time: Duration,
     ) -> anyhow::Result<()> {
-        let server = self.restart_server(server, place, time).await?;
-        self.warm_up(server, place).await
+        let server = self.restart_server(server, index, time).await?;
+        self.warm_up(server, index).await
     }
 
-    /// Lets a server be cold for a while, and tell so. One that ends meanwhile starts again.
-    async fn warm_up(&self, mut server: ServerSlot, place: usize) -> anyhow::Result<()> {
+    /// Publishes that a server is cold until it is warm, and restarts the server if it crashes meanwhile.
+    async fn warm_up(&self, mut server: ServerSlot, index: usize) -> anyhow::Result<()> {
         loop {
-            let word = word(&server, place);
+            let listing = listing(&server, index);
             tokio::select! {
-                told = self.tell_cold(&word) => {
-                    self.servers.borrow_mut()[place] = Some(server);
-                    return told;
+                published = self.publish_cold(&listing) => {
+                    self.servers.borrow_mut()[index] = Some(server);
+                    return published;
                 }
-                () = server.child.ended() => {}
+                () = server.child.wait() => {}
             }
-            server = self.restart_server(server, place, SERVER_RESTART).await?;
+            server = self.restart_server(server, index, SERVER_RESTART).await?;
         }
     }
 
     async fn restart_server(
         &self,
         server: ServerSlot,
-        place: usize,
+        index: usize,
         time: Duration,
     ) -> anyhow::Result<ServerSlot> {
-        let ServerSlot { child, id, way, address, behind, .. } = server;
+        let ServerSlot { child, id, proxy, address, upstream, .. } = server;
         self.records.borrow_mut().killed_us.entry(id.clone()).or_default().push(now_us());
-        drop((child, way));
-        // NB: one more connection, which is dropped, lets its way stop to listen.
+        drop((child, proxy));
+        // The accept loop of the dropped proxy stops only after one more connection.
         let _ = TcpStream::connect(address).await;
         sleep(time).await;
-        self.start_as(&id, place, behind, address).await
+        self.start_as(&id, index, upstream, address).await
     }
 
-    /// Nothing more is to go to the servers of a data centre, for a while.
+    /// Evacuates a data centre for `time`; does nothing if it is evacuated already.
     pub async fn evacuate(&self, data_centre: usize, time: Duration) -> anyhow::Result<()> {
-        let name = name_of(data_centre);
+        let name = data_centre_name(data_centre);
         if !self.evacuated.borrow_mut().insert(data_centre) {
             return Ok(());
         }
@@ -194,111 +194,117 @@
         Ok(())
     }
 
-    /// Another writer leaves entries among the servers' that cannot be read.
-    pub async fn litter(&self) -> anyhow::Result<()> {
-        for (number, value) in LITTER.iter().enumerate() {
+    /// Writes unreadable records among the servers' records.
+    pub async fn write_unreadable_records(&self) -> anyhow::Result<()> {
+        for (number, value) in UNREADABLE_RECORDS.iter().enumerate() {
             self.put(&format!("servers/litter-{number}"), (*value).to_owned()).await?;
         }
         Ok(())
     }
 
-    /// A server tells with each heartbeat how much longer it is cold.
-    async fn tell_cold(&self, word: &ServerEntry) -> anyhow::Result<()> {
+    /// Publishes the remaining warm-up time of a server with each heartbeat, until it is warm.
+    async fn publish_cold(&self, listing: &ServerEntry) -> anyhow::Result<()> {
         let began = Instant::now();
         let from_us = now_us();
         loop {
-            let left = COLD_TIME.saturating_sub(began.elapsed());
+            let left = WARM_UP_TIME.saturating_sub(began.elapsed());
             let warm_up_left_ms = left.as_millis() as u64;
-            let (key, value) = server_entry(&ServerEntry { warm_up_left_ms, ..word.clone() });
+            let (key, value) = server_entry(&ServerEntry { warm_up_left_ms, ..listing.clone() });
             self.put(&key, value.to_string()).await?;
             if left.is_zero() {
                 let span = Span { from_us, to_us: now_us() };
-                self.records.borrow_mut().cold.entry(word.id.clone()).or_default().push(span);
+                self.records.borrow_mut().cold.entry(listing.id.clone()).or_default().push(span);
                 return Ok(());
             }
-            sleep(HEARTBEAT.min(left)).await;
+            sleep(HEARTBEAT_INTERVAL.min(left)).await;
         }
     }
 
-    /// Starts a server under an identity that none has had, and lists it.
-    pub(super) async fn start_server(&self, place: usize) -> anyhow::Result<ServerSlot> {
+    /// Starts a server under a new id and lists it in the store.
+    pub(super) async fn start_server(&self, index: usize) -> anyhow::Result<ServerSlot> {
         let number = self.servers_started.get();
         self.servers_started.set(number + 1);
         let id = format!("s{number}");
-        let (behind, address) = (self.addresses.free().await?, self.addresses.free().await?);
-        let server = self.start_as(&id, place, behind, address).await?;
-        let (key, value) = server_entry(&word(&server, place));
+        let (upstream, address) =
+            (self.addresses.allocate().await?, self.addresses.allocate().await?);
+        let server = self.start_as(&id, index, upstream, address).await?;
+        let (key, value) = server_entry(&listing(&server, index));
         self.put(&key, value.to_string()).await?;
-        self.records.borrow_mut().data_centre_of.insert(id, name_of(data_centre_at(place)));
+        self.records
+            .borrow_mut()
+            .data_centre_of
+            .insert(id, data_centre_name(data_centre_at(index)));
         Ok(server)
     }
 
     async fn start_as(
         &self,
         id: &str,
-        place: usize,
-        behind: SocketAddr,
+        index: usize,
+        upstream: SocketAddr,
         address: SocketAddr,
     ) -> anyhow::Result<ServerSlot> {
-        let arguments = ["server", id, &behind.to_string(), service_at(place)];
+        let arguments = ["server", id, &upstream.to_string(), service_at(index)];
         let log = self.folder.join("servers.log");
         let (child, output) = Child::start_piped(&arguments, &log)?;
-        self.note_runs(output);
-        let limit = Instant::now() + START_LIMIT;
-        while TcpStream::connect(behind).await.is_err() {
+        self.record_runs(output);
+        let limit = Instant::now() + START_TIMEOUT;
+        while TcpStream::connect(upstream).await.is_err() {
             ensure!(Instant::now() < limit, "server {id} does not listen");
-            sleep(READY_LOOK).await;
+            sleep(READY_POLL).await;
         }
-        let way = Proxy::start(address, behind).await?;
+        let proxy = Proxy::start(address, upstream).await?;
         let since = SystemTime::now().duration_since(UNIX_EPOCH)?;
-        let born_ms = since.as_millis() as u64;
-        Ok(ServerSlot { child, id: id.to_owned(), way, address, behind, born_ms })
+        let started_ms = since.as_millis() as u64;
+        Ok(ServerSlot { child, id: id.to_owned(), proxy, address, upstream, started_ms })
     }
 
-    /// Notes what a server tells of its runs, for as long as it does.
-    fn note_runs(&self, output: ChildStdout) {
+    /// Records the runs that a server reports on its standard output, until that is closed.
+    fn record_runs(&self, output: ChildStdout) {
         let records = Rc::clone(&self.records);
         spawn_local(async move {
             let mut lines = BufReader::new(output).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 match serde_json::from_str::<Run>(&line) {
                     Ok(run) => records.borrow_mut().runs.push(run),
-                    Err(error) => eprintln!("soak: a server told `{line}`: {error}"),
+                    Err(error) => {
+                        eprintln!("soak: invalid run record `{line}` from a server: {error}")
+                    }
                 }
             }
         });
     }
 }
 
-/// What a warm server that serves tells of itself.
-fn word(server: &ServerSlot, place: usize) -> ServerEntry {
+/// Returns the store record of a warm server that is ready.
+fn listing(server: &ServerSlot, index: usize) -> ServerEntry {
     ServerEntry {
         id: server.id.clone(),
-        service: service_at(place),
+        service: service_at(index),
         address: server.address.to_string(),
-        data_centre: name_of(data_centre_at(place)),
+        data_centre: data_centre_name(data_centre_at(index)),
         is_ready: true,
         warm_up_left_ms: 0,
-        born_ms: server.born_ms,
+        born_ms: server.started_ms,
     }
 }
 
-/// Servers of the two services stand in turn.
-fn service_at(place: usize) -> &'static str {
-    if place.is_multiple_of(2) { "plain" } else { "streams" }
+/// Returns the service of a server; the two services alternate.
+fn service_at(index: usize) -> &'static str {
+    if index.is_multiple_of(2) { "plain" } else { "streams" }
 }
 
-/// Each service has servers in all data centres.
-fn data_centre_at(place: usize) -> usize {
-    place / 2 % DATA_CENTRES
+/// Returns the data centre of a server; each service has servers in all data centres.
+fn data_centre_at(index: usize) -> usize {
+    index / 2 % DATA_CENTRES
 }
 
-/// Name of the data centre of an entry; they stand in turn too.
+/// Returns the name of an entry's data centre; entries are distributed round-robin.
 pub fn data_centre_of(entry: usize) -> String {
-    name_of(entry % DATA_CENTRES)
+    data_centre_name(entry % DATA_CENTRES)
 }
 
-/// Name of a data centre.
-fn name_of(data_centre: usize) -> String {
+/// Returns the name of a data centre.
+fn data_centre_name(data_centre: usize) -> String {
     format!("dc{}", data_centre + 1)
 }
--- a/crates/soak/src/deployment/store.rs
+++ b/crates/soak/src/deployment/store.rs
@@ -1,4 +1,4 @@
-//! The store, what is done to it, and calls of the soak's own.
+//! The store, the faults injected into it, and HTTP calls of the soak itself.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,23 +17,27 @@
 use super::Deployment;
 use crate::records::{Span, now_us};
 
-/// Time in which a silent store closes a connection.
-const SILENCE_MS: u64 = 30_000;
-/// Time of one call of the soak's own.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// Time after which a silent store closes a connection.
+const SILENT_STORE_TIMEOUT_MS: u64 = 30_000;
+/// Timeout of one HTTP call of the soak.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Deployment {
-    /// Lets calls to the store fare so for a while.
-    pub async fn disturb_store(&self, order: WeatherOrder, time: Duration) -> anyhow::Result<()> {
+    /// Applies a fault mode to the store for `time`.
+    pub async fn inject_store_fault(
+        &self,
+        order: WeatherOrder,
+        time: Duration,
+    ) -> anyhow::Result<()> {
         let from_us = now_us();
-        self.set_weather(order).await?;
+        self.set_fault_mode(order).await?;
         sleep(time).await;
-        self.set_weather(WeatherOrder::Fair).await?;
+        self.set_fault_mode(WeatherOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
 
-    /// Lets the store forget its history.
+    /// Makes the store discard its change history.
     pub async fn forget_history(&self) -> anyhow::Result<()> {
         let from_us = now_us();
         call(self.store, Method::POST, "/order/forget", Bytes::new()).await?;
@@ -41,56 +45,56 @@
         Ok(())
     }
 
-    /// Lets the store be away for a while, and come back from a copy of this age.
-    pub async fn restore_store(&self, away: Duration, age: Duration) -> anyhow::Result<()> {
+    /// Makes the store unavailable for `outage`, then restores a copy of this age.
+    pub async fn restore_store(&self, outage: Duration, age: Duration) -> anyhow::Result<()> {
         let from_us = now_us();
-        if !away.is_zero() {
-            self.set_weather(WeatherOrder::Silent { ms: SILENCE_MS }).await?;
-            sleep(away).await;
+        if !outage.is_zero() {
+            self.set_fault_mode(WeatherOrder::Silent { ms: SILENT_STORE_TIMEOUT_MS }).await?;
+            sleep(outage).await;
         }
         let age_ms = age.as_millis().to_string();
         call(self.store, Method::POST, "/order/restore", age_ms.into()).await?;
-        self.set_weather(WeatherOrder::Fair).await?;
+        self.set_fault_mode(WeatherOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
 
-    /// Lets all open connections of entries to the store go silent.
+    /// Stalls all open connections of entries to the store.
     pub fn silence_store(&self) {
-        self.store_way.silence();
-        self.note_store_disturbed();
+        self.store_proxy.silence();
+        self.record_store_disturbance();
     }
 
     /// Resets all open connections of entries to the store.
     pub fn reset_store(&self) {
-        self.store_way.reset();
-        self.note_store_disturbed();
+        self.store_proxy.reset();
+        self.record_store_disturbance();
     }
 
-    fn note_store_disturbed(&self) {
+    fn record_store_disturbance(&self) {
         let now_us = now_us();
         let span = Span { from_us: now_us, to_us: now_us + 1 };
         self.records.borrow_mut().store_disturbed.push(span);
     }
 
-    /// Writes a key.
+    /// Writes a key of the store.
     pub(super) async fn put(&self, key: &str, value: String) -> anyhow::Result<()> {
         call(self.store, Method::PUT, &format!("/order/key/{key}"), value.into()).await
     }
 
-    /// Lets calls to the store fare so from now on.
-    pub(super) async fn set_weather(&self, order: WeatherOrder) -> anyhow::Result<()> {
+    /// Sets the store's fault mode.
+    pub(super) async fn set_fault_mode(&self, order: WeatherOrder) -> anyhow::Result<()> {
         let body = serde_json::to_vec(&order)?;
         call(self.store, Method::POST, "/order/weather", body.into()).await
     }
 
-    /// Removes a key.
+    /// Removes a key of the store.
     pub(super) async fn remove(&self, key: &str) -> anyhow::Result<()> {
         call(self.store, Method::DELETE, &format!("/order/key/{key}"), Bytes::new()).await
     }
 }
 
-/// Makes one call and tells whether it was answered with success.
+/// Makes one HTTP call; any status but 200 is an error.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -102,15 +106,15 @@
         .uri(path)
         .header(HOST, address.to_string())
         .body(Full::<Bytes>::from(body))?;
-    let calling = async {
+    let exchange = async {
         let stream = TcpStream::connect(address).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         spawn_local(async move { connection.await.unwrap_or_default() });
         let answer = sender.send_request(request).await?;
         let status = answer.status();
         answer.into_body().collect().await?;
-        ensure!(status == StatusCode::OK, "answered with {status}");
+        ensure!(status == StatusCode::OK, "unexpected status {status}");
         Ok(())
     };
-    timeout(CALL_LIMIT, calling).await.context("no answer in time")?
+    timeout(CALL_TIMEOUT, exchange).await.context("the call timed out")?
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A soak: the real program as separate processes, on real sockets and under real signals.
+//! Soak test: the program as separate processes, with real sockets and signals.
 //!
-//! It starts entries, a stand-in of the platform's store and stand-in backend servers, lets callers
-//! keep connections to the entries, and brings series of faults about that overlap. What callers and
-//! backend servers have seen is then held against what the product promises.
+//! Starts entries, a stand-in of the platform's store and stand-in backend servers, sends requests from
+//! callers with persistent connections, and injects overlapping series of faults. The requests that
+//! callers and backend servers recorded are then checked against the product's promises.
 
 pub mod callers;
 pub mod checks;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the soak, or one of the processes that it consists of.
+//! Runs the soak, or one of its child processes.
 
 use std::process::ExitCode;
 
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,77 +1,77 @@
-//! The command line.
+//! Command line of the soak.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
 use clap::{Arg, ArgMatches, Command as Clap, value_parser};
 
-/// Seconds that a run lasts where nothing else is said.
+/// Default length of a run in seconds.
 const DEFAULT_SECONDS: &str = "60";
 
-/// How many processes a run has.
+/// Number of processes in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Backend servers of each of the two services.
+    /// Number of backend servers of each of the two services.
     pub servers: usize,
-    /// Callers at each entry.
+    /// Number of callers per entry.
     pub callers: usize,
 }
 
 impl Size {
-    /// A dozen processes.
+    /// About a dozen processes.
     pub const SMALL: Size = Size { entries: 4, servers: 3, callers: 6 };
-    /// Two hundred processes.
+    /// About two hundred processes.
     pub const LARGE: Size = Size { entries: 150, servers: 24, callers: 2 };
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Start of all random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How long callers come.
+    /// Time during which callers send requests.
     pub length: Duration,
-    /// How many processes there are.
+    /// Number of processes.
     pub size: Size,
     /// Folder for logs and settings.
     pub folder: PathBuf,
 }
 
-/// What is to be done.
+/// Command given on the command line.
 #[derive(Debug)]
 pub enum Command {
-    /// A run.
+    /// Executes a run.
     Soak(Plan),
-    /// One entry.
+    /// Runs an entry.
     Entry {
-        /// Path of its settings.
+        /// Path of the settings file.
         settings: PathBuf,
     },
-    /// The store.
+    /// Runs the store.
     Store {
-        /// Where it listens.
+        /// Listen address.
         address: SocketAddr,
     },
-    /// One backend server.
+    /// Runs a backend server.
     Server {
-        /// Its identity.
+        /// Id of the server.
         id: String,
-        /// Where it listens.
+        /// Listen address.
         address: SocketAddr,
-        /// Whether it answers with streams.
+        /// Whether the server responds with streams.
         streams: bool,
     },
 }
 
-/// The command line's form.
+/// Returns the definition of the command line.
 pub fn command() -> Clap {
     let address = || Arg::new("address").required(true).value_parser(value_parser!(SocketAddr));
     Clap::new("soak")
-        .about("Plays the program under overlapping faults and checks what it promises")
+        .about("Runs the program under overlapping faults and checks its promises")
         .arg(
             Arg::new("seed").long("seed").default_value("1").value_parser(value_parser!(u64)).help(
-                "Start of all random numbers; the same seed gives the same schedule of faults",
+                "Seed of the random numbers; the same seed gives the same schedule of faults",
             ),
         )
         .arg(
@@ -79,21 +79,21 @@
                 .long("seconds")
                 .default_value(DEFAULT_SECONDS)
                 .value_parser(value_parser!(u64).range(20..=3_600))
-                .help("How long callers come"),
+                .help("Time in seconds during which callers send requests"),
         )
         .arg(
             Arg::new("size")
                 .long("size")
                 .default_value("small")
                 .value_parser(["small", "large"])
-                .help("A dozen processes, or two hundred"),
+                .help("Number of processes: about a dozen, or two hundred"),
         )
         .arg(
             Arg::new("logs")
                 .long("logs")
                 .default_value("target/soak")
                 .value_parser(value_parser!(PathBuf))
-                .help("Folder for settings and logs; each seed has one of its own in it"),
+                .help("Folder for settings and logs, with a subfolder for each seed"),
         )
         .subcommand(
             Clap::new("entry")
@@ -110,7 +110,7 @@
         )
 }
 
-/// Reads what the command line says.
+/// Converts parsed arguments to a command.
 pub fn parse(matches: &ArgMatches) -> Command {
     match matches.subcommand() {
         Some(("entry", entry)) => Command::Entry { settings: get(entry, "settings") },
@@ -135,7 +135,7 @@
     }
 }
 
-/// A value that is required or has a default.
+/// Returns the value of an argument that is required or has a default.
 fn get<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
-    matches.get_one::<T>(name).expect("required, or with a default").clone()
+    matches.get_one::<T>(name).expect("the argument is required or has a default").clone()
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A way between two processes, which can go silent or be reset.
+//! A TCP proxy between two processes that can stall or reset its connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,102 +17,104 @@
     time::sleep,
 };
 
-/// Bytes passed on at once.
-const PIECE_BYTES: usize = 16 * 1024;
-/// Time after which a connection that has gone silent is dropped here too; both ends must have given it
-/// up long before.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Size of the copy buffer.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Time after which the proxy closes a stalled connection. Both ends must have closed it long before.
+const SILENT_CONNECTION_TTL: Duration = Duration::from_secs(60);
 
-/// What happens to one connection.
+/// Faults injected into one connection.
 #[derive(Debug, Default)]
-struct Fate {
+struct ConnectionState {
     is_silent: Cell<bool>,
     is_reset: Cell<bool>,
     changed: Notify,
 }
 
-/// Passes connections on to one address.
+/// Forwards connections to one address.
 #[derive(Debug)]
 pub struct Proxy {
-    to: SocketAddr,
-    open: RefCell<Vec<Weak<Fate>>>,
+    upstream: SocketAddr,
+    open: RefCell<Vec<Weak<ConnectionState>>>,
 }
 
 impl Proxy {
-    /// Listens at `at`, on the current thread's local tasks.
-    pub async fn start(at: SocketAddr, to: SocketAddr) -> io::Result<Rc<Self>> {
-        let listener = TcpListener::bind(at).await?;
-        let proxy = Rc::new(Proxy { to, open: RefCell::default() });
-        let taking = Rc::downgrade(&proxy);
+    /// Listens at `listen_address` and forwards connections to `upstream`, on local tasks of the current thread.
+    pub async fn start(listen_address: SocketAddr, upstream: SocketAddr) -> io::Result<Rc<Self>> {
+        let listener = TcpListener::bind(listen_address).await?;
+        let proxy = Rc::new(Proxy { upstream, open: RefCell::default() });
+        let weak_proxy = Rc::downgrade(&proxy);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let Some(proxy) = taking.upgrade() else { return };
-                let fate = Rc::new(Fate::default());
-                proxy.open.borrow_mut().push(Rc::downgrade(&fate));
-                spawn_local(pass_on(stream, proxy.to, fate));
+                let Some(proxy) = weak_proxy.upgrade() else { return };
+                let state = Rc::new(ConnectionState::default());
+                proxy.open.borrow_mut().push(Rc::downgrade(&state));
+                spawn_local(forward(stream, proxy.upstream, state));
             }
         });
         Ok(proxy)
     }
 
-    /// Lets all open connections say nothing any more; new ones work.
+    /// Stalls all open connections; new ones work.
     pub fn silence(&self) {
-        self.decide(|fate| fate.is_silent.set(true));
+        self.update_all(|state| state.is_silent.set(true));
     }
 
     /// Resets all open connections.
     pub fn reset(&self) {
-        self.decide(|fate| fate.is_reset.set(true));
+        self.update_all(|state| state.is_reset.set(true));
     }
 
-    fn decide(&self, how: impl Fn(&Fate)) {
-        for fate in self.open.borrow_mut().drain(..).filter_map(|fate| fate.upgrade()) {
-            how(&fate);
-            fate.changed.notify_one();
+    fn update_all(&self, update: impl Fn(&ConnectionState)) {
+        for state in self.open.borrow_mut().drain(..).filter_map(|state| state.upgrade()) {
+            update(&state);
+            state.changed.notify_one();
         }
     }
 }
 
-async fn pass_on(mut near: TcpStream, to: SocketAddr, fate: Rc<Fate>) {
-    let Ok(mut far) = TcpStream::connect(to).await else {
-        // NB: what is not there refuses; the nearest to it is a reset.
-        return reset(&near);
+async fn forward(mut client: TcpStream, upstream: SocketAddr, state: Rc<ConnectionState>) {
+    let Ok(mut server) = TcpStream::connect(upstream).await else {
+        // The connection is accepted already: a reset comes closest to a refusal by the absent upstream.
+        return reset(&client);
     };
-    // NB: without it the two ends would see each other's pauses.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    // NB: halves that own the connection would end it in order when dropped, before the reset.
-    let (mut near_read, mut near_write) = near.split();
-    let (mut far_read, mut far_write) = far.split();
-    let both_ways = async {
-        tokio::join!(copy(&mut near_read, &mut far_write), copy(&mut far_read, &mut near_write));
+    // Nagle's algorithm would add delays between the two ends.
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    // Owned halves would shut the connection down in order when dropped, before the reset.
+    let (mut client_read, mut client_write) = client.split();
+    let (mut server_read, mut server_write) = server.split();
+    let both_directions = async {
+        tokio::join!(
+            copy(&mut client_read, &mut server_write),
+            copy(&mut server_read, &mut client_write)
+        );
     };
     tokio::select! {
-        () = both_ways => return,
-        () = fate.changed.notified() => {}
+        () = both_directions => return,
+        () = state.changed.notified() => {}
     }
-    if fate.is_silent.get() {
-        sleep(SILENCE).await;
+    if state.is_silent.get() {
+        sleep(SILENT_CONNECTION_TTL).await;
     }
-    if fate.is_reset.get() {
-        reset(&near);
-        reset(&far);
+    if state.is_reset.get() {
+        reset(&client);
+        reset(&server);
     }
 }
 
-/// Passes bytes on until the reader ends, and then says so.
-async fn copy(from: &mut (impl AsyncRead + Unpin), to: &mut (impl AsyncWrite + Unpin)) {
-    let mut piece = vec![0; PIECE_BYTES];
-    while let Ok(bytes) = from.read(&mut piece).await {
-        if bytes == 0 || to.write_all(&piece[..bytes]).await.is_err() {
+/// Copies bytes until the reader reaches its end, then shuts the writer down.
+async fn copy(reader: &mut (impl AsyncRead + Unpin), writer: &mut (impl AsyncWrite + Unpin)) {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok(bytes) = reader.read(&mut buffer).await {
+        if bytes == 0 || writer.write_all(&buffer[..bytes]).await.is_err() {
             break;
         }
     }
-    // NB: the other end may have gone.
-    let _ = to.shutdown().await;
+    // The other end may have closed the connection.
+    let _ = writer.shutdown().await;
 }
 
-/// Lets the connection end with a reset once it is dropped.
+/// Makes the connection close with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // NB: on one that has ended there is nothing left to reset.
+    // Fails on a closed connection, where nothing is left to reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,30 +1,30 @@
-//! What callers and backend servers have seen, and when what was disturbed.
+//! Records of a run: requests of callers, runs at backend servers, and disturbances.
 
 use std::collections::{HashMap, HashSet};
 
 pub use pondwalk_standin::platform_server::{Run, now_us};
 
-/// Time of day in microseconds.
+/// Wall-clock time in microseconds since the Unix epoch.
 pub type TimeUs = u64;
-/// Number of a configuration.
-pub type Version = u64;
+/// Version number of a configuration.
+pub type ConfigVersion = u64;
 
-/// What a request asks for.
+/// Route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// May run once at most.
+    /// Requests that may run at most once.
     Once,
-    /// May be repeated.
+    /// Requests that may be repeated.
     Again,
-    /// Is answered by a stream.
+    /// Requests that are answered with a stream.
     Stream,
 }
 
 impl Route {
-    /// All of them.
+    /// All routes.
     pub const ALL: [Route; 3] = [Route::Once, Route::Again, Route::Stream];
 
-    /// Start of its paths.
+    /// Path prefix of the route.
     pub fn path(self) -> &'static str {
         match self {
             Route::Once => "/once/",
@@ -34,107 +34,107 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// With an answer; whether it was all of what belongs to this request.
+pub enum Outcome {
+    /// The caller received a complete HTTP response.
     Answered {
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Whether the body is whole and the request's own.
+        /// Whether the response is complete and belongs to this request; only checked for status 200.
         is_whole: bool,
     },
-    /// The connection closed without an answer, or in its middle.
+    /// The connection closed before the end of the response.
     Cut,
-    /// No answer came until well after the deadline.
-    Never,
+    /// No response came within a grace time after the deadline.
+    NoAnswer,
 }
 
-/// One request as its caller saw it.
+/// A request as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Entry it was sent to.
+    /// Entry that the request was sent to.
     pub entry: usize,
-    /// What it asks for.
+    /// Route of the request.
     pub route: Route,
-    /// Configuration that brought its key.
-    pub key: Version,
-    /// When it was sent.
+    /// Version of the configuration that added the request's key.
+    pub key: ConfigVersion,
+    /// Time at which the request was sent.
     pub sent_us: TimeUs,
-    /// When it ended.
+    /// Time at which the request ended.
     pub ended_us: TimeUs,
-    /// How.
-    pub end: End,
+    /// Outcome of the request.
+    pub outcome: Outcome,
 }
 
-/// A span of time in which something was disturbed.
+/// Time span of a disturbance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// Its start.
+    /// Start of the span.
     pub from_us: TimeUs,
-    /// Its end.
+    /// End of the span.
     pub to_us: TimeUs,
 }
 
-/// Everything that the checks rest on.
+/// Input of all checks.
 #[derive(Debug, Clone, Default)]
 pub struct Records {
-    /// Requests that have ended.
+    /// Finished requests.
     pub exchanges: Vec<Exchange>,
     /// Requests that servers have read.
     pub runs: Vec<Run>,
-    /// When each configuration was acknowledged.
-    pub configured_us: HashMap<Version, TimeUs>,
-    /// When it was acknowledged that a server leaves.
-    pub left_us: HashMap<String, TimeUs>,
-    /// Servers that have given way to others, whichever way they said that they leave.
+    /// Time at which the store acknowledged each configuration.
+    pub configured_us: HashMap<ConfigVersion, TimeUs>,
+    /// Time at which the store acknowledged that a server drains.
+    pub draining_us: HashMap<String, TimeUs>,
+    /// Servers that were replaced, whether they announced it in the store or in response headers.
     pub replaced: HashSet<String>,
-    /// When each server was killed.
+    /// Times at which each server was killed or found to have crashed.
     pub killed_us: HashMap<String, Vec<TimeUs>>,
-    /// When each server was cold and said so.
+    /// Spans in which each server published that it was cold.
     pub cold: HashMap<String, Vec<Span>>,
     /// Data centre of each server.
     pub data_centre_of: HashMap<String, String>,
-    /// When each data centre was evacuated, from the acknowledgement on.
+    /// Spans in which each data centre was evacuated, from the store's acknowledgement on.
     pub evacuated: HashMap<String, Vec<Span>>,
-    /// When each entry was killed or paused, or was starting.
+    /// Spans in which each entry was killed, paused or starting.
     pub disturbed: HashMap<usize, Vec<Span>>,
-    /// When the store was.
+    /// Spans in which the store was disturbed.
     pub store_disturbed: Vec<Span>,
-    /// Start of the time without faults at the end.
-    pub calm_from_us: TimeUs,
+    /// Start of the fault-free time at the end of the run.
+    pub fault_free_from_us: TimeUs,
 }
 
 impl Records {
-    /// Whether neither the store nor this entry was disturbed in this time.
-    pub fn was_calm(&self, entry: usize, from_us: TimeUs, to_us: TimeUs) -> bool {
+    /// Returns whether neither the store nor this entry was disturbed in this span.
+    pub fn was_undisturbed(&self, entry: usize, from_us: TimeUs, to_us: TimeUs) -> bool {
         !self.was_disturbed(entry, from_us, to_us) && !self.was_store_disturbed(from_us, to_us)
     }
 
-    /// Whether this entry was disturbed in this time.
+    /// Returns whether this entry was disturbed in this span.
     pub fn was_disturbed(&self, entry: usize, from_us: TimeUs, to_us: TimeUs) -> bool {
         self.disturbed.get(&entry).is_some_and(|spans| overlaps(spans, from_us, to_us))
     }
 
-    /// Whether the store was disturbed in this time.
+    /// Returns whether the store was disturbed in this span.
     pub fn was_store_disturbed(&self, from_us: TimeUs, to_us: TimeUs) -> bool {
         overlaps(&self.store_disturbed, from_us, to_us)
     }
 
-    /// Whether a server was killed in this time.
+    /// Returns whether a server was killed or crashed in this span.
     pub fn was_killed(&self, server: &str, from_us: TimeUs, to_us: TimeUs) -> bool {
         let killed = self.killed_us.get(server).into_iter().flatten();
         killed.into_iter().any(|at_us| (from_us..to_us).contains(at_us))
     }
 
-    /// Requests by id.
+    /// Returns all requests by id.
     pub fn by_id(&self) -> HashMap<&str, &Exchange> {
         self.exchanges.iter().map(|exchange| (exchange.id.as_str(), exchange)).collect()
     }
 
-    /// Runs by the request's id, those that a server refused left out.
+    /// Returns the runs by request id, without requests that a server refused.
     pub fn runs_by_id(&self) -> HashMap<&str, Vec<&Run>> {
         let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
         for run in self.runs.iter().filter(|run| run.ran) {
--- a/crates/soak/src/repeater.rs
+++ b/crates/soak/src/repeater.rs
@@ -1,4 +1,4 @@
-//! A caller that brings a request again and again which ends every server that runs it.
+//! A caller that repeats a request which crashes every server that runs it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,26 +8,26 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::{
-    callers::{DEADLINE, exchange, open, request},
+    callers::{DEADLINE, connect, exchange, request},
     deployment::Deployment,
-    records::{End, Exchange, Route, now_us},
+    records::{Exchange, Outcome, Route, now_us},
 };
 
-/// Letter with which the ids of such requests begin.
-const MARK: char = 'x';
-/// Digits of the caller's number behind it.
+/// Prefix of the ids of such requests.
+const ID_PREFIX: char = 'x';
+/// Digits of the caller's number after the prefix.
 const NUMBER_DIGITS: usize = 4;
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(400);
-/// Time for a connection to open.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The caller's number in the id of one of its tries; none for other requests.
-pub fn number_in(id: &str) -> Option<&str> {
-    id.strip_prefix(MARK)?.get(..NUMBER_DIGITS)
+/// Returns the caller's number in the id of a repeated request; `None` for other requests.
+pub fn repeater_number(id: &str) -> Option<&str> {
+    id.strip_prefix(ID_PREFIX)?.get(..NUMBER_DIGITS)
 }
 
-/// One such caller. Its request is another one than that of any other.
+/// A caller with a crashing request of its own.
 pub struct Repeater {
     number: usize,
     route: Route,
@@ -35,36 +35,37 @@
 }
 
 impl Repeater {
-    /// Another one.
+    /// Creates a repeater with a new number.
     pub fn new(deployment: &Deployment, route: Route, until: Instant) -> Self {
-        Repeater { number: deployment.next_repeater(), route, until }
+        Repeater { number: deployment.next_repeater_number(), route, until }
     }
 
-    /// Comes again until its time is over, at any entry that is open, each time on a connection of its own.
+    /// Repeats the request until the time is over, each time on a new connection to a random entry.
     pub async fn run(self, deployment: Rc<Deployment>, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ self.number as u64);
-        let mut tries = 0;
+        let mut attempts = 0;
         while Instant::now() < self.until {
-            tries += 1;
+            attempts += 1;
             let entry = rng.random_range(0..deployment.entries());
-            self.try_at(&deployment, entry, tries).await;
-            sleep(PAUSE).await;
+            self.send_to(&deployment, entry, attempts).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
-    async fn try_at(&self, deployment: &Deployment, entry: usize, tries: u32) {
-        let Some(address) = deployment.open_at(entry) else { return };
-        let Ok(Some(mut sender)) = timeout(CONNECT_LIMIT, open(address)).await else { return };
+    async fn send_to(&self, deployment: &Deployment, entry: usize, attempts: u32) {
+        let Some(address) = deployment.ready_address(entry) else { return };
+        let Ok(Some(mut sender)) = timeout(CONNECT_TIMEOUT, connect(address)).await else { return };
         let (route, number) = (self.route, self.number);
-        let (id, key) = (format!("{MARK}{number:04x}{tries:07x}"), deployment.version());
+        let (id, key) =
+            (format!("{ID_PREFIX}{number:04x}{attempts:07x}"), deployment.config_version());
         let dialect = pondwalk_platform::dialect();
         let body = format!("{LETHAL_BODY}, {number}");
         let Ok(request) = request(&dialect, &id, route, key, body) else { return };
         let sent_us = now_us();
         let exchanged = exchange(&mut sender, request, &id, route, &dialect);
-        let ended = timeout(DEADLINE + CONNECT_LIMIT, exchanged).await;
-        let (end, _) = ended.unwrap_or((End::Never, false));
-        let exchange = Exchange { id, entry, route, key, sent_us, ended_us: now_us(), end };
+        let ended = timeout(DEADLINE + CONNECT_TIMEOUT, exchanged).await;
+        let (outcome, _) = ended.unwrap_or((Outcome::NoAnswer, false));
+        let exchange = Exchange { id, entry, route, key, sent_us, ended_us: now_us(), outcome };
         deployment.records.borrow_mut().exchanges.push(exchange);
     }
 }
--- a/crates/soak/src/roles.rs
+++ b/crates/soak/src/roles.rs
@@ -1,4 +1,4 @@
-//! The processes of a run beside the soak itself.
+//! Child processes of a run.
 
 use std::{net::SocketAddr, path::Path, process, thread, time::Duration};
 
@@ -8,28 +8,28 @@
 use pondwalk_standin::{backends::Act, memory_store::MemoryStore, platform_server, platform_store};
 use tokio::{net::TcpListener, runtime::Builder, task::LocalSet};
 
-/// Events of a stream.
+/// Number of events in a stream.
 pub const EVENTS: u32 = 8;
-/// Time between two of them.
+/// Time between two events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(40);
 
-/// Time between two looks at whether the soak still runs.
-const PARENT_LOOK: Duration = Duration::from_secs(1);
+/// Polling interval for the exit of the parent process.
+const PARENT_POLL: Duration = Duration::from_secs(1);
 
-/// Ends this process soon after the one that started it, however that ended.
-fn end_with_parent() {
+/// Exits this process soon after its parent, also if the parent was killed.
+fn exit_with_parent() {
     let parent = getppid();
     thread::spawn(move || {
         while getppid() == parent {
-            thread::sleep(PARENT_LOOK);
+            thread::sleep(PARENT_POLL);
         }
         process::exit(1);
     });
 }
 
-/// Runs an entry until it is told to stop, as it is deployed.
+/// Runs an entry as in production until it receives a stop signal.
 pub fn entry(settings: &Path) -> anyhow::Result<()> {
-    end_with_parent();
+    exit_with_parent();
     let settings = DirectSettings::try_from(RawFile::load(settings)?)?;
     let port = pondwalk_platform::port(
         settings.store.address,
@@ -40,26 +40,28 @@
     Ok(())
 }
 
-/// Runs the store.
+/// Runs the stand-in store.
 pub fn store(address: SocketAddr) -> anyhow::Result<()> {
-    on_one_thread(async move {
-        let listener = TcpListener::bind(address).await.context("the store's port")?;
+    run_on_current_thread(async move {
+        let listener =
+            TcpListener::bind(address).await.context("cannot bind the store's address")?;
         Ok(platform_store::serve(MemoryStore::default(), listener).await?)
     })
 }
 
-/// Runs a backend server.
+/// Runs a stand-in backend server.
 pub fn server(id: String, address: SocketAddr, streams: bool) -> anyhow::Result<()> {
     let stream = Act::Stream { last: EVENTS, gap: EVENT_GAP, confidence: None, cut_in: None };
-    let usual = if streams { stream } else { Act::Echo };
-    on_one_thread(async move {
-        let listener = TcpListener::bind(address).await.context("the server's port")?;
-        Ok(platform_server::serve(id, usual, listener).await?)
+    let behaviour = if streams { stream } else { Act::Echo };
+    run_on_current_thread(async move {
+        let listener =
+            TcpListener::bind(address).await.context("cannot bind the server's address")?;
+        Ok(platform_server::serve(id, behaviour, listener).await?)
     })
 }
 
-fn on_one_thread(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
-    end_with_parent();
+fn run_on_current_thread(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
+    exit_with_parent();
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work)
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults come when: series of a kind, drawn from a seed, that overlap.
+//! Generates the fault schedule of a run: overlapping series of actions, drawn from a seed.
 
 use std::{fmt, time::Duration};
 
@@ -10,171 +10,171 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    checks::COLD_TIME,
+    checks::WARM_UP_TIME,
     deployment::{DATA_CENTRES, SERVER_RESTART},
     options::Size,
     records::Route,
 };
 
-/// Time without faults at the start, in which all is listed.
-const CALM_START: Duration = Duration::from_secs(3);
-/// Time without faults at the end, in which service must recover.
-pub const CALM_END: Duration = Duration::from_secs(12);
+/// Fault-free time at the start, in which all servers and entries become listed.
+const FAULT_FREE_START: Duration = Duration::from_secs(3);
+/// Fault-free time at the end, in which service must recover.
+pub const FAULT_FREE_END: Duration = Duration::from_secs(12);
 /// Mean time between the starts of two series.
-const BETWEEN_SERIES: Duration = Duration::from_millis(2_500);
-/// Time in which an entry that stops, or a server that leaves, has gone.
-const LONGEST_LEAVING: Duration = Duration::from_secs(8);
-/// Time in which an entry that was killed serves again.
-const RESTART: Duration = Duration::from_secs(3);
-/// Longest disturbance of the store. Keys are refused from 4.5 s on.
-const LONGEST_WEATHER_MS: u64 = 6_000;
+const MEAN_SERIES_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Maximum time that a stopping entry or a draining server takes to exit.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(8);
+/// Time until a killed entry serves again.
+const ENTRY_RESTART: Duration = Duration::from_secs(3);
+/// Maximum length of a store fault, in milliseconds. Entries refuse keys after 4.5 s.
+const MAX_STORE_FAULT_MS: u64 = 6_000;
 
-/// One fault, or one planned change.
+/// A fault or a planned change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
-    /// An entry is stopped as planned, and started again.
+pub enum Action {
+    /// Stops an entry gracefully and starts it again.
     Stop(usize),
-    /// An entry is killed, and started again.
+    /// Kills an entry and starts it again.
     Kill(usize),
-    /// An entry stands still for a while.
+    /// Suspends an entry for this time.
     Pause(usize, Duration),
-    /// Calls to the store fare so for a while.
+    /// Applies a fault mode to the store for this time.
     Weather(WeatherOrder, Duration),
-    /// The store forgets its history.
+    /// Makes the store discard its change history.
     Forget,
-    /// The store is away for a while, and comes back from a copy that is older by the second time.
+    /// Makes the store unavailable for the first time, then restores a copy that is older by the second time.
     Restore(Duration, Duration),
-    /// A configuration with another key, and without the oldest.
+    /// Writes a configuration that adds a key and removes the oldest one.
     Configure,
-    /// All open connections to the store go silent; new ones work.
+    /// Stalls all open connections to the store; new ones work.
     SilenceStore,
-    /// All open connections to the store are reset.
+    /// Resets all open connections to the store.
     ResetStore,
-    /// All open connections to a server go silent; new ones work.
+    /// Stalls all open connections to a server; new ones work.
     SilenceServer(usize),
-    /// A server says that it leaves, goes, and another comes in its place.
+    /// Announces in the store that a server drains, and replaces the server.
     Replace(usize),
-    /// A server says in its answers alone that it leaves, goes, and another comes in its place.
+    /// Announces only in a server's response headers that it drains, and replaces the server.
     Leave(usize),
-    /// A server turns everything away for a while, and asks for pauses.
+    /// Makes a server reject all requests for a while and ask for backoff.
     TurnAway(usize),
-    /// A server names a rate limit in its answers for a while.
+    /// Makes a server announce a rate limit in its responses for a while.
     Limit(usize),
-    /// A server turns cold, and says so.
+    /// Makes a server cold, which it publishes in the store.
     Cool(usize),
-    /// A server is killed, and starts again after a while under the identity that it had.
+    /// Kills a server and restarts it under the same id after this time.
     KillServer(usize, Duration),
-    /// A data centre is evacuated for a while.
+    /// Evacuates a data centre for this time.
     Evacuate(usize, Duration),
-    /// Another writer leaves entries that cannot be read among the servers'.
+    /// Writes unreadable records among the servers' records, as another writer might.
     Litter,
-    /// A caller brings a request again and again, for a while, that ends every server that runs it.
+    /// Repeats, for this time, a request that crashes every server that runs it.
     EndServers(Route, Duration),
 }
 
-/// When it happens, from the arrival of the first callers.
+/// An action and its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// Its time.
+    /// Time since the first callers started.
     pub at: Duration,
-    /// What happens.
-    pub act: Act,
+    /// Action to execute.
+    pub action: Action,
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:7.3} s  {:?}", self.at.as_secs_f64(), self.act)
+        write!(f, "{:7.3} s  {:?}", self.at.as_secs_f64(), self.action)
     }
 }
 
-/// Draws the steps of a run of this length.
-pub fn draw(seed: u64, length: Duration, size: Size) -> Vec<Step> {
+/// Generates the steps of a run of this length, sorted by time.
+pub fn generate(seed: u64, length: Duration, size: Size) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let end = length.saturating_sub(CALM_END);
+    let end = length.saturating_sub(FAULT_FREE_END);
     let mut steps = Vec::new();
-    let mut at = CALM_START;
+    let mut at = FAULT_FREE_START;
     while at < end {
-        series(&mut rng, at, size, &mut steps);
-        at += BETWEEN_SERIES.mul_f64(rng.random_range(0.2..1.8));
+        push_series(&mut rng, at, size, &mut steps);
+        at += MEAN_SERIES_INTERVAL.mul_f64(rng.random_range(0.2..1.8));
     }
-    steps.retain(|step| step.at + lasts(step.act) < end);
+    steps.retain(|step| step.at + max_duration(step.action) < end);
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-/// How long it disturbs at most.
-fn lasts(act: Act) -> Duration {
-    match act {
-        Act::Pause(_, time) | Act::Weather(_, time) | Act::Evacuate(_, time) => time,
-        Act::Restore(away, _) => away,
-        // NB: the last server that ends is back, and cold for a while.
-        Act::EndServers(_, time) => time + SERVER_RESTART + COLD_TIME,
-        Act::KillServer(_, time) => time + COLD_TIME,
-        Act::Cool(_) => COLD_TIME,
-        Act::Stop(_) | Act::Replace(_) | Act::Leave(_) => LONGEST_LEAVING,
-        Act::TurnAway(_) => TURNING_AWAY,
-        Act::Limit(_) => LIMITING,
-        Act::Kill(_) => RESTART,
-        Act::Forget | Act::Configure | Act::Litter => Duration::ZERO,
-        Act::SilenceStore | Act::ResetStore | Act::SilenceServer(_) => Duration::ZERO,
+/// Returns the maximum time for which an action disturbs the deployment.
+fn max_duration(action: Action) -> Duration {
+    match action {
+        Action::Pause(_, time) | Action::Weather(_, time) | Action::Evacuate(_, time) => time,
+        Action::Restore(outage, _) => outage,
+        // The server that crashes last must restart and warm up.
+        Action::EndServers(_, time) => time + SERVER_RESTART + WARM_UP_TIME,
+        Action::KillServer(_, time) => time + WARM_UP_TIME,
+        Action::Cool(_) => WARM_UP_TIME,
+        Action::Stop(_) | Action::Replace(_) | Action::Leave(_) => MAX_DRAIN_TIME,
+        Action::TurnAway(_) => TURNING_AWAY,
+        Action::Limit(_) => LIMITING,
+        Action::Kill(_) => ENTRY_RESTART,
+        Action::Forget | Action::Configure | Action::Litter => Duration::ZERO,
+        Action::SilenceStore | Action::ResetStore | Action::SilenceServer(_) => Duration::ZERO,
     }
 }
 
-fn series(rng: &mut Pcg64Mcg, from: Duration, size: Size, steps: &mut Vec<Step>) {
-    let kinds: [fn(&mut Pcg64Mcg, Size) -> Act; 19] = [
-        |rng, size| Act::Stop(rng.random_range(0..size.entries)),
-        |rng, size| Act::Kill(rng.random_range(0..size.entries)),
+fn push_series(rng: &mut Pcg64Mcg, from: Duration, size: Size, steps: &mut Vec<Step>) {
+    let kinds: [fn(&mut Pcg64Mcg, Size) -> Action; 19] = [
+        |rng, size| Action::Stop(rng.random_range(0..size.entries)),
+        |rng, size| Action::Kill(rng.random_range(0..size.entries)),
         |rng, size| {
             let time = Duration::from_millis(rng.random_range(200..4_000));
-            Act::Pause(rng.random_range(0..size.entries), time)
+            Action::Pause(rng.random_range(0..size.entries), time)
         },
-        |rng, _| weather(rng),
-        |_, _| Act::Forget,
-        |rng, _| restoration(rng),
-        |_, _| Act::Configure,
-        |_, _| Act::SilenceStore,
-        |_, _| Act::ResetStore,
-        |rng, size| Act::SilenceServer(rng.random_range(0..2 * size.servers)),
-        |rng, size| Act::Replace(rng.random_range(0..2 * size.servers)),
-        |rng, size| Act::Leave(rng.random_range(0..2 * size.servers)),
-        |rng, size| Act::TurnAway(rng.random_range(0..2 * size.servers)),
-        |rng, size| Act::Limit(rng.random_range(0..2 * size.servers)),
-        |rng, size| Act::Cool(rng.random_range(0..2 * size.servers)),
+        |rng, _| fault_mode(rng),
+        |_, _| Action::Forget,
+        |rng, _| restoration_action(rng),
+        |_, _| Action::Configure,
+        |_, _| Action::SilenceStore,
+        |_, _| Action::ResetStore,
+        |rng, size| Action::SilenceServer(rng.random_range(0..2 * size.servers)),
+        |rng, size| Action::Replace(rng.random_range(0..2 * size.servers)),
+        |rng, size| Action::Leave(rng.random_range(0..2 * size.servers)),
+        |rng, size| Action::TurnAway(rng.random_range(0..2 * size.servers)),
+        |rng, size| Action::Limit(rng.random_range(0..2 * size.servers)),
+        |rng, size| Action::Cool(rng.random_range(0..2 * size.servers)),
         |rng, size| {
             let time = Duration::from_millis(rng.random_range(100..2_500));
-            Act::KillServer(rng.random_range(0..2 * size.servers), time)
+            Action::KillServer(rng.random_range(0..2 * size.servers), time)
         },
         |rng, _| {
             let time = Duration::from_millis(rng.random_range(1_000..8_000));
-            Act::Evacuate(rng.random_range(0..DATA_CENTRES), time)
+            Action::Evacuate(rng.random_range(0..DATA_CENTRES), time)
         },
-        |_, _| Act::Litter,
+        |_, _| Action::Litter,
         |rng, _| {
             let time = Duration::from_millis(rng.random_range(3_000..12_000));
-            Act::EndServers(*Route::ALL.choose(rng).unwrap_or(&Route::Again), time)
+            Action::EndServers(*Route::ALL.choose(rng).unwrap_or(&Route::Again), time)
         },
     ];
     let Some(kind) = kinds.choose(rng) else { return };
     let mut at = from;
     for _ in 0..rng.random_range(1..=3) {
-        steps.push(Step { at, act: kind(rng, size) });
+        steps.push(Step { at, action: kind(rng, size) });
         at += Duration::from_millis(rng.random_range(100..3_000));
     }
 }
 
-fn restoration(rng: &mut Pcg64Mcg) -> Act {
-    let away = Duration::from_millis(rng.random_range(0..LONGEST_WEATHER_MS / 2));
-    let age = Duration::from_millis(rng.random_range(500..LONGEST_WEATHER_MS));
-    Act::Restore(away, age)
+fn restoration_action(rng: &mut Pcg64Mcg) -> Action {
+    let outage = Duration::from_millis(rng.random_range(0..MAX_STORE_FAULT_MS / 2));
+    let age = Duration::from_millis(rng.random_range(500..MAX_STORE_FAULT_MS));
+    Action::Restore(outage, age)
 }
 
-fn weather(rng: &mut Pcg64Mcg) -> Act {
-    let ms = rng.random_range(300..LONGEST_WEATHER_MS);
+fn fault_mode(rng: &mut Pcg64Mcg) -> Action {
+    let ms = rng.random_range(300..MAX_STORE_FAULT_MS);
     let order = match rng.random_range(0..4) {
         0 => WeatherOrder::Refused,
         1 => WeatherOrder::Silent { ms: 30_000 },
         2 => WeatherOrder::Late { ms: rng.random_range(50..4_000) },
         _ => WeatherOrder::AnswersLost,
     };
-    Act::Weather(order, Duration::from_millis(ms))
+    Action::Weather(order, Duration::from_millis(ms))
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One run: starts everything, plays the schedule, and says what was kept and what was broken.
+//! One run: starts the deployment, executes the schedule and reports which promises were broken.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,85 +15,85 @@
     options::Plan,
     records::now_us,
     repeater::Repeater,
-    schedule::{Act, CALM_END, Step, draw},
+    schedule::{Action, FAULT_FREE_END, Step, generate},
 };
 
-/// Time for the last requests to end.
-const LAST_REQUESTS: Duration = Duration::from_secs(5);
-/// Broken cases of a promise that are printed.
-const PRINTED: usize = 5;
+/// Time for the last requests to finish.
+const FINAL_WAIT: Duration = Duration::from_secs(5);
+/// Maximum number of printed cases per broken promise.
+const MAX_CASES_SHOWN: usize = 5;
 
-/// Plays a run, and tells whether every promise was kept and each looked at.
+/// Executes a run and returns whether every promise was kept and every action succeeded.
 pub fn run(plan: &Plan) -> anyhow::Result<bool> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, play(plan))
+    LocalSet::new().block_on(&runtime, run_schedule(plan))
 }
 
-async fn play(plan: &Plan) -> anyhow::Result<bool> {
+async fn run_schedule(plan: &Plan) -> anyhow::Result<bool> {
     println!("seed {}, {} s, {:?}", plan.seed, plan.length.as_secs(), plan.size);
-    let steps = draw(plan.seed, plan.length, plan.size);
+    let steps = generate(plan.seed, plan.length, plan.size);
     steps.iter().for_each(|step| println!("{step}"));
     let deployment = Deployment::start(plan).await?;
     let start = Instant::now();
     let until = start + plan.length;
     for number in 0..plan.size.entries * plan.size.callers {
-        let caller = Caller { number, home: number % plan.size.entries, until };
+        let caller = Caller { number, preferred_entry: number % plan.size.entries, until };
         spawn_local(caller.run(Rc::clone(&deployment), plan.seed));
     }
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     for step in steps {
         sleep_until(start + step.at).await;
-        acts.push(spawn_local(act(Rc::clone(&deployment), step, plan.seed)));
+        actions.push(spawn_local(execute(Rc::clone(&deployment), step, plan.seed)));
     }
-    let failed = wait_for(acts).await;
-    sleep_until(until.checked_sub(CALM_END).unwrap_or(start)).await;
-    deployment.records.borrow_mut().calm_from_us = now_us();
+    let failed = join_actions(actions).await;
+    sleep_until(until.checked_sub(FAULT_FREE_END).unwrap_or(start)).await;
+    deployment.records.borrow_mut().fault_free_from_us = now_us();
     sleep_until(until).await;
-    sleep(LAST_REQUESTS).await;
+    sleep(FINAL_WAIT).await;
     let records = deployment.records.borrow();
     let findings: Vec<Finding> = CHECKS.iter().map(|check| check(&records)).collect();
     Ok(report(plan, &findings, &failed))
 }
 
-async fn act(deployment: Rc<Deployment>, step: Step, seed: u64) -> anyhow::Result<()> {
-    match step.act {
-        Act::Stop(entry) => deployment.stop(entry).await,
-        Act::Kill(entry) => deployment.kill(entry).await,
-        Act::Pause(entry, time) => {
+async fn execute(deployment: Rc<Deployment>, step: Step, seed: u64) -> anyhow::Result<()> {
+    match step.action {
+        Action::Stop(entry) => deployment.stop(entry).await,
+        Action::Kill(entry) => deployment.kill(entry).await,
+        Action::Pause(entry, time) => {
             deployment.pause(entry, time).await;
             Ok(())
         }
-        Act::Weather(order, time) => deployment.disturb_store(order, time).await,
-        Act::Forget => deployment.forget_history().await,
-        Act::Restore(away, age) => deployment.restore_store(away, age).await,
-        Act::SilenceStore => {
+        Action::Weather(order, time) => deployment.inject_store_fault(order, time).await,
+        Action::Forget => deployment.forget_history().await,
+        Action::Restore(outage, age) => deployment.restore_store(outage, age).await,
+        Action::SilenceStore => {
             deployment.silence_store();
             Ok(())
         }
-        Act::ResetStore => {
+        Action::ResetStore => {
             deployment.reset_store();
             Ok(())
         }
-        Act::SilenceServer(place) => {
-            deployment.silence_server(place);
+        Action::SilenceServer(index) => {
+            deployment.silence_server(index);
             Ok(())
         }
-        Act::Configure => deployment.configure().await,
-        Act::Replace(place) => deployment.replace(place).await,
-        Act::Leave(place) => deployment.leave_by_word(place).await,
-        Act::TurnAway(place) => {
-            deployment.turn_away(place);
+        Action::Configure => deployment.configure().await,
+        Action::Replace(index) => deployment.replace(index).await,
+        Action::Leave(index) => deployment.drain_by_header(index).await,
+        Action::TurnAway(index) => {
+            deployment.reject_requests(index);
             Ok(())
         }
-        Act::Limit(place) => {
-            deployment.limit(place);
+        Action::Limit(index) => {
+            deployment.announce_limit(index);
             Ok(())
         }
-        Act::Cool(place) => deployment.cool(place).await,
-        Act::KillServer(place, time) => deployment.kill_server(place, time).await,
-        Act::Evacuate(data_centre, time) => deployment.evacuate(data_centre, time).await,
-        Act::Litter => deployment.litter().await,
-        Act::EndServers(route, time) => {
+        Action::Cool(index) => deployment.cool(index).await,
+        Action::KillServer(index, time) => deployment.kill_server(index, time).await,
+        Action::Evacuate(data_centre, time) => deployment.evacuate(data_centre, time).await,
+        Action::Litter => deployment.write_unreadable_records().await,
+        Action::EndServers(route, time) => {
             let repeater = Repeater::new(&deployment, route, Instant::now() + time);
             repeater.run(deployment, seed).await;
             Ok(())
@@ -101,11 +101,11 @@
     }
 }
 
-/// Waits for all acts and returns what went wrong with them.
-async fn wait_for(acts: Vec<JoinHandle<anyhow::Result<()>>>) -> Vec<String> {
+/// Waits for all actions and returns the errors of the failed ones.
+async fn join_actions(actions: Vec<JoinHandle<anyhow::Result<()>>>) -> Vec<String> {
     let mut failed = Vec::new();
-    for act in acts {
-        match act.await {
+    for action in actions {
+        match action.await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => failed.push(format!("{error:#}")),
             Err(error) => failed.push(error.to_string()),
@@ -115,13 +115,13 @@
 }
 
 fn report(plan: &Plan, findings: &[Finding], failed: &[String]) -> bool {
-    for Finding { promise, looked_at, broken } in findings {
-        println!("{promise:42} {looked_at:7} looked at, {:4} broken", broken.len());
-        broken.iter().take(PRINTED).for_each(|line| println!("    {line}"));
+    for Finding { promise, checked, broken } in findings {
+        println!("{promise:42} {checked:7} looked at, {:4} broken", broken.len());
+        broken.iter().take(MAX_CASES_SHOWN).for_each(|line| println!("    {line}"));
     }
-    failed.iter().for_each(|line| println!("an act went wrong: {line}"));
-    let kept = findings.iter().all(|finding| finding.broken.is_empty()) && failed.is_empty();
-    let verdict = if kept { "kept" } else { "broken" };
+    failed.iter().for_each(|line| println!("an action failed: {line}"));
+    let is_passed = findings.iter().all(|finding| finding.broken.is_empty()) && failed.is_empty();
+    let verdict = if is_passed { "kept" } else { "broken" };
     println!("seed {}: {verdict}; logs in {}", plan.seed, plan.folder.display());
-    kept
+    is_passed
 }
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Ways between processes: they pass on, go silent, and are reset.
+//! The proxy forwards, stalls and resets connections.
 
 use std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,11 +10,11 @@
     time::timeout,
 };
 
-/// Time in which nothing must come on a way that is silent.
-const SILENT_FOR: Duration = Duration::from_millis(200);
+/// Time in which nothing must arrive on a stalled connection.
+const SILENCE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Plays a test on a way to a server that sends back what it reads.
-fn with_way<F: Future<Output = ()>>(test: impl FnOnce(Rc<Proxy>, SocketAddr) -> F) {
+/// Runs a test with a proxy in front of an echo server.
+fn with_proxy<F: Future<Output = ()>>(test: impl FnOnce(Rc<Proxy>, SocketAddr) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -29,18 +29,18 @@
         });
         let at = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr();
         let at = at.expect("an address");
-        let way = Proxy::start(at, to).await.expect("it listens");
-        test(way, at).await;
+        let proxy = Proxy::start(at, to).await.expect("the proxy listens");
+        test(proxy, at).await;
     });
 }
 
-async fn opened(at: SocketAddr) -> TcpStream {
-    let mut stream = TcpStream::connect(at).await.expect("it opens");
-    assert_eq!(answer(&mut stream).await.expect("an answer"), *b"ping");
+async fn connected(at: SocketAddr) -> TcpStream {
+    let mut stream = TcpStream::connect(at).await.expect("the connection opens");
+    assert_eq!(ping(&mut stream).await.expect("an answer"), *b"ping");
     stream
 }
 
-async fn answer(stream: &mut TcpStream) -> std::io::Result<[u8; 4]> {
+async fn ping(stream: &mut TcpStream) -> std::io::Result<[u8; 4]> {
     stream.write_all(b"ping").await?;
     let mut read = [0; 4];
     stream.read_exact(&mut read).await?;
@@ -48,23 +48,23 @@
 }
 
 #[test]
-fn a_silent_connection_says_nothing_while_new_ones_work() {
-    with_way(|way, at| async move {
-        let mut stream = opened(at).await;
-        way.silence();
-        assert!(timeout(SILENT_FOR, answer(&mut stream)).await.is_err());
-        opened(at).await;
+fn silenced_connection_stalls_while_new_ones_work() {
+    with_proxy(|proxy, at| async move {
+        let mut stream = connected(at).await;
+        proxy.silence();
+        assert!(timeout(SILENCE_PERIOD, ping(&mut stream)).await.is_err());
+        connected(at).await;
     });
 }
 
 #[test]
-fn a_connection_is_reset_and_new_ones_work() {
-    with_way(|way, at| async move {
-        let mut stream = opened(at).await;
-        way.reset();
+fn reset_connection_fails_while_new_ones_work() {
+    with_proxy(|proxy, at| async move {
+        let mut stream = connected(at).await;
+        proxy.reset();
         let mut rest = [0; 4];
         let ended = stream.read(&mut rest).await.expect_err("a reset");
         assert_eq!(ended.kind(), ErrorKind::ConnectionReset);
-        opened(at).await;
+        connected(at).await;
     });
 }
--- a/crates/soak/tests/short_run.rs
+++ b/crates/soak/tests/short_run.rs
@@ -1,25 +1,25 @@
-//! A short run with real processes keeps every promise.
+//! Short runs with real processes keep every promise.
 
 use std::{collections::HashSet, mem::discriminant, process::Command, time::Duration};
 
-use pondwalk_soak::{options::Size, schedule::draw};
+use pondwalk_soak::{options::Size, schedule::generate};
 
-/// Seeds whose schedules have every kind of fault between them.
+/// Seeds whose schedules together cover all actions.
 const SEEDS: [&str; 2] = ["9280", "13472"];
-/// Seconds of one run.
+/// Length of one run in seconds.
 const SECONDS: u64 = 35;
 
 #[test]
-fn the_seeds_of_the_short_runs_bring_every_kind_of_fault() {
+fn short_run_seeds_cover_all_actions() {
     let steps = SEEDS.iter().flat_map(|seed| {
-        draw(seed.parse().expect("a number"), Duration::from_secs(SECONDS), Size::SMALL)
+        generate(seed.parse().expect("a number"), Duration::from_secs(SECONDS), Size::SMALL)
     });
-    let kinds: HashSet<_> = steps.map(|step| discriminant(&step.act)).collect();
+    let kinds: HashSet<_> = steps.map(|step| discriminant(&step.action)).collect();
     assert_eq!(kinds.len(), 19);
 }
 
 #[test]
-fn short_runs_with_real_processes_keep_every_promise() {
+fn short_runs_keep_all_promises() {
     for seed in SEEDS {
         let folder = std::env::temp_dir().join(format!("pondwalk-soak-{}", std::process::id()));
         let run = Command::new(env!("CARGO_BIN_EXE_soak"))
@@ -27,10 +27,10 @@
             .arg(&folder)
             .output()
             .expect("the soak starts");
-        let told = String::from_utf8_lossy(&run.stdout);
-        let errors = String::from_utf8_lossy(&run.stderr);
-        assert!(run.status.success(), "{told}{errors}");
-        // NB: the logs of a run that broke something stay.
-        std::fs::remove_dir_all(&folder).expect("its folder");
+        let stdout = String::from_utf8_lossy(&run.stdout);
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert!(run.status.success(), "{stdout}{stderr}");
+        // A failed run keeps its logs.
+        std::fs::remove_dir_all(&folder).expect("the run's folder");
     }
 }
