--- a/crates/demo/examples/capacity.rs
+++ b/crates/demo/examples/capacity.rs
@@ -1,7 +1,7 @@
-//! Prints the slopes behind docs/CAPACITY.md: state, processor time, messages and store calls.
+//! Prints the measurements for docs/CAPACITY.md: memory, CPU time, messages and store calls.
 //!
-//! State is counted by the allocator, processor time by the kernel's accounting of the roles'
-//! threads, and store calls by the stand-in that is asked.
+//! Memory is measured by the allocator, CPU time by the kernel's accounting of the roles' threads, and
+//! store calls by the stand-in store.
 
 use std::{
     alloc::System,
@@ -15,7 +15,7 @@
     bench::{self, BenchPlan},
     deployment::{Deployment, Plan, ServerPlan},
     faults::fault_plan,
-    load::{Asks, Load, TaskPlan, WorkspacePlan},
+    load::{ExchangeLog, Load, TaskPlan, WorkspacePlan},
 };
 use pondwalk_ledger::{Bill, BillBuffer, BillItem};
 use pondwalk_standin::VersionProfile;
@@ -30,11 +30,11 @@
 const TASKS: usize = 3;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    state_of_the_router();
-    configurations();
-    bills_and_messages();
+    router_state();
+    configuration_costs();
+    bill_and_message_sizes();
     let runtime = tokio::runtime::Runtime::new()?;
-    runtime.block_on(processor_time())?;
+    runtime.block_on(cpu_time())?;
     runtime.block_on(store_calls())?;
     Ok(())
 }
@@ -62,7 +62,7 @@
     policy
 }
 
-/// A router that has seen every version on every task and so many sessions.
+/// Returns a router that has served every version on every task, and this number of sessions.
 fn router(servers: usize, versions: usize, workspaces: usize, sessions: usize) -> Router {
     let mut router = Router::new("dc1");
     router.install(1, &policy(versions, workspaces));
@@ -78,12 +78,12 @@
     }
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for n in 0..sessions.max(versions * TASKS * 4) {
-        ask(&mut router, &mut rng, n, workspaces, versions, sessions > 0);
+        run_request(&mut router, &mut rng, n, workspaces, versions, sessions > 0);
     }
     router
 }
 
-fn ask(
+fn run_request(
     router: &mut Router,
     rng: &mut Pcg64Mcg,
     n: usize,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Bytes that building something leaves allocated.
+/// Returns the number of bytes that the built value occupies.
 fn bytes_of<T>(build: impl FnOnce() -> T) -> f64 {
     let before = ALLOCATED.allocated();
     let built = build();
@@ -126,7 +126,7 @@
     after.saturating_sub(before) as f64
 }
 
-fn state_of_the_router() {
+fn router_state() {
     println!("state of an entry's router, bytes");
     let slope = |few: f64, many: f64, step: f64| (many - few) / step;
     let base = bytes_of(|| router(16, 4, 4, 0));
@@ -142,7 +142,7 @@
     println!("  each session remembered                {sessions:>12.0}");
 }
 
-fn configurations() {
+fn configuration_costs() {
     const REPEATS: u32 = 50;
     println!("configurations of 15 versions");
     for workspaces in [10, 100, 400] {
@@ -160,7 +160,7 @@
     }
 }
 
-fn bills_and_messages() {
+fn bill_and_message_sizes() {
     const BILLS: usize = 20_000;
     let bill = |n: usize| Bill {
         request: format!("{n:032x}"),
@@ -172,13 +172,13 @@
             cost: 0.84,
         }],
     };
-    let book = bytes_of(|| {
-        let mut book = BillBuffer::new(1);
-        (0..BILLS).for_each(|n| book.add(bill(n)));
-        book
+    let buffer_bytes = bytes_of(|| {
+        let mut buffer = BillBuffer::new(1);
+        (0..BILLS).for_each(|n| buffer.add(bill(n)));
+        buffer
     });
     println!("bills and messages, bytes");
-    println!("  each bill waiting at an entry          {:>12.0}", book / BILLS as f64);
+    println!("  each bill waiting at an entry          {:>12.0}", buffer_bytes / BILLS as f64);
     let text = serde_json::to_vec(&bill(1)).unwrap_or_default().len();
     println!("  each bill in the store                 {text:>12}");
     let snapshot = AgentSnapshot {
@@ -190,9 +190,9 @@
         tripped: Vec::new(),
     };
     let batch = FrameBatch { snapshot, frames: Vec::new() };
-    let take = FetchFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
+    let fetch = FetchFrames { entry: 1, acknowledged: 1, wait: Duration::from_secs(5) };
     let size = |bytes: Result<u64, _>| bytes.unwrap_or_default();
-    let both = size(bincode::serialized_size(&batch)) + size(bincode::serialized_size(&take));
+    let both = size(bincode::serialized_size(&batch)) + size(bincode::serialized_size(&fetch));
     println!("  a call for frames and its empty reply  {both:>12}  (without tarpc's own some 90)");
     let policy = policy(15, 400);
     let configuration = Configuration { generation: 1, policy };
@@ -200,7 +200,7 @@
     println!("  a configuration of 400 workspaces      {pushed:>12}");
 }
 
-async fn processor_time() -> Result<(), bench::BenchError> {
+async fn cpu_time() -> Result<(), bench::BenchError> {
     println!("processor time of entry and agent together, us");
     let plan = |tokens, rate| BenchPlan {
         rate,
@@ -219,14 +219,14 @@
     println!("calls to the store a second, a waiting watch counted once");
     println!("  processes  entries  agents   idle reads writes   load reads writes  bills");
     for (entries, agents) in [(1, 3), (8, 32), (40, 160)] {
-        let deployment = Deployment::start(&fleet(entries, agents)).await?;
+        let deployment = Deployment::start(&fleet_plan(entries, agents)).await?;
         if !deployment.wait_ready(Duration::from_secs(60)).await {
             return Err("the fleet did not become ready".into());
         }
         tokio::time::sleep(Duration::from_secs(6)).await;
         let idle = calls_during(&deployment, Duration::from_secs(20), None).await;
-        let asks = Asks::default();
-        let loaded = calls_during(&deployment, Duration::from_secs(20), Some(&asks)).await;
+        let log = ExchangeLog::default();
+        let loaded = calls_during(&deployment, Duration::from_secs(20), Some(&log)).await;
         println!(
             "  {:>9}  {entries:>7}  {agents:>6}  {:>11.2} {:>6.2}  {:>11.2} {:>6.2}  {:>5}",
             entries + agents,
@@ -234,24 +234,24 @@
             idle.1,
             loaded.0,
             loaded.1,
-            asks.len()
+            log.len()
         );
         tokio::task::spawn_blocking(move || drop(deployment)).await?;
     }
     Ok(())
 }
 
-/// Reads and writes a second over a while, with a load or without.
+/// Returns reads and writes of the store per second during `length`, optionally under load.
 async fn calls_during(
     deployment: &Deployment,
     length: Duration,
-    load: Option<&Asks>,
+    load: Option<&ExchangeLog>,
 ) -> (f64, f64) {
     let before = deployment.kv.store.counts();
     match load {
-        Some(asks) => {
+        Some(log) => {
             let entries = deployment.entry_addresses();
-            steady_load().run(length, asks, || entries.clone()).await;
+            steady_load().run(length, log, || entries.clone()).await;
         }
         None => tokio::time::sleep(length).await,
     }
@@ -275,7 +275,7 @@
     Load { tasks: vec![task], workspaces: vec![workspace], rate: 40.0, seed: 1 }
 }
 
-fn fleet(entries: usize, agents: usize) -> Plan {
+fn fleet_plan(entries: usize, agents: usize) -> Plan {
     let profile = VersionProfile {
         first_token: Duration::from_millis(20),
         token: Duration::from_millis(5),
--- a/crates/demo/src/bench.rs
+++ b/crates/demo/src/bench.rs
@@ -1,4 +1,4 @@
-//! The same load to the engine directly and through entry and agent, in one run.
+//! Measures the same load on the direct path to the engine and on the path through entry and agent.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -14,87 +14,87 @@
     deployment::{Deployment, Plan, ServerPlan},
 };
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How the names of the roles' threads begin.
+/// Timeout for one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Name prefixes of the roles' threads.
 const ROLE_THREADS: [&str; 2] = ["entry-", "agent-"];
 
-/// What to measure.
+/// Load of the benchmark.
 #[derive(Debug, Clone, Copy)]
 pub struct BenchPlan {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Length of each part.
+    /// Length of the load on each path.
     pub length: Duration,
-    /// Tokens of an answer.
+    /// Tokens per answer.
     pub tokens: u64,
-    /// Time between tokens at the engine.
+    /// Time between two tokens at the engine.
     pub token: Duration,
 }
 
-/// Why the bench could not run.
+/// Errors of the benchmark.
 #[derive(Debug, Error)]
 pub enum BenchError {
     /// The deployment did not start.
     #[error(transparent)]
     Demo(#[from] DemoError),
-    /// An answer was not whole.
-    #[error("{failed} of {sent} answers were not whole")]
+    /// Some answers were incomplete.
+    #[error("{failed} of {sent} answers were incomplete")]
     NotWhole {
-        /// Answers that were not whole.
+        /// Number of incomplete answers.
         failed: u64,
-        /// Requests sent.
+        /// Number of requests sent.
         sent: u64,
     },
-    /// The process's accounting cannot be read.
-    #[error("the process's processor time cannot be read")]
+    /// The CPU accounting of the process cannot be read.
+    #[error("the CPU time of the process cannot be read")]
     NoAccounting,
 }
 
-/// Figures of one way.
+/// Measurements of one path.
 #[derive(Debug, Clone)]
 pub struct PathResults {
-    /// Time to the whole answer.
+    /// Time to the end of the answer, in microseconds.
     pub total_us: Histogram<u64>,
-    /// Time to the first token.
+    /// Time to the first token, in microseconds.
     pub first_token_us: Histogram<u64>,
-    /// Processor time of the threads of entry and agent.
+    /// CPU time of the threads of entry and agent.
     pub cpu: Duration,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
 }
 
-/// Figures of both ways.
+/// Measurements of both paths.
 #[derive(Debug, Clone)]
 pub struct BenchResults {
-    /// To the engine directly.
+    /// Directly to the engine.
     pub direct: PathResults,
     /// Through entry and agent.
     pub routed: PathResults,
-    /// Tokens of each answer.
+    /// Tokens per answer.
     pub tokens: u64,
 }
 
 impl BenchResults {
-    /// Latency added at a quantile to the first token, in microseconds.
+    /// Returns the latency added to the first token at a quantile, in microseconds.
     pub fn added_first_token_us(&self, quantile: f64) -> i64 {
-        let at = |way: &PathResults| way.first_token_us.value_at_quantile(quantile) as i64;
+        let at = |path: &PathResults| path.first_token_us.value_at_quantile(quantile) as i64;
         at(&self.routed) - at(&self.direct)
     }
 
-    /// Latency added at a quantile to the whole answer, in microseconds.
+    /// Returns the latency added to the complete answer at a quantile, in microseconds.
     pub fn added_total_us(&self, quantile: f64) -> i64 {
-        let at = |way: &PathResults| way.total_us.value_at_quantile(quantile) as i64;
+        let at = |path: &PathResults| path.total_us.value_at_quantile(quantile) as i64;
         at(&self.routed) - at(&self.direct)
     }
 
-    /// Processor time of entry and agent for each request, in microseconds.
+    /// Returns the CPU time of entry and agent per request, in microseconds.
     pub fn cpu_per_request_us(&self) -> f64 {
         self.routed.cpu.as_secs_f64() * 1e6 / self.routed.sent.max(1) as f64
     }
 }
 
-/// Runs both ways one after the other.
+/// Measures both paths one after the other.
 pub async fn run(plan: &BenchPlan) -> Result<BenchResults, BenchError> {
     const VERSION: &str = "bench/1";
     const WARM_UP: Duration = Duration::from_secs(1);
@@ -103,10 +103,10 @@
     let engine = engine.ok_or(DemoError::NotReady)?;
     let entry = deployment.entry_addresses()[0];
     let warm_up = BenchPlan { length: WARM_UP, ..*plan };
-    drive(&warm_up, engine, VERSION).await?;
-    drive(&warm_up, entry, VERSION).await?;
-    let direct = drive(plan, engine, VERSION).await?;
-    let routed = drive(plan, entry, VERSION).await?;
+    send_load(&warm_up, engine, VERSION).await?;
+    send_load(&warm_up, entry, VERSION).await?;
+    let direct = send_load(plan, engine, VERSION).await?;
+    let routed = send_load(plan, entry, VERSION).await?;
     Ok(BenchResults { direct, routed, tokens: plan.tokens })
 }
 
@@ -138,8 +138,8 @@
     Ok(deployment)
 }
 
-/// Sends streamed requests at a steady rate and times their answers.
-async fn drive(
+/// Sends streaming requests at a constant rate and measures their latencies.
+async fn send_load(
     plan: &BenchPlan,
     address: SocketAddr,
     version: &str,
@@ -152,7 +152,7 @@
         "messages": [{ "role": "user", "content": "how much" }],
     });
     let body = body.to_string();
-    let before = processor_time().ok_or(BenchError::NoAccounting)?;
+    let before = cpu_time().ok_or(BenchError::NoAccounting)?;
     let started = Instant::now();
     let gap = Duration::from_secs_f64(1.0 / plan.rate);
     let mut calls = tokio::task::JoinSet::new();
@@ -160,22 +160,22 @@
     while started.elapsed() < plan.length {
         tokio::time::sleep_until(started + gap * sent).await;
         sent += 1;
-        let call = timed(client.clone(), address, body.clone());
-        calls.spawn(async move { tokio::time::timeout(PATIENCE, call).await.ok().flatten() });
+        let call = time_request(client.clone(), address, body.clone());
+        calls.spawn(async move { tokio::time::timeout(ANSWER_TIMEOUT, call).await.ok().flatten() });
     }
     let mut total_us = histogram();
     let mut first_token_us = histogram();
     let mut failed = 0;
     while let Some(ended) = calls.join_next().await {
         match ended {
-            Ok(Some((first, whole))) => {
+            Ok(Some((first, total))) => {
                 first_token_us.saturating_record(first.as_micros() as u64);
-                total_us.saturating_record(whole.as_micros() as u64);
+                total_us.saturating_record(total.as_micros() as u64);
             }
             _ => failed += 1,
         }
     }
-    let cpu = processor_time().ok_or(BenchError::NoAccounting)? - before;
+    let cpu = cpu_time().ok_or(BenchError::NoAccounting)? - before;
     let sent = u64::from(sent);
     if failed > 0 {
         return Err(BenchError::NotWhole { failed, sent });
@@ -183,8 +183,8 @@
     Ok(PathResults { total_us, first_token_us, cpu, sent })
 }
 
-/// Times to the first token and to the end of one answer; `None` if it is not whole.
-async fn timed(
+/// Sends a request; returns the times to the first token and to the end, or `None` if it is incomplete.
+async fn time_request(
     client: reqwest::Client,
     address: SocketAddr,
     body: String,
@@ -200,12 +200,12 @@
         .ok()?;
     let mut stream = response.bytes_stream();
     let mut first = None;
-    let mut whole = false;
+    let mut complete = false;
     while let Some(Ok(chunk)) = stream.next().await {
         first.get_or_insert_with(|| started.elapsed());
-        whole |= chunk.windows(6).any(|window| window == b"[DONE]");
+        complete |= chunk.windows(6).any(|window| window == b"[DONE]");
     }
-    Some((first?, started.elapsed())).filter(|_| whole)
+    Some((first?, started.elapsed())).filter(|_| complete)
 }
 
 fn histogram() -> Histogram<u64> {
@@ -215,12 +215,12 @@
         .unwrap_or_else(|_| unreachable!("the bounds are constant and valid"))
 }
 
-/// Processor time of both roles' threads so far, from the kernel's scheduler accounting.
-fn processor_time() -> Option<Duration> {
+/// Returns the CPU time of both roles' threads so far, from the kernel's scheduler statistics.
+fn cpu_time() -> Option<Duration> {
     let mut nanos = 0;
     for task in std::fs::read_dir("/proc/self/task").ok()? {
         let task = task.ok()?.path();
-        // NB: a thread that ended meanwhile is passed over.
+        // Skips threads that have exited meanwhile.
         let Ok(name) = std::fs::read_to_string(task.join("comm")) else { continue };
         let Ok(schedstat) = std::fs::read_to_string(task.join("schedstat")) else { continue };
         if !ROLE_THREADS.iter().any(|prefix| name.starts_with(prefix)) {
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests as an ordinary HTTP client and tells what it got.
+//! A caller: sends requests as an ordinary HTTP client and returns the reply.
 
 use std::{
     net::SocketAddr,
@@ -8,69 +8,69 @@
 use futures::StreamExt;
 use serde_json::{Value, json};
 
-/// What a caller wants.
+/// A request of a caller.
 #[derive(Debug, Clone, Default)]
 pub struct CallerRequest {
-    /// Its id.
+    /// Id of the request.
     pub request: String,
     /// The caller's key.
     pub key: String,
-    /// Kind of work.
+    /// Task of the request.
     pub task: String,
-    /// Conversation, and its pin if it has one.
+    /// Session name, and its pin if the session has one.
     pub session: Option<(String, Option<String>)>,
-    /// Time allowed.
+    /// Deadline, counted from sending.
     pub deadline: Duration,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub repeatable: bool,
-    /// Marks the caller's own repeats.
+    /// Key that identifies repeats by the caller.
     pub idempotency_key: Option<String>,
-    /// Whether it wants tokens as they come.
+    /// Whether the answer is streamed.
     pub streaming: bool,
-    /// The model named; empty leaves the choice open.
+    /// Requested model; empty lets the entry choose.
     pub model: String,
-    /// Service and path, if it calls a plain service.
+    /// Service and path of a request to a plain service.
     pub service: Option<(String, String)>,
-    /// What it says.
+    /// Text of the prompt.
     pub prompt: String,
 }
 
-/// What a caller got.
+/// Reply that a caller received.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CallerReply {
-    /// HTTP status; zero if there was no response.
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// Text of the answer, or of the error.
+    /// Text of the answer or of the error message.
     pub text: String,
-    /// Whether the answer was whole, as far as the caller can tell.
-    pub whole: bool,
-    /// The version that answered.
+    /// Whether the answer is complete, as far as the caller can see.
+    pub complete: bool,
+    /// Version that answered.
     pub version: Option<String>,
-    /// The session's pin.
+    /// Pin of the session.
     pub pin: Option<String>,
-    /// Whether the session started anew.
+    /// Whether the session was restarted.
     pub restarted: bool,
-    /// What a refusal says of whether anything ran.
+    /// Value of `ran` in an error: whether the request ran.
     pub ran: Option<Value>,
-    /// Code of the error, if there is one.
+    /// Error code, if any.
     pub code: Option<String>,
     /// Time to the first token.
     pub first_token: Duration,
-    /// Time to the end.
+    /// Time to the end of the answer.
     pub latency: Duration,
 }
 
-/// Sends a request to an entry.
+/// Sends a request to an entry and reads the reply; returns a default reply on failure or timeout.
 pub async fn call(
     client: &reqwest::Client,
     entry: SocketAddr,
     request: &CallerRequest,
 ) -> CallerReply {
     let started = Instant::now();
-    // NB: no caller waits for ever, and a demo or test least of all.
-    let patience = request.deadline + Duration::from_secs(10);
-    let exchanged = tokio::time::timeout(patience, exchange(client, entry, request, started)).await;
-    let mut reply = exchanged.ok().flatten().unwrap_or_default();
+    // Keeps demos and tests from hanging on an entry that does not answer.
+    let timeout = request.deadline + Duration::from_secs(10);
+    let result = tokio::time::timeout(timeout, exchange(client, entry, request, started)).await;
+    let mut reply = result.ok().flatten().unwrap_or_default();
     reply.latency = started.elapsed();
     reply
 }
@@ -151,7 +151,7 @@
     };
     let content = value.pointer("/choices/0/message/content").and_then(Value::as_str);
     reply.text = if service { value.to_string() } else { content.unwrap_or_default().to_owned() };
-    reply.whole = service || value.pointer("/choices/0/finish_reason") == Some(&json!("stop"));
+    reply.complete = service || value.pointer("/choices/0/finish_reason") == Some(&json!("stop"));
 }
 
 async fn read_stream(response: reqwest::Response, reply: &mut CallerReply, started: Instant) {
@@ -169,7 +169,7 @@
 fn read_event(event: &str, reply: &mut CallerReply, started: Instant) {
     let data = event.strip_prefix("data: ").unwrap_or_default();
     if data == "[DONE]" {
-        reply.whole = true;
+        reply.complete = true;
         return;
     }
     let value: Value = serde_json::from_str(data).unwrap_or_default();
--- a/crates/demo/src/day.rs
+++ b/crates/demo/src/day.rs
@@ -1,4 +1,4 @@
-//! The demo: a day of one user, with a roll-out, a withdrawal and a planned stop in it.
+//! Simulates a day of one deployment, with a roll-out, a withdrawal and a planned stop.
 
 mod plans;
 
@@ -17,32 +17,32 @@
 
 use crate::{
     deployment::{Deployment, DeploymentError},
-    load::Asks,
+    load::ExchangeLog,
     promises::{Evidence, Promise},
     table::Table,
 };
 use plans::{DayPlan, plan};
 pub use plans::{DemoDeployment, key_digest};
 
-/// Time between two changes in the day.
-const ACT: Duration = Duration::from_secs(6);
-/// Time after which a change must be in force.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
-/// Time that a leaving server may still receive work.
-const LEAVING_GRACE: Duration = Duration::from_secs(2);
-/// Time for all to connect.
-const START_LIMIT: Duration = Duration::from_secs(10);
+/// Time between two changes.
+const PHASE: Duration = Duration::from_secs(6);
+/// Maximum wait for a change to be in force.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for which a draining server may still receive requests.
+const DRAIN_GRACE: Duration = Duration::from_secs(2);
+/// Timeout for all processes to connect.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why the demo could not run.
+/// Errors of the demo.
 #[derive(Debug, Error)]
 pub enum DemoError {
     /// The deployment did not start.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    /// A change was not accepted.
+    /// A configuration change was rejected.
     #[error(transparent)]
     Change(#[from] pondwalk_generations::ChangeError),
-    /// The bills could not be read.
+    /// The ledger could not be read.
     #[error("the ledger cannot be read: {0}")]
     Ledger(#[from] StoreError),
     /// Not all processes became ready.
@@ -50,23 +50,23 @@
     NotReady,
 }
 
-/// What the day brought.
+/// Result of a simulated day.
 #[derive(Debug)]
 pub struct DemoReport {
-    /// Requests, answers, cost and quality.
+    /// Requests, answers, cost and quality by task and version.
     pub table: Table,
-    /// The promises.
+    /// Results of the checked promises.
     pub promises: Vec<Promise>,
 }
 
 impl DemoReport {
-    /// Whether every promise held.
+    /// Returns whether every promise was kept.
     pub fn has_passed(&self) -> bool {
         self.promises.iter().all(|promise| promise.broken.is_empty())
     }
 }
 
-/// Plays a day; `progress` is told what happens.
+/// Simulates a day; `progress` receives a line for each step.
 pub async fn run_day(
     chosen: DemoDeployment,
     progress: impl Fn(&str),
@@ -74,49 +74,49 @@
     let day = plan(chosen);
     progress("starting stand-ins, agents and entries");
     let mut deployment = Deployment::start(&day.plan).await?;
-    if !deployment.wait_ready(START_LIMIT).await {
+    if !deployment.wait_ready(START_TIMEOUT).await {
         return Err(DemoError::NotReady);
     }
-    let asks = Asks::default();
+    let log = ExchangeLog::default();
     let entries = deployment.entry_addresses();
     let load = {
-        let asks = asks.clone();
+        let log = log.clone();
         let load = day.load();
         let entries = entries.clone();
-        tokio::spawn(async move { load.run(ACT * 4, &asks, || entries.clone()).await })
+        tokio::spawn(async move { load.run(PHASE * 4, &log, || entries.clone()).await })
     };
-    let mut stage = Stage::new(&deployment);
-    act(&asks, &progress, "an ordinary morning").await;
-    stage.roll_out(&deployment, &day, &progress).await?;
-    act(&asks, &progress, "the new version takes over step by step").await;
-    stage.withdraw(&deployment, &day, &progress).await?;
-    act(&asks, &progress, "the old version is gone").await;
-    stage.stop_agent(&mut deployment, &day, &progress).await;
+    let mut day_run = DayRun::new(&deployment);
+    run_phase(&log, &progress, "regular load").await;
+    day_run.roll_out(&deployment, &day, &progress).await?;
+    run_phase(&log, &progress, "the new version is rolled out step by step").await;
+    day_run.withdraw(&deployment, &day, &progress).await?;
+    run_phase(&log, &progress, "the old version is withdrawn").await;
+    day_run.stop_agent(&mut deployment, &day, &progress).await;
     progress("waiting for the last answers");
     let _ = load.await;
-    let ledger = settle(&deployment, &asks).await?;
-    Ok(stage.report(&deployment, &day, &asks, ledger))
+    let ledger = wait_for_bills(&deployment, &log).await?;
+    Ok(day_run.report(&deployment, &day, &log, ledger))
 }
 
-async fn act(asks: &Asks, progress: &impl Fn(&str), what: &str) {
+async fn run_phase(log: &ExchangeLog, progress: &impl Fn(&str), what: &str) {
     const SECOND: Duration = Duration::from_secs(1);
     progress(what);
-    let until = Instant::now() + ACT;
+    let until = Instant::now() + PHASE;
     while Instant::now() + SECOND <= until {
         tokio::time::sleep(SECOND).await;
-        progress(&format!("  {} answers", asks.len()));
+        progress(&format!("  {} answers", log.len()));
     }
     tokio::time::sleep_until(until).await;
 }
 
-/// Waits until every answer has its bill in the store.
-async fn settle(deployment: &Deployment, asks: &Asks) -> Result<Ledger, DemoError> {
-    const TRIES: u32 = 50;
-    let whole = asks.all().iter().filter(|asked| asked.reply.whole).count();
+/// Waits until the store has a bill for every complete answer, and returns the ledger.
+async fn wait_for_bills(deployment: &Deployment, log: &ExchangeLog) -> Result<Ledger, DemoError> {
+    const MAX_ATTEMPTS: u32 = 50;
+    let complete = log.all().iter().filter(|exchange| exchange.reply.complete).count();
     let mut ledger = Ledger::default();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         ledger = read_ledger(&deployment.store()).await?;
-        if ledger.bills.len() >= whole {
+        if ledger.bills.len() >= complete {
             break;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -124,31 +124,31 @@
     Ok(ledger)
 }
 
-/// What is noted along the day.
-struct Stage {
+/// Observations during the day.
+struct DayRun {
     generations: Arc<Mutex<BTreeMap<String, Vec<u64>>>>,
     in_force_ms: Vec<u64>,
     old_runs_at_withdrawal: usize,
-    leaving_runs_at_grace: usize,
+    draining_runs_at_grace: usize,
 }
 
-impl Stage {
+impl DayRun {
     fn new(deployment: &Deployment) -> Self {
         let generations: Arc<Mutex<BTreeMap<String, Vec<u64>>>> = Arc::default();
         for address in deployment.entry_addresses() {
             let seen = generations.clone();
             tokio::spawn(async move {
                 while let Some(status) = status_of(address).await {
-                    note_generations(&seen, &address.to_string(), &status);
+                    record_generations(&seen, &address.to_string(), &status);
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             });
         }
-        Stage {
+        DayRun {
             generations,
             in_force_ms: Vec::new(),
             old_runs_at_withdrawal: 0,
-            leaving_runs_at_grace: 0,
+            draining_runs_at_grace: 0,
         }
     }
 
@@ -163,7 +163,7 @@
         let edit = |policy: &_| add_roll_out(policy, &roll_out);
         let record =
             commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
-        self.await_in_force(deployment, record.generation).await;
+        self.wait_until_in_force(deployment, record.generation).await;
         Ok(())
     }
 
@@ -173,12 +173,12 @@
         day: &DayPlan,
         progress: &impl Fn(&str),
     ) -> Result<(), DemoError> {
-        progress(&format!("withdrawing {} in mid-traffic", day.old));
+        progress(&format!("withdrawing {} under load", day.old));
         let old = day.old.to_owned();
         let edit = |policy: &_| withdraw(policy, &old);
         let record =
             commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
-        self.await_in_force(deployment, record.generation).await;
+        self.wait_until_in_force(deployment, record.generation).await;
         self.old_runs_at_withdrawal = runs_of(deployment, day.old);
         Ok(())
     }
@@ -190,7 +190,7 @@
         progress: &impl Fn(&str),
     ) {
         let unit = &deployment.servers[day.stopped];
-        progress(&format!("stopping the agent of {} as planned", unit.server));
+        progress(&format!("draining the agent of {}", unit.server));
         let name = unit.server.clone();
         if let Some(agent) = &unit.agent {
             agent.begin_drain();
@@ -200,16 +200,16 @@
                 instance.state = "leaving".to_owned();
             }
         });
-        tokio::time::sleep(LEAVING_GRACE).await;
-        self.leaving_runs_at_grace = runs_on(deployment, day.stopped);
+        tokio::time::sleep(DRAIN_GRACE).await;
+        self.draining_runs_at_grace = runs_on(deployment, day.stopped);
         deployment.drain_agent(day.stopped).await;
     }
 
-    /// Waits until every entry and agent has a generation.
-    async fn await_in_force(&mut self, deployment: &Deployment, generation: u64) {
+    /// Waits until every entry and agent has applied a generation, and records the time taken.
+    async fn wait_until_in_force(&mut self, deployment: &Deployment, generation: u64) {
         let started = Instant::now();
-        while started.elapsed() < IN_FORCE_LIMIT {
-            if everywhere(deployment, generation).await {
+        while started.elapsed() < IN_FORCE_TIMEOUT {
+            if is_in_force_everywhere(deployment, generation).await {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -221,20 +221,23 @@
         &self,
         deployment: &Deployment,
         day: &DayPlan,
-        asks: &Asks,
+        log: &ExchangeLog,
         ledger: Ledger,
     ) -> DemoReport {
-        let asked = asks.all();
-        let table = Table::new(&asked, &ledger);
+        let exchanges = log.all();
+        let table = Table::new(&exchanges, &ledger);
         let late_old = runs_of(deployment, day.old) - self.old_runs_at_withdrawal;
-        let late_leaving = runs_on(deployment, day.stopped) - self.leaving_runs_at_grace;
+        let late_draining = runs_on(deployment, day.stopped) - self.draining_runs_at_grace;
         let evidence = Evidence {
-            asked,
+            exchanges,
             runs: deployment.runs(),
             allowed: day.allowed(),
             ledger,
             runs_after_withdrawal: vec![day.old.to_owned(); late_old],
-            runs_after_leaving: vec![deployment.servers[day.stopped].server.clone(); late_leaving],
+            runs_after_draining: vec![
+                deployment.servers[day.stopped].server.clone();
+                late_draining
+            ],
             generations: self.generations.lock().unwrap_or_else(PoisonError::into_inner).clone(),
             in_force_ms: self.in_force_ms.clone(),
         };
@@ -246,7 +249,7 @@
     reqwest::get(format!("http://{entry}/status")).await.ok()?.json().await.ok()
 }
 
-async fn everywhere(deployment: &Deployment, generation: u64) -> bool {
+async fn is_in_force_everywhere(deployment: &Deployment, generation: u64) -> bool {
     for address in deployment.entry_addresses() {
         let Some(status) = status_of(address).await else {
             return false;
@@ -263,7 +266,7 @@
     true
 }
 
-fn note_generations(
+fn record_generations(
     seen: &Mutex<BTreeMap<String, Vec<u64>>>,
     entry: &str,
     status: &serde_json::Value,
--- a/crates/demo/src/day/plans.rs
+++ b/crates/demo/src/day/plans.rs
@@ -1,4 +1,4 @@
-//! The two users' deployments, scaled down to one machine.
+//! Plans of the two users' deployments, scaled down to one machine.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -13,24 +13,24 @@
     load::{Load, TaskPlan, WorkspacePlan},
 };
 
-/// Which user's day is played.
+/// Deployment whose day is simulated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DemoDeployment {
-    /// Branch offices of the prairies.
+    /// Branch offices of a franchise.
     Franchise,
-    /// Carriers and resellers.
+    /// Carriers and resellers of an association.
     Association,
 }
 
-/// A day's plan.
+/// Plan of a simulated day.
 pub struct DayPlan {
-    /// What to start.
+    /// Deployment to start.
     pub plan: Plan,
-    /// The version that is rolled out.
+    /// Version that is rolled out.
     pub new: &'static str,
-    /// The version that it replaces, withdrawn later.
+    /// Version that the roll-out replaces, withdrawn later.
     pub old: &'static str,
-    /// Index of the server whose agent is stopped.
+    /// Index of the server whose agent is drained.
     pub stopped: usize,
     tasks: Vec<TaskPlan>,
     workspaces: Vec<WorkspacePlan>,
@@ -41,24 +41,24 @@
 const MEDIUM: &str = "medium/2";
 const NEW_MEDIUM: &str = "medium/3";
 const LARGE: &str = "large/7";
-/// Weights of the workspaces: a few large ones, and the others small.
+/// Weights of the workspaces: a few large ones and several small ones.
 const WORKSPACE_WEIGHTS: [f64; 5] = [10.0, 5.0, 2.0, 1.0, 1.0];
-/// Requests a second.
-const RATE: f64 = 60.0;
+/// Requests per second.
+const REQUESTS_PER_S: f64 = 60.0;
 const SEED: u64 = 7;
 
 impl DayPlan {
-    /// The day's load.
+    /// Returns the load of the day.
     pub fn load(&self) -> Load {
         Load {
             tasks: self.tasks.clone(),
             workspaces: self.workspaces.clone(),
-            rate: RATE,
+            rate: REQUESTS_PER_S,
             seed: SEED,
         }
     }
 
-    /// Versions and services that each workspace may use once the roll-out has begun.
+    /// Returns the versions and services that each workspace may use once the roll-out has begun.
     pub fn allowed(&self) -> HashMap<String, BTreeSet<String>> {
         let all = [SMALL, MEDIUM, NEW_MEDIUM, LARGE, self.service];
         let versions: BTreeSet<String> = all.iter().map(|name| (*name).to_owned()).collect();
@@ -67,7 +67,7 @@
     }
 }
 
-/// The plan of a user's day.
+/// Returns the plan of a deployment's day.
 pub fn plan(deployment: DemoDeployment) -> DayPlan {
     match deployment {
         DemoDeployment::Franchise => franchise(),
@@ -202,7 +202,7 @@
     ini
 }
 
-/// Digest of a caller's key, as policies hold it.
+/// Returns the hexadecimal SHA-256 digest of a caller's key, as policies store it.
 pub fn key_digest(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment: stand-ins, agents and entries.
+//! A deployment of stand-ins, agents and entries in one process.
 
 use std::{collections::BTreeMap, io, net::SocketAddr, path::Path, time::Duration};
 
@@ -17,72 +17,72 @@
 use pondwalk_threads::StartError;
 use thiserror::Error;
 
-/// Delay of the list of instances.
+/// Delay with which the list of instances shows changes.
 const LIST_LAG: Duration = Duration::from_millis(500);
-/// Time that the store may take.
+/// Timeout of calls to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time that a rating takes.
+/// Delay of each rating.
 const RATING_DELAY: Duration = Duration::from_millis(20);
-/// Key that signs session pins in these deployments.
+/// Key that signs session pins.
 const SIGNING_KEY: &str = "a key for loopback only";
 
-/// Why a deployment could not be started.
+/// Errors at the start of a deployment.
 #[derive(Debug, Error)]
 pub enum DeploymentError {
     /// A stand-in could not listen.
     #[error("a stand-in cannot listen: {0}")]
     Standin(#[from] io::Error),
-    /// Settings were refused.
+    /// Settings were rejected.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// A role could not start.
     #[error(transparent)]
     Role(#[from] StartError),
-    /// The policy was not accepted.
+    /// The policy was rejected.
     #[error(transparent)]
     Change(#[from] ChangeError),
 }
 
-/// One backend server of a plan.
+/// Plan of a backend server.
 #[derive(Debug, Clone)]
 pub struct ServerPlan {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// Where it is.
+    /// Data centre of the server.
     pub data_centre: String,
-    /// Versions hosted, with how they answer; empty for a plain service.
+    /// Hosted versions with their profiles; empty for a plain service.
     pub versions: BTreeMap<String, VersionProfile>,
-    /// The one of them that is loaded at the start; all if absent.
+    /// Version that is loaded at the start; all versions if `None`.
     pub loaded: Option<String>,
-    /// Name of the plain service, if it is one.
+    /// Name of the plain service; `None` for an engine.
     pub service: Option<String>,
-    /// Requests run at a time.
+    /// Number of concurrent requests.
     pub slots: u32,
 }
 
-/// What to start.
+/// Plan of a deployment.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Backend servers.
     pub servers: Vec<ServerPlan>,
     /// Number of entries.
     pub entries: usize,
-    /// Policy in INI.
+    /// Policy in INI format.
     pub policy_ini: String,
-    /// Further lines for the settings of entries.
+    /// Additional lines for the settings of entries.
     pub entry_ini: String,
 }
 
 /// A backend server with its agent.
 #[derive(Debug)]
 pub struct ServerUnit {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// The engine, unless it is a plain service.
+    /// Engine; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// The plain service, if it is one.
+    /// Plain service; `None` for an engine.
     pub service: Option<PlainService>,
-    /// The agent; `None` once it was stopped.
+    /// Agent; `None` after it was stopped.
     pub agent: Option<RunningAgent>,
     settings: AgentSettings,
 }
@@ -90,21 +90,21 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Deployment {
-    /// The platform's key-value service.
+    /// Stand-in of the platform's key-value service.
     pub kv: KvServer,
-    /// The list of instances.
+    /// Stand-in of the list of instances.
     pub instances: InstanceList,
-    /// The rating service.
+    /// Stand-in of the rating service.
     pub rating: RatingService,
-    /// Backend servers and agents.
+    /// Backend servers with their agents.
     pub servers: Vec<ServerUnit>,
-    /// Entries; `None` once one was stopped.
+    /// Entries; `None` after an entry was stopped.
     pub entries: Vec<Option<RunningEntry>>,
     entry_ini: String,
 }
 
 impl Deployment {
-    /// Starts everything and applies the policy.
+    /// Starts all processes and applies the policy.
     pub async fn start(plan: &Plan) -> Result<Self, DeploymentError> {
         let kv = KvStore::default().listen(ANY_PORT).await?;
         let rating = RatingService::start(ANY_PORT, RATING_DELAY).await?;
@@ -158,7 +158,7 @@
             self.entry_ini,
         );
         let settings = EntrySettings::try_from(RawFile::parse(Path::new("entry.ini"), &text)?)?;
-        // NB: roles own runtimes, which must not be made on a thread that runs one.
+        // A role creates a runtime, which must not happen on a thread that runs one.
         let entry =
             tokio::task::spawn_blocking(move || RunningEntry::start(settings, store, no_metrics()));
         let entry = entry.await.map_err(io::Error::other)??;
@@ -174,29 +174,29 @@
         Ok(())
     }
 
-    /// Makes a policy the next generation.
+    /// Commits a policy as the next generation.
     pub async fn apply(&self, policy_ini: &str) -> Result<PolicyRecord, DeploymentError> {
         let policy = policy_from_ini(RawFile::parse(Path::new("policy.ini"), policy_ini)?)?;
         let edit = |current: &_| Ok(replace_policy(current, &policy, &[]));
         Ok(commit_edit(&self.store(), rand::random(), OnConflict::Abort, edit).await?)
     }
 
-    /// A handle on the platform's store.
+    /// Returns a client of the platform's store.
     pub fn store(&self) -> Store {
         Store::new(self.kv.store.transport(), STORE_TIMEOUT)
     }
 
-    /// Addresses of the entries that run.
+    /// Returns the addresses of the running entries.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().flatten().map(RunningEntry::address).collect()
     }
 
-    /// Whether every entry would be sent callers by the balancer.
+    /// Returns whether every running entry reports that it is ready.
     pub fn is_ready(&self) -> bool {
         self.entries.iter().flatten().all(RunningEntry::is_ready)
     }
 
-    /// Waits until all entries are ready and connected to all agents, at most for `limit`.
+    /// Waits until all entries are ready and connected to all agents; returns `false` after `limit`.
     pub async fn wait_ready(&self, limit: Duration) -> bool {
         const POLL: Duration = Duration::from_millis(20);
         let agents = self.servers.iter().filter(|unit| unit.agent.is_some()).count();
@@ -213,7 +213,7 @@
         tokio::time::timeout(limit, ready).await.is_ok()
     }
 
-    /// Stops an agent as planned; returns whether it ended cleanly.
+    /// Stops an agent gracefully; returns whether it stopped cleanly.
     pub async fn drain_agent(&mut self, server: usize) -> bool {
         let unit = &mut self.servers[server];
         match unit.agent.take() {
@@ -222,15 +222,15 @@
         }
     }
 
-    /// Stops an agent at once, as a failure would.
+    /// Stops an agent immediately, as in a crash.
     pub async fn kill_agent(&mut self, server: usize) {
         if let Some(agent) = self.servers[server].agent.take() {
-            // NB: dropping joins a thread, so not on this one.
+            // Dropping a role joins a thread, which would block this one.
             let _ = tokio::task::spawn_blocking(move || drop(agent)).await;
         }
     }
 
-    /// Starts an agent again beside its backend server, at a new address.
+    /// Starts a new agent for a backend server, at a new address.
     pub async fn restart_agent(&mut self, server: usize) -> Result<(), DeploymentError> {
         let unit = &mut self.servers[server];
         let agent = start_agent(unit.settings.clone(), self.kv.address()).await?;
@@ -245,11 +245,11 @@
         Ok(())
     }
 
-    /// Stops an entry at once, as a failure would.
+    /// Stops an entry immediately, as in a crash.
     pub async fn kill_entry(&mut self, entry: usize) {
         self.unlist_entry(entry);
         if let Some(entry) = self.entries[entry].take() {
-            // NB: dropping joins a thread, so not on this one.
+            // Dropping a role joins a thread, which would block this one.
             let _ = tokio::task::spawn_blocking(move || drop(entry)).await;
         }
     }
@@ -259,7 +259,7 @@
         self.instances.change(|list| list.retain(|instance| instance.instance != name));
     }
 
-    /// Stops an entry as planned; returns whether it ended cleanly.
+    /// Stops an entry gracefully; returns whether it stopped cleanly.
     pub async fn drain_entry(&mut self, entry: usize) -> bool {
         self.unlist_entry(entry);
         match self.entries[entry].take() {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Ids of all requests that any backend server ran, with the version that ran them.
+    /// Returns the ids of all requests that backend servers ran, with the version or service that ran them.
     pub fn runs(&self) -> Vec<(String, String)> {
         let mut runs = Vec::new();
         for unit in &self.servers {
@@ -288,7 +288,7 @@
     format!("entry-{number}")
 }
 
-/// Agents that an entry is connected to.
+/// Returns the number of agents that an entry is connected to.
 async fn connected_agents(entry: SocketAddr) -> usize {
     let status = reqwest::get(format!("http://{entry}/status")).await;
     let Ok(status) = status else {
@@ -332,7 +332,7 @@
     kv: SocketAddr,
 ) -> Result<RunningAgent, DeploymentError> {
     let store = Store::new(http_transport(kv), STORE_TIMEOUT);
-    // NB: roles own runtimes, which must not be made on a thread that runs one.
+    // A role creates a runtime, which must not happen on a thread that runs one.
     let agent =
         tokio::task::spawn_blocking(move || RunningAgent::start(settings, store, no_metrics()));
     Ok(agent.await.map_err(io::Error::other)??)
--- a/crates/demo/src/faults.rs
+++ b/crates/demo/src/faults.rs
@@ -1,11 +1,11 @@
-//! Faults brought about on purpose, each with what must hold nevertheless.
+//! Fault injection: each fault comes with the properties that must hold nevertheless.
 //!
-//! The demo prints what came of them; the tests assert that nothing broke.
+//! The demo prints the findings; the tests assert that no case is broken.
 
 mod configuration;
-mod leaving;
+mod draining;
+mod idempotency;
 mod limits;
-mod once;
 mod orders;
 mod plan;
 mod sessions;
@@ -21,17 +21,17 @@
 
 pub use plan::fault_plan;
 
-/// Time for all processes to connect.
-const START_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for all processes to connect.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What was tried, how often, and what broke.
+/// Result of injecting a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// What was tried.
+    /// Description of the fault and the expected result.
     pub name: &'static str,
-    /// How often.
+    /// Number of checked cases.
     pub checked: u64,
-    /// Cases that broke, each with what was seen.
+    /// Descriptions of the broken cases.
     pub broken: Vec<String>,
 }
 
@@ -40,48 +40,48 @@
         Finding { name, checked: 0, broken: Vec::new() }
     }
 
-    /// Notes one case; `seen` is shown if it does not hold.
-    fn expect(&mut self, holds: bool, seen: impl FnOnce() -> String) {
+    /// Counts a case; adds `description` to the broken cases unless it holds.
+    fn expect(&mut self, holds: bool, description: impl FnOnce() -> String) {
         self.checked += 1;
         if !holds {
-            self.broken.push(seen());
+            self.broken.push(description());
         }
     }
 }
 
-/// Which fault is brought about.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The same order through two entries at the same moment, and again later.
+    /// The same order is sent through two entries at once, and again later.
     RepeatedKeys,
-    /// An agent dies with work in flight.
+    /// An agent is killed with requests in flight.
     AgentKilled,
-    /// The store is down while requests, orders and bills come in.
+    /// The store is down while requests, orders and bills arrive.
     StoreDown,
-    /// An entry dies before its bills are written.
+    /// An entry is killed before its bills are written.
     EntryKilled,
-    /// Pins that were altered or belong to another workspace.
+    /// Session pins are altered or belong to another workspace.
     ForgedPins,
-    /// Sessions while every agent and entry is replaced.
+    /// Every agent and entry is replaced during sessions.
     EverythingReplaced,
-    /// An entry without the store learns configurations from agents.
+    /// An entry without the store receives configurations from agents.
     CutFromStore,
-    /// A planned stop of an agent and of an entry under streaming load.
+    /// An agent and an entry are drained under streaming load.
     PlannedStops,
-    /// Answers that break off before and after something was shown.
+    /// Answers are cut before and after the first tokens were delivered.
     CutAnswers,
-    /// Orders with an old fence, or whose time is over.
+    /// Orders carry an old fencing token, or have expired.
     StaleOrders,
-    /// A roll-out whose conductor died.
+    /// The coordinator of a roll-out is killed.
     CoordinatorKilled,
-    /// An entry that has nothing to do for longer than agents keep answers.
+    /// Entries are idle for longer than agents retain answers.
     IdleEntry,
-    /// Servers that name rate limits.
+    /// Servers announce rate limits.
     ServerLimits,
 }
 
 impl Fault {
-    /// All faults, in the order of the demo.
+    /// All faults in the order of the demo.
     pub const ALL: [Fault; 13] = [
         Fault::RepeatedKeys,
         Fault::AgentKilled,
@@ -98,31 +98,31 @@
         Fault::ServerLimits,
     ];
 
-    /// Brings the fault about on a deployment of its own.
+    /// Injects the fault into a new deployment and checks the expected result.
     pub async fn inject(self) -> Result<Finding, DemoError> {
         let mut deployment = Deployment::start(&fault_plan()).await?;
-        if !deployment.wait_ready(START_LIMIT).await {
+        if !deployment.wait_ready(START_TIMEOUT).await {
             return Err(DemoError::NotReady);
         }
         match self {
-            Fault::RepeatedKeys => once::repeated_keys(&deployment).await,
-            Fault::AgentKilled => once::agent_killed(&mut deployment).await,
-            Fault::StoreDown => once::store_down(&deployment).await,
-            Fault::EntryKilled => once::entry_killed(&mut deployment).await,
+            Fault::RepeatedKeys => idempotency::repeated_keys(&deployment).await,
+            Fault::AgentKilled => idempotency::agent_killed(&mut deployment).await,
+            Fault::StoreDown => idempotency::store_down(&deployment).await,
+            Fault::EntryKilled => idempotency::entry_killed(&mut deployment).await,
             Fault::ForgedPins => sessions::forged_pins(&deployment).await,
             Fault::EverythingReplaced => sessions::everything_replaced(&mut deployment).await,
             Fault::CutFromStore => configuration::cut_from_store(&mut deployment).await,
-            Fault::PlannedStops => leaving::planned_stops(&mut deployment).await,
+            Fault::PlannedStops => draining::planned_stops(&mut deployment).await,
             Fault::CutAnswers => streams::cut_answers(&deployment).await,
             Fault::StaleOrders => orders::stale_orders(&deployment).await,
-            Fault::IdleEntry => leaving::idle_entry(&deployment).await,
+            Fault::IdleEntry => draining::idle_entry(&deployment).await,
             Fault::ServerLimits => limits::server_limits(&deployment).await,
             Fault::CoordinatorKilled => orders::coordinator_killed(&mut deployment).await,
         }
     }
 }
 
-/// A request that all scenarios start from.
+/// Returns the base request of all scenarios.
 fn request(id: &str) -> CallerRequest {
     CallerRequest {
         request: id.to_owned(),
@@ -135,14 +135,14 @@
     }
 }
 
-/// Sends a request to the entry with this number.
-async fn ask(deployment: &Deployment, entry: usize, request: &CallerRequest) -> CallerReply {
+/// Sends a request to the entry with this number, modulo the number of entries.
+async fn send(deployment: &Deployment, entry: usize, request: &CallerRequest) -> CallerReply {
     let addresses = deployment.entry_addresses();
     call(&reqwest::Client::new(), addresses[entry % addresses.len()], request).await
 }
 
 /// Sends a request in the background.
-fn ask_later(
+fn send_in_background(
     deployment: &Deployment,
     entry: usize,
     request: CallerRequest,
@@ -152,13 +152,13 @@
     tokio::spawn(async move { call(&reqwest::Client::new(), address, &request).await })
 }
 
-/// Runs at backend servers of a request.
+/// Returns the number of runs of a request at backend servers.
 fn runs_of(deployment: &Deployment, request: &str) -> usize {
     deployment.runs().iter().filter(|(id, _)| id == request).count()
 }
 
-/// Waits until something holds, at most for a while; tells whether it does.
-async fn eventually(limit: Duration, mut holds: impl AsyncFnMut() -> bool) -> bool {
+/// Polls a condition until it holds; returns `false` after `limit`.
+async fn wait_until(limit: Duration, mut holds: impl AsyncFnMut() -> bool) -> bool {
     const POLL: Duration = Duration::from_millis(20);
     let waiting = async {
         while !holds().await {
--- a/crates/demo/src/faults/idempotency.rs
+++ b/crates/demo/src/faults/idempotency.rs
@@ -1,4 +1,4 @@
-//! What must run at most once and be billed exactly once.
+//! Requests that must run at most once and be billed exactly once.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use pondwalk_standin::KvFaults;
 use serde_json::json;
 
-use super::{Finding, ask, ask_later, eventually, request, runs_of};
+use super::{Finding, request, runs_of, send, send_in_background, wait_until};
 use crate::{caller::CallerRequest, day::DemoError, deployment::Deployment};
 
-/// Longest wait for bills to be written.
-const BILLS_LIMIT: Duration = Duration::from_secs(15);
+/// Maximum wait for bills to be written.
+const BILLS_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn order(id: &str, key: &str) -> CallerRequest {
     let idempotency_key = Some(key.to_owned());
     CallerRequest { repeatable: false, idempotency_key, ..request(id) }
 }
 
-/// The same order through two entries at once and again afterwards: one run.
+/// Sends the same order through two entries at once and again afterwards; it runs once.
 pub async fn repeated_keys(deployment: &Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("one order sent through two entries at once, and again: one run");
     for n in 0..10 {
         let key = format!("key{n}");
         let ids = [format!("o{n}-a"), format!("o{n}-b"), format!("o{n}-c")];
-        let first = ask_later(deployment, 0, order(&ids[0], &key));
-        let second = ask(deployment, 1, &order(&ids[1], &key)).await;
+        let first = send_in_background(deployment, 0, order(&ids[0], &key));
+        let second = send(deployment, 1, &order(&ids[1], &key)).await;
         let first = first.await.unwrap_or_default();
-        let third = ask(deployment, n, &order(&ids[2], &key)).await;
+        let third = send(deployment, n, &order(&ids[2], &key)).await;
         let ran: usize = ids.iter().map(|id| runs_of(deployment, id)).sum();
-        let answered = [&first, &second, &third].iter().filter(|reply| reply.whole).count();
+        let answered = [&first, &second, &third].iter().filter(|reply| reply.complete).count();
         let refused = [&first, &second, &third]
             .iter()
             .filter(|reply| reply.code.as_deref() == Some("duplicate_key"))
@@ -41,29 +41,29 @@
     Ok(finding)
 }
 
-/// An agent dies in mid-answer: repeatable work is answered elsewhere, orders run once.
+/// Kills an agent during answers; repeatable requests are answered by other servers, orders run once.
 pub async fn agent_killed(deployment: &mut Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("an agent killed in mid-answer: reads answered elsewhere, orders run once");
     let reads: Vec<_> =
-        (0..12).map(|n| ask_later(deployment, n, request(&format!("read{n}")))).collect();
+        (0..12).map(|n| send_in_background(deployment, n, request(&format!("read{n}")))).collect();
     let orders: Vec<_> = (0..12)
-        .map(|n| ask_later(deployment, n, order(&format!("order{n}"), &format!("k{n}"))))
+        .map(|n| send_in_background(deployment, n, order(&format!("order{n}"), &format!("k{n}"))))
         .collect();
     tokio::time::sleep(Duration::from_millis(200)).await;
     deployment.kill_agent(0).await;
     for (n, read) in reads.into_iter().enumerate() {
         let reply = read.await.unwrap_or_default();
-        finding.expect(reply.whole, || format!("read{n}: {reply:?}"));
+        finding.expect(reply.complete, || format!("read{n}: {reply:?}"));
     }
     for (n, order_sent) in orders.into_iter().enumerate() {
         let reply = order_sent.await.unwrap_or_default();
         let ran = runs_of(deployment, &format!("order{n}"));
-        let honest = reply.whole || reply.ran != Some(json!(false)) || ran == 0;
-        finding.expect(ran <= 1 && honest, || format!("order{n}: {ran} runs, {reply:?}"));
-        if !reply.whole && ran == 1 {
+        let is_consistent = reply.complete || reply.ran != Some(json!(false)) || ran == 0;
+        finding.expect(ran <= 1 && is_consistent, || format!("order{n}: {ran} runs, {reply:?}"));
+        if !reply.complete && ran == 1 {
             let again =
-                ask(deployment, n, &order(&format!("order{n}-again"), &format!("k{n}"))).await;
+                send(deployment, n, &order(&format!("order{n}-again"), &format!("k{n}"))).await;
             let repeated = runs_of(deployment, &format!("order{n}-again"));
             finding.expect(repeated == 0, || format!("order{n} ran again: {again:?}"));
         }
@@ -71,16 +71,16 @@
     Ok(finding)
 }
 
-/// The store is down: reads go on, orders are refused untouched, bills wait.
+/// Takes the store down; reads are answered, orders are refused without running, bills are written later.
 pub async fn store_down(deployment: &Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("the store down: reads answered, orders refused and not run, bills kept");
     deployment.kv.store.set_faults(KvFaults { down: true, ..KvFaults::default() });
     for n in 0..6 {
-        let reply = ask(deployment, n, &request(&format!("down{n}"))).await;
-        finding.expect(reply.whole, || format!("down{n}: {reply:?}"));
+        let reply = send(deployment, n, &request(&format!("down{n}"))).await;
+        finding.expect(reply.complete, || format!("down{n}: {reply:?}"));
         let id = format!("down-order{n}");
-        let reply = ask(deployment, n, &order(&id, &id)).await;
+        let reply = send(deployment, n, &order(&id, &id)).await;
         let refused = reply.code.as_deref() == Some("claim_unavailable")
             && reply.ran == Some(json!(false))
             && runs_of(deployment, &id) == 0;
@@ -88,31 +88,31 @@
     }
     deployment.kv.store.set_faults(KvFaults { lost_answers: 3, ..KvFaults::default() });
     let store = deployment.store();
-    let billed = eventually(BILLS_LIMIT, async || {
+    let billed = wait_until(BILLS_TIMEOUT, async || {
         read_ledger(&store).await.is_ok_and(|ledger| ledger.bills.len() == 6)
     });
     let billed = billed.await;
     finding.expect(billed, || "bills of the outage are missing".to_owned());
-    let reply = ask(deployment, 0, &order("after", "after")).await;
-    finding.expect(reply.whole, || format!("an order after the outage: {reply:?}"));
+    let reply = send(deployment, 0, &order("after", "after")).await;
+    finding.expect(reply.complete, || format!("an order after the outage: {reply:?}"));
     Ok(finding)
 }
 
-/// An entry dies with bills unwritten: agents write them, and each counts once.
+/// Kills an entry with unwritten bills; agents write them, and each is counted once.
 pub async fn entry_killed(deployment: &mut Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("an entry killed before its bills were written: each answer billed once");
     deployment.kv.store.set_faults(KvFaults { down: true, ..KvFaults::default() });
     let mut answered = 0;
     for n in 0..8 {
-        let reply = ask(deployment, 0, &request(&format!("bill{n}"))).await;
-        answered += usize::from(reply.whole);
+        let reply = send(deployment, 0, &request(&format!("bill{n}"))).await;
+        answered += usize::from(reply.complete);
     }
     finding.expect(answered == 8, || format!("{answered} of 8 answered"));
     deployment.kill_entry(0).await;
     deployment.kv.store.set_faults(KvFaults::default());
     let store = deployment.store();
-    let billed = eventually(BILLS_LIMIT, async || {
+    let billed = wait_until(BILLS_TIMEOUT, async || {
         read_ledger(&store).await.is_ok_and(|ledger| ledger.bills.len() == answered)
     });
     let billed = billed.await;
--- a/crates/demo/src/faults/limits.rs
+++ b/crates/demo/src/faults/limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name rate limits.
+//! Servers that announce rate limits.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use super::{Finding, ask, ask_later, request};
+use super::{Finding, request, send, send_in_background};
 use crate::{caller::CallerReply, day::DemoError, deployment::Deployment};
 
-/// Requests a second that each server takes.
+/// Rate limit of each server, in requests per second.
 const LIMIT_PER_S: f64 = 1.0;
-/// Factor on what it takes, and requests on top of that.
+/// Allowed factor on the limit, and allowed requests on top of that.
 const OVERSHOOT: f64 = 1.5;
 const TOLERANCE: f64 = 5.0;
-/// Requests, and the time between two.
+/// Number of requests, and the time between two of them.
 const REQUESTS: usize = 100;
 const GAP: Duration = Duration::from_millis(40);
 
-/// No server gets more than its limit allows; what it does not take is refused, not run.
+/// Sends more requests than the limits allow; no server exceeds its limit, and further requests are refused.
 pub async fn server_limits(deployment: &Deployment) -> Result<Finding, DemoError> {
     let mut finding = Finding::new("servers that name a rate limit: no more reaches them");
     for engine in deployment.servers.iter().filter_map(|unit| unit.engine.as_ref()) {
@@ -26,19 +26,19 @@
         engine.set_faults(EngineFaults { limit_per_s, ..EngineFaults::default() });
     }
     for n in 0..deployment.servers.len() * 2 {
-        ask(deployment, n, &request(&format!("first{n}"))).await;
+        send(deployment, n, &request(&format!("first{n}"))).await;
     }
     let before = runs_by_server(deployment);
     let began = Instant::now();
-    let mut asked = Vec::new();
+    let mut pending = Vec::new();
     for n in 0..REQUESTS {
-        asked.push(ask_later(deployment, n, request(&format!("limited{n}"))));
+        pending.push(send_in_background(deployment, n, request(&format!("limited{n}"))));
         sleep(GAP).await;
     }
-    for answer in asked {
+    for answer in pending {
         let reply = answer.await;
-        let is_told = |reply: &CallerReply| reply.whole || reply.ran == Some(json!(false));
-        finding.expect(reply.as_ref().is_ok_and(is_told), || format!("{reply:?}"));
+        let is_reported = |reply: &CallerReply| reply.complete || reply.ran == Some(json!(false));
+        finding.expect(reply.as_ref().is_ok_and(is_reported), || format!("{reply:?}"));
     }
     let allowed = OVERSHOOT * LIMIT_PER_S * began.elapsed().as_secs_f64() + TOLERANCE;
     for (server, (after, before)) in runs_by_server(deployment).iter().zip(before).enumerate() {
--- a/crates/demo/src/faults/orders.rs
+++ b/crates/demo/src/faults/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders, and roll-outs that outlive their conductor.
+//! Fenced orders, and roll-outs whose coordinator crashes.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use pondwalk_wire::{Order, OrderKind, OrderRefusal, connect};
 use tarpc::context;
 
-use super::{Finding, eventually, plan};
+use super::{Finding, plan, wait_until};
 use crate::{day::DemoError, deployment::Deployment};
 
-/// Longest wait for a roll-out; the lease of a dead conductor must lapse first.
-const ROLL_OUT_LIMIT: Duration = Duration::from_secs(40);
+/// Maximum wait for a roll-out; the lease of a killed coordinator must expire first.
+const ROLL_OUT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A holder whose lease lapsed gives an order: the agent refuses it, whatever the server checks.
+/// Sends orders of a holder whose lease has expired; agents refuse them, whatever the server checks.
 pub async fn stale_orders(deployment: &Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("orders with an old fence, or whose time is over: not carried out");
@@ -40,24 +40,25 @@
     Ok(finding)
 }
 
-/// The conductor dies in mid-roll-out: another goes on, with a higher fence.
+/// Kills the coordinator during a roll-out; another one finishes it with a higher fencing token.
 pub async fn coordinator_killed(deployment: &mut Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("the conductor of a roll-out killed halfway: another one finishes it");
     let roll_out = RollOut { version: plan::NEW.to_owned(), replaces: plan::OLD.to_owned() };
     let edit = |policy: &_| add_roll_out(policy, &roll_out);
     commit_edit(&deployment.store(), rand::random(), OnConflict::Retry, edit).await?;
-    let begun = eventually(ROLL_OUT_LIMIT, async || loaded(deployment) >= 1).await;
-    finding.expect(begun, || "the roll-out never began".to_owned());
+    let begun = wait_until(ROLL_OUT_TIMEOUT, async || loaded(deployment) >= 1).await;
+    finding.expect(begun, || "the roll-out did not begin".to_owned());
     let halfway = loaded(deployment) < deployment.servers.len();
-    finding.expect(halfway, || "the roll-out ended before it could be disturbed".to_owned());
-    // NB: which entry conducts is not told, so both are replaced.
+    finding
+        .expect(halfway, || "the roll-out completed before the coordinator was killed".to_owned());
+    // The coordinating entry is not exposed, so both entries are replaced.
     for entry in 0..2 {
         deployment.kill_entry(entry).await;
     }
     deployment.add_entry().await?;
     let all = deployment.servers.len();
-    let done = eventually(ROLL_OUT_LIMIT, async || loaded(deployment) == all).await;
+    let done = wait_until(ROLL_OUT_TIMEOUT, async || loaded(deployment) == all).await;
     let seen = loaded(deployment);
     finding.expect(done, || format!("loaded on {seen} of {all} servers"));
     let fences: Vec<u64> = deployment
@@ -67,11 +68,11 @@
         .collect();
     let lowest = fences.iter().min().copied().unwrap_or(0);
     let highest = fences.iter().max().copied().unwrap_or(0);
-    finding.expect(highest > lowest, || format!("fences did not grow: {fences:?}"));
+    finding.expect(highest > lowest, || format!("fencing tokens did not increase: {fences:?}"));
     Ok(finding)
 }
 
-/// Servers whose engine was told to load the new version.
+/// Returns the number of servers whose engine was ordered to load the new version.
 fn loaded(deployment: &Deployment) -> usize {
     let engines = deployment.servers.iter().filter_map(|unit| unit.engine.as_ref());
     engines.filter(|engine| !engine.orders().is_empty()).count()
--- a/crates/demo/src/faults/plan.rs
+++ b/crates/demo/src/faults/plan.rs
@@ -1,4 +1,4 @@
-//! A small deployment for bringing faults about.
+//! A small deployment for fault injection.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,16 +9,16 @@
     deployment::{Plan, ServerPlan},
 };
 
-/// Key of the workspace that asks.
+/// Key of the workspace that sends the requests.
 pub const KEY: &str = "key of one";
 /// Key of another workspace.
 pub const OTHER_KEY: &str = "key of two";
-/// The only version at the start.
+/// Version that is loaded at the start.
 pub const OLD: &str = "small/1";
-/// A version that can be rolled out.
+/// Version that can be rolled out.
 pub const NEW: &str = "small/2";
 
-/// Two entries before three engines.
+/// Returns a plan of two entries and three engines.
 pub fn fault_plan() -> Plan {
     let profile = VersionProfile {
         first_token: Duration::from_millis(50),
--- a/crates/demo/src/faults/sessions.rs
+++ b/crates/demo/src/faults/sessions.rs
@@ -1,14 +1,14 @@
-//! Sessions and their pins.
+//! Faults that concern sessions and their pins.
 
-use super::{Finding, ask, plan, request};
+use super::{Finding, plan, request, send};
 use crate::{caller::CallerRequest, day::DemoError, deployment::Deployment};
 
-/// Altered pins and those of other workspaces or sessions are refused.
+/// Sends altered pins and pins of other workspaces or sessions; entries refuse them.
 pub async fn forged_pins(deployment: &Deployment) -> Result<Finding, DemoError> {
     let mut finding = Finding::new("session pins altered or brought from elsewhere: refused");
     let session = |pin: Option<String>| Some(("talk".to_owned(), pin));
     let first = CallerRequest { session: session(None), ..request("pin0") };
-    let reply = ask(deployment, 0, &first).await;
+    let reply = send(deployment, 0, &first).await;
     let pin = reply.pin.clone().unwrap_or_default();
     finding.expect(!pin.is_empty(), || format!("no pin: {reply:?}"));
     let mut altered = pin.clone().into_bytes();
@@ -29,17 +29,17 @@
         },
     ];
     for case in &cases {
-        let reply = ask(deployment, 1, case).await;
+        let reply = send(deployment, 1, case).await;
         let refused = reply.status == 403 && reply.code.as_deref() == Some("bad_session_pin");
         finding.expect(refused, || format!("{}: {reply:?}", case.request));
     }
     let good = CallerRequest { session: session(Some(pin)), ..request("pin5") };
-    let reply = ask(deployment, 1, &good).await;
-    finding.expect(reply.whole, || format!("the genuine pin: {reply:?}"));
+    let reply = send(deployment, 1, &good).await;
+    finding.expect(reply.complete, || format!("the genuine pin: {reply:?}"));
     Ok(finding)
 }
 
-/// Sessions go on with their version though every process is replaced.
+/// Replaces every agent and entry; sessions continue with their version.
 pub async fn everything_replaced(deployment: &mut Deployment) -> Result<Finding, DemoError> {
     let mut finding =
         Finding::new("every agent and entry replaced: sessions keep their version and go on");
@@ -49,8 +49,8 @@
             session: Some((format!("talk{n}"), None)),
             ..request(&format!("before{n}"))
         };
-        let reply = ask(deployment, n, &first).await;
-        finding.expect(reply.whole, || format!("before{n}: {reply:?}"));
+        let reply = send(deployment, n, &first).await;
+        finding.expect(reply.complete, || format!("before{n}: {reply:?}"));
         sessions.push((first.session.map(|(name, _)| name), reply.pin, reply.version));
     }
     replace_all(deployment).await?;
@@ -59,8 +59,8 @@
             session: name.map(|name| (name, pin)),
             ..request(&format!("after{n}"))
         };
-        let reply = ask(deployment, n, &next).await;
-        let kept = reply.whole && reply.version == version && !reply.restarted;
+        let reply = send(deployment, n, &next).await;
+        let kept = reply.complete && reply.version == version && !reply.restarted;
         finding.expect(kept, || format!("after{n}: {reply:?}"));
     }
     Ok(finding)
@@ -75,5 +75,9 @@
         deployment.kill_entry(entry).await;
         deployment.add_entry().await?;
     }
-    if deployment.wait_ready(super::START_LIMIT).await { Ok(()) } else { Err(DemoError::NotReady) }
+    if deployment.wait_ready(super::START_TIMEOUT).await {
+        Ok(())
+    } else {
+        Err(DemoError::NotReady)
+    }
 }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,5 +1,5 @@
-//! Whole deployments on loopback: both roles and the stand-ins in one process, with real HTTP
-//! between them. The demo, the bench and the end-to-end tests share it.
+//! Complete deployments on loopback: both roles and the stand-ins in one process, connected by real HTTP.
+//! Shared by the demo, the benchmark and the end-to-end tests.
 
 pub mod bench;
 pub mod caller;
--- a/crates/demo/src/load.rs
+++ b/crates/demo/src/load.rs
@@ -1,4 +1,4 @@
-//! A day's tasks of each user, in small: who asks what, how often.
+//! Load generator: draws requests from weighted tasks and workspaces and sends them at a constant rate.
 
 use std::{
     collections::HashMap,
@@ -13,90 +13,90 @@
 
 use crate::caller::{CallerReply, CallerRequest, call};
 
-/// One kind of task in a day.
+/// A kind of task in the load.
 #[derive(Debug, Clone)]
 pub struct TaskPlan {
     /// Its name.
     pub task: &'static str,
-    /// Its share of all requests, relative to the others.
+    /// Weight of its share of all requests.
     pub weight: f64,
-    /// Time allowed.
+    /// Deadline of its requests, counted from sending.
     pub deadline: Duration,
-    /// Whether it may be repeated.
+    /// Whether its requests may be repeated.
     pub repeatable: bool,
     /// Share of its requests that belong to sessions.
     pub in_session: f64,
-    /// Share of its requests that want tokens as they come.
+    /// Share of its requests that are streamed.
     pub streaming: f64,
-    /// The plain service it calls, if it calls one.
+    /// Plain service that the task calls; `None` for a model.
     pub service: Option<&'static str>,
 }
 
-/// A workspace that asks.
+/// A workspace that sends requests.
 #[derive(Debug, Clone)]
 pub struct WorkspacePlan {
     /// Its name.
     pub workspace: String,
-    /// Its callers' key.
+    /// Key of its callers.
     pub key: String,
-    /// Its share of all requests, relative to the others.
+    /// Weight of its share of all requests.
     pub weight: f64,
 }
 
-/// What came of one request.
+/// A request with its reply.
 #[derive(Debug, Clone)]
-pub struct Asked {
-    /// Who asked.
+pub struct Exchange {
+    /// Workspace that sent the request.
     pub workspace: String,
-    /// What was asked.
+    /// Request as sent.
     pub request: CallerRequest,
-    /// What came back.
+    /// Reply that the caller received.
     pub reply: CallerReply,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
 }
 
-/// All that was asked so far; clones share it.
+/// Log of all finished requests; clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Asks {
-    asked: Arc<Mutex<Vec<Asked>>>,
+pub struct ExchangeLog {
+    exchanges: Arc<Mutex<Vec<Exchange>>>,
 }
 
-impl Asks {
-    /// Adds one.
-    pub fn push(&self, asked: Asked) {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner).push(asked);
+impl ExchangeLog {
+    /// Adds an exchange.
+    pub fn push(&self, exchange: Exchange) {
+        self.exchanges.lock().unwrap_or_else(PoisonError::into_inner).push(exchange);
     }
 
-    /// All so far.
-    pub fn all(&self) -> Vec<Asked> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Returns all exchanges so far.
+    pub fn all(&self) -> Vec<Exchange> {
+        self.exchanges.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many so far.
+    /// Returns the number of exchanges so far.
     pub fn len(&self) -> usize {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner).len()
+        self.exchanges.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// Whether nothing was asked yet.
+    /// Returns whether the log is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Sends requests at a steady rate for a while, and waits for their answers.
+/// A load at a constant rate.
 pub struct Load {
     /// Kinds of task.
     pub tasks: Vec<TaskPlan>,
     /// Workspaces.
     pub workspaces: Vec<WorkspacePlan>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Seed of all that is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// A conversation under way.
+/// A session that waits for its next turn.
 #[derive(Debug, Clone)]
 struct Conversation {
     name: String,
@@ -106,10 +106,15 @@
 type Conversations = Arc<Mutex<HashMap<String, Vec<Conversation>>>>;
 
 impl Load {
-    /// Runs the load against the entries in turn.
+    /// Sends the load to the entries round-robin for `length`, and waits for all answers.
     ///
-    /// `entries` is asked for addresses before each request, so that stopped entries drop out.
-    pub async fn run(&self, length: Duration, asks: &Asks, entries: impl Fn() -> Vec<SocketAddr>) {
+    /// `entries` is called before each request, so that stopped entries are skipped.
+    pub async fn run(
+        &self,
+        length: Duration,
+        log: &ExchangeLog,
+        entries: impl Fn() -> Vec<SocketAddr>,
+    ) {
         let client = reqwest::Client::new();
         let mut rng = Pcg64Mcg::new(u128::from(self.seed));
         let conversations = Conversations::default();
@@ -120,18 +125,19 @@
         while started.elapsed() < length {
             tokio::time::sleep_until(started + gap * number).await;
             let addresses = entries();
-            let workspace = pick(&mut rng, &self.workspaces, |workspace| workspace.weight).clone();
-            let task = pick(&mut rng, &self.tasks, |task| task.weight).clone();
+            let workspace =
+                weighted_choice(&mut rng, &self.workspaces, |workspace| workspace.weight).clone();
+            let task = weighted_choice(&mut rng, &self.tasks, |task| task.weight).clone();
             let request = self.request(&mut rng, number, &workspace, &task, &conversations);
-            for (turn, request) in with_mistakes(number, request).into_iter().enumerate() {
+            for (turn, request) in with_misuse(number, request).into_iter().enumerate() {
                 let entry = addresses[(number as usize + turn) % addresses.len()];
-                let (client, asks) = (client.clone(), asks.clone());
+                let (client, log) = (client.clone(), log.clone());
                 let (workspace, conversations) = (workspace.clone(), conversations.clone());
                 calls.spawn(async move {
                     let sent = Instant::now();
                     let reply = call(&client, entry, &request).await;
-                    give_back(&conversations, &workspace.workspace, &request, &reply);
-                    asks.push(Asked { workspace: workspace.workspace, request, reply, sent });
+                    return_conversation(&conversations, &workspace.workspace, &request, &reply);
+                    log.push(Exchange { workspace: workspace.workspace, request, reply, sent });
                 });
             }
             number += 1;
@@ -149,7 +155,7 @@
     ) -> CallerRequest {
         let request = format!("{}-{number}", workspace.workspace);
         let in_session = task.service.is_none() && rng.random::<f64>() < task.in_session;
-        let session = in_session.then(|| conversation(number, workspace, conversations));
+        let session = in_session.then(|| take_conversation(number, workspace, conversations));
         CallerRequest {
             prompt: format!("<ref:{request}> {} please", task.task),
             key: workspace.key.clone(),
@@ -166,8 +172,8 @@
     }
 }
 
-/// Now and then a caller sends the same order twice, or asks for what it may not have.
-fn with_mistakes(number: u32, request: CallerRequest) -> Vec<CallerRequest> {
+/// Turns some requests into caller errors: an order that is sent twice, or a model that is not allowed.
+fn with_misuse(number: u32, request: CallerRequest) -> Vec<CallerRequest> {
     const FORBIDDEN_EVERY: u32 = 40;
     const TWICE_EVERY: u32 = 7;
     if number.is_multiple_of(FORBIDDEN_EVERY) && request.service.is_none() {
@@ -185,8 +191,8 @@
     vec![request]
 }
 
-/// Takes up a conversation that waits for its next turn, or starts one.
-fn conversation(
+/// Takes a waiting conversation, or starts a new one; returns its name and pin.
+fn take_conversation(
     number: u32,
     workspace: &WorkspacePlan,
     conversations: &Conversations,
@@ -200,8 +206,8 @@
     (next.name, next.pin)
 }
 
-/// Lets a conversation wait for its next turn.
-fn give_back(
+/// Returns a conversation to the waiting ones, unless this turn was its last.
+fn return_conversation(
     conversations: &Conversations,
     workspace: &str,
     request: &CallerRequest,
@@ -214,14 +220,14 @@
     let pin = reply.pin.clone().or_else(|| pin.clone());
     let mut conversations = conversations.lock().unwrap_or_else(PoisonError::into_inner);
     let waiting = conversations.entry(workspace.to_owned()).or_default();
-    // NB: one turn in eight ends a conversation, which keeps its mean length near the users'.
+    // One turn in eight ends a conversation, which keeps the mean length near that of the users.
     let ends = request.request.bytes().map(u32::from).sum::<u32>() % MEAN_TURNS == 0;
     if !ends {
         waiting.insert(0, Conversation { name: name.clone(), pin });
     }
 }
 
-fn pick<'a, T>(rng: &mut Pcg64Mcg, items: &'a [T], weight: impl Fn(&T) -> f64) -> &'a T {
+fn weighted_choice<'a, T>(rng: &mut Pcg64Mcg, items: &'a [T], weight: impl Fn(&T) -> f64) -> &'a T {
     let total: f64 = items.iter().map(&weight).sum();
     let mut left = rng.random::<f64>() * total;
     for item in items {
--- a/crates/demo/src/promises.rs
+++ b/crates/demo/src/promises.rs
@@ -1,69 +1,69 @@
-//! The promises, checked by what callers got against what backend servers ran and what was billed.
+//! Checks of the promises: replies to callers are compared with runs at backend servers and with bills.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use pondwalk_ledger::Ledger;
 use serde_json::json;
 
-use crate::load::Asked;
+use crate::load::Exchange;
 
-/// One promise with what was tried and what broke.
+/// Result of checking a promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Promise {
-    /// What must hold.
+    /// Name of the promise.
     pub name: &'static str,
-    /// How often it was tried.
+    /// Number of checked cases.
     pub checked: u64,
-    /// Cases in which it broke.
+    /// Cases that broke the promise.
     pub broken: Vec<String>,
 }
 
-/// What the checks are made from.
+/// Input of the checks.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    /// What was asked and what came back.
-    pub asked: Vec<Asked>,
-    /// Runs at all backend servers: request and version.
+    /// Requests with their replies.
+    pub exchanges: Vec<Exchange>,
+    /// Runs at all backend servers: request id and version.
     pub runs: Vec<(String, String)>,
-    /// Versions each workspace may use.
+    /// Versions and services that each workspace may use.
     pub allowed: HashMap<String, BTreeSet<String>>,
-    /// The bills.
+    /// Bills in the store.
     pub ledger: Ledger,
-    /// Runs that started on a withdrawn version once it was out of force everywhere.
+    /// Runs on a withdrawn version that started after the withdrawal was in force everywhere.
     pub runs_after_withdrawal: Vec<String>,
-    /// Runs that started on a leaving server after the grace time.
-    pub runs_after_leaving: Vec<String>,
-    /// Generations that each process showed, in order of time.
+    /// Runs on a draining server that started after the grace time.
+    pub runs_after_draining: Vec<String>,
+    /// Generations that each process reported, in order of time.
     pub generations: BTreeMap<String, Vec<u64>>,
-    /// Time until the changes were in force everywhere, in milliseconds.
+    /// Time until each change was in force everywhere, in milliseconds.
     pub in_force_ms: Vec<u64>,
 }
 
-/// Longest time for a change to be in force, in milliseconds.
+/// Maximum time until a change must be in force, in milliseconds.
 const IN_FORCE_LIMIT_MS: u64 = 2_000;
 
 impl Evidence {
     /// Checks all ten promises.
     pub fn check(&self) -> Vec<Promise> {
         vec![
-            self.allowed_only(),
+            self.allowed_versions(),
             self.withdrawn(),
             self.sessions(),
             self.billed_once(),
             self.own_answers(),
-            self.true_refusals(),
+            self.refusals(),
             self.at_most_once(),
-            self.leaving(),
+            self.draining(),
             self.no_cuts(),
             self.configuration(),
         ]
     }
 
-    fn allowed_only(&self) -> Promise {
+    fn allowed_versions(&self) -> Promise {
         let versions: HashMap<&str, Vec<&str>> = self.runs_by_request();
-        let broken = self.asked.iter().filter(|asked| {
-            let allowed = self.allowed.get(&asked.workspace);
-            let ran = versions.get(asked.request.request.as_str());
+        let broken = self.exchanges.iter().filter(|exchange| {
+            let allowed = self.allowed.get(&exchange.workspace);
+            let ran = versions.get(exchange.request.request.as_str());
             ran.into_iter().flatten().any(|v| !allowed.is_some_and(|a| a.contains(*v)))
         });
         promise("a request runs only on an allowed version", self.runs.len(), ids(broken))
@@ -71,60 +71,62 @@
 
     fn withdrawn(&self) -> Promise {
         let name = "a withdrawn version receives no new work";
-        promise(name, self.asked.len(), self.runs_after_withdrawal.clone())
+        promise(name, self.exchanges.len(), self.runs_after_withdrawal.clone())
     }
 
     fn sessions(&self) -> Promise {
         let mut last: HashMap<&str, &str> = HashMap::new();
         let mut checked = 0;
         let mut broken = Vec::new();
-        for asked in self.in_order() {
+        for exchange in self.in_order() {
             let (Some((session, _)), Some(version)) =
-                (&asked.request.session, &asked.reply.version)
+                (&exchange.request.session, &exchange.reply.version)
             else {
                 continue;
             };
             let before = last.insert(session, version);
             checked += usize::from(before.is_some());
-            if before.is_some_and(|before| before != version) && !asked.reply.restarted {
-                broken.push(asked.request.request.clone());
+            if before.is_some_and(|before| before != version) && !exchange.reply.restarted {
+                broken.push(exchange.request.request.clone());
             }
         }
         promise("a session keeps its version", checked, broken)
     }
 
     fn billed_once(&self) -> Promise {
-        let answered = self.asked.iter().filter(|asked| asked.reply.whole);
-        let answered: BTreeSet<&String> = answered.map(|asked| &asked.request.request).collect();
+        let answered = self.exchanges.iter().filter(|exchange| exchange.reply.complete);
+        let answered: BTreeSet<&String> =
+            answered.map(|exchange| &exchange.request.request).collect();
         let billed: BTreeSet<&String> = self.ledger.bills.keys().collect();
         let wrong = answered.symmetric_difference(&billed).map(|id| (*id).clone()).collect();
         promise("each request is billed exactly once", answered.len(), wrong)
     }
 
     fn own_answers(&self) -> Promise {
-        let chats = || self.asked.iter().filter(|a| a.reply.whole && a.request.service.is_none());
-        let crossed = chats().filter(|asked| {
-            // NB: the prompt carries a mark of its own, which the engine gives back.
-            let mark = asked.request.prompt.split_whitespace().next().unwrap_or_default();
-            !asked.reply.text.contains(mark)
+        let chats =
+            || self.exchanges.iter().filter(|a| a.reply.complete && a.request.service.is_none());
+        let mixed_up = chats().filter(|exchange| {
+            // The prompt starts with a unique marker, which the engine returns.
+            let marker = exchange.request.prompt.split_whitespace().next().unwrap_or_default();
+            !exchange.reply.text.contains(marker)
         });
         let name = "each caller gets the whole answer to its own request";
-        promise(name, chats().count(), ids(crossed))
+        promise(name, chats().count(), ids(mixed_up))
     }
 
-    fn true_refusals(&self) -> Promise {
+    fn refusals(&self) -> Promise {
         let runs = self.runs_by_request();
-        let refused = || self.asked.iter().filter(|a| a.reply.ran == Some(json!(false)));
-        let lies = refused().filter(|a| runs.contains_key(a.request.request.as_str()));
-        promise("a refusal that says \"not run\" is true", refused().count(), ids(lies))
+        let refused = || self.exchanges.iter().filter(|a| a.reply.ran == Some(json!(false)));
+        let false_refusals = refused().filter(|a| runs.contains_key(a.request.request.as_str()));
+        promise("a refusal that says \"not run\" is true", refused().count(), ids(false_refusals))
     }
 
     fn at_most_once(&self) -> Promise {
         let runs = self.runs_by_request();
         let mut by_key: BTreeMap<&str, usize> = BTreeMap::new();
-        for asked in &self.asked {
-            if let Some(key) = asked.request.idempotency_key.as_deref() {
-                let ran = runs.get(asked.request.request.as_str()).map_or(0, Vec::len);
+        for exchange in &self.exchanges {
+            if let Some(key) = exchange.request.idempotency_key.as_deref() {
+                let ran = runs.get(exchange.request.request.as_str()).map_or(0, Vec::len);
                 *by_key.entry(key).or_default() += ran;
             }
         }
@@ -133,17 +135,17 @@
         promise(name, by_key.len(), twice.collect())
     }
 
-    fn leaving(&self) -> Promise {
+    fn draining(&self) -> Promise {
         let name = "a leaving backend server receives no new work";
-        promise(name, self.asked.len(), self.runs_after_leaving.clone())
+        promise(name, self.exchanges.len(), self.runs_after_draining.clone())
     }
 
     fn no_cuts(&self) -> Promise {
-        let cut = self.asked.iter().filter(|asked| {
-            let opened = asked.reply.status == 200 && !asked.reply.whole;
-            opened || asked.reply.ran.as_ref().is_some_and(|ran| *ran != json!(false))
+        let cut = self.exchanges.iter().filter(|exchange| {
+            let opened = exchange.reply.status == 200 && !exchange.reply.complete;
+            opened || exchange.reply.ran.as_ref().is_some_and(|ran| *ran != json!(false))
         });
-        promise("a planned stop cuts no request in flight", self.asked.len(), ids(cut))
+        promise("a planned stop cuts no request in flight", self.exchanges.len(), ids(cut))
     }
 
     fn configuration(&self) -> Promise {
@@ -152,7 +154,7 @@
         for (process, seen) in &self.generations {
             checked += seen.len();
             if seen.windows(2).any(|pair| pair[1] < pair[0]) {
-                broken.push(format!("{process} went back: {seen:?}"));
+                broken.push(format!("{process} reverted its generation: {seen:?}"));
             }
         }
         for ms in &self.in_force_ms {
@@ -172,15 +174,15 @@
         runs
     }
 
-    fn in_order(&self) -> Vec<&Asked> {
-        let mut asked: Vec<&Asked> = self.asked.iter().collect();
-        asked.sort_by_key(|asked| asked.sent);
-        asked
+    fn in_order(&self) -> Vec<&Exchange> {
+        let mut exchanges: Vec<&Exchange> = self.exchanges.iter().collect();
+        exchanges.sort_by_key(|exchange| exchange.sent);
+        exchanges
     }
 }
 
-fn ids<'a>(asked: impl Iterator<Item = &'a Asked>) -> Vec<String> {
-    asked.map(|asked| asked.request.request.clone()).collect()
+fn ids<'a>(exchanges: impl Iterator<Item = &'a Exchange>) -> Vec<String> {
+    exchanges.map(|exchange| exchange.request.request.clone()).collect()
 }
 
 fn promise(name: &'static str, checked: usize, broken: Vec<String>) -> Promise {
--- a/crates/demo/src/table.rs
+++ b/crates/demo/src/table.rs
@@ -1,16 +1,16 @@
-//! The day's table: per task and version requests, answers, cost and quality.
+//! Summary table of a day: requests, answers, cost and quality by task and version.
 
 use std::{collections::BTreeMap, fmt};
 
 use pondwalk_ledger::Ledger;
 use pondwalk_standin::rating::quality_of;
 
-use crate::load::Asked;
+use crate::load::Exchange;
 
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Row {
     requests: u64,
-    whole: u64,
+    complete: u64,
     on_time: u64,
     refused: u64,
     cost: f64,
@@ -18,26 +18,26 @@
     rated: u64,
 }
 
-/// Rows by task and version; requests without an answer stand under `-`.
+/// Rows by task and version; requests without an answer are counted under the version `-`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
     rows: BTreeMap<(String, String), Row>,
 }
 
 impl Table {
-    /// Counts what was asked.
-    pub fn new(asked: &[Asked], ledger: &Ledger) -> Self {
+    /// Aggregates exchanges and their bills.
+    pub fn new(exchanges: &[Exchange], ledger: &Ledger) -> Self {
         let mut table = Table::default();
-        for asked in asked {
-            let version = asked.reply.version.clone().unwrap_or_else(|| "-".to_owned());
-            let row = table.rows.entry((asked.request.task.clone(), version)).or_default();
-            let reply = &asked.reply;
+        for exchange in exchanges {
+            let version = exchange.reply.version.clone().unwrap_or_else(|| "-".to_owned());
+            let row = table.rows.entry((exchange.request.task.clone(), version)).or_default();
+            let reply = &exchange.reply;
             row.requests += 1;
-            row.whole += u64::from(reply.whole);
-            row.on_time += u64::from(reply.whole && reply.latency <= asked.request.deadline);
-            row.refused += u64::from(!reply.whole);
-            row.cost += ledger.bills.get(&asked.request.request).map_or(0.0, |bill| bill.cost());
-            if let Some(quality) = quality_of(&reply.text).filter(|_| reply.whole) {
+            row.complete += u64::from(reply.complete);
+            row.on_time += u64::from(reply.complete && reply.latency <= exchange.request.deadline);
+            row.refused += u64::from(!reply.complete);
+            row.cost += ledger.bills.get(&exchange.request.request).map_or(0.0, |bill| bill.cost());
+            if let Some(quality) = quality_of(&reply.text).filter(|_| reply.complete) {
                 row.quality_sum += quality;
                 row.rated += 1;
             }
@@ -61,7 +61,7 @@
             writeln!(
                 f,
                 "{task:<15} {version:<12} {:>8} {:>8} {:>8} {:>8} {:>10.3} {quality:>8}",
-                row.requests, row.whole, row.on_time, row.refused, row.cost
+                row.requests, row.complete, row.on_time, row.refused, row.cost
             )?;
         }
         Ok(())
--- a/crates/demo/tests/faults.rs
+++ b/crates/demo/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault brought about on whole deployments: nothing may break.
+//! Injects each fault into a complete deployment; no case may be broken.
 
 use pondwalk_demo::faults::Fault;
 
@@ -20,17 +20,17 @@
 }
 
 faults! {
-    a_repeated_key_runs_once => RepeatedKeys,
-    a_killed_agent_repeats_no_order => AgentKilled,
-    an_outage_of_the_store_stops_orders_only => StoreDown,
-    a_killed_entry_loses_no_bill => EntryKilled,
-    a_forged_pin_is_refused => ForgedPins,
-    sessions_outlive_every_process => EverythingReplaced,
-    configurations_reach_an_entry_cut_off_from_the_store => CutFromStore,
-    planned_stops_cut_nothing => PlannedStops,
-    a_cut_answer_is_repeated_or_told => CutAnswers,
-    stale_orders_are_not_carried_out => StaleOrders,
-    an_idle_entry_is_not_taken_for_gone => IdleEntry,
-    a_roll_out_outlives_its_conductor => CoordinatorKilled,
-    servers_that_name_a_limit_get_no_more => ServerLimits,
+    repeated_key_runs_once => RepeatedKeys,
+    killed_agent_repeats_no_order => AgentKilled,
+    store_outage_stops_only_orders => StoreDown,
+    killed_entry_loses_no_bill => EntryKilled,
+    forged_pin_is_refused => ForgedPins,
+    sessions_survive_replacement_of_all_processes => EverythingReplaced,
+    configurations_reach_entry_without_store => CutFromStore,
+    planned_stops_cut_no_request => PlannedStops,
+    cut_answer_is_repeated_or_reported => CutAnswers,
+    stale_orders_are_refused => StaleOrders,
+    idle_entry_is_not_presumed_dead => IdleEntry,
+    roll_out_survives_its_coordinator => CoordinatorKilled,
+    server_limits_are_respected => ServerLimits,
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -232,11 +232,11 @@
         let revoked_us = records.configured_us.get(&(exchange.key + 2))?;
         Some((run, *exchange, *revoked_us))
     });
-    let asked = records.exchanges.iter().filter(|exchange| {
+    let late_attempts = records.exchanges.iter().filter(|exchange| {
         let revoked_us = records.configured_us.get(&(exchange.key + 2));
         revoked_us.is_some_and(|revoked_us| exchange.sent_us > revoked_us + us(KEY_BOUND))
     });
-    let checked = asked.count();
+    let checked = late_attempts.count();
     let found = finding("keys are dead in time", runs_of_revoked, |(run, exchange, revoked_us)| {
         let late = run.ran && run.at_us > revoked_us + us(KEY_BOUND + TOLERANCE);
         late.then(|| format!("{} with key {} ran after the bound", exchange.id, exchange.key))
@@ -294,7 +294,7 @@
 /// A server that has asked an entry for backoff gets at most two requests from it during the backoff.
 pub fn check_backoff(records: &Records) -> Finding {
     let by_id = records.by_id();
-    let asked = records.runs.iter().filter_map(|run| {
+    let backoffs = records.runs.iter().filter_map(|run| {
         let pause = Duration::from_millis(run.asked_backoff_ms?);
         let entry = by_id.get(run.request.as_str())?.entry;
         let from_us = run.at_us + us(IN_FLIGHT_GRACE);
@@ -303,7 +303,7 @@
             || records.was_killed(&run.server, run.at_us, to_us);
         (!is_disturbed).then_some((run.server.as_str(), entry, from_us..to_us))
     });
-    finding("servers that ask for a pause get it", asked, |(server, entry, pause)| {
+    finding("servers that ask for a pause get it", backoffs, |(server, entry, pause)| {
         let within = records.runs.iter().filter(|run| {
             run.server == *server
                 && pause.contains(&run.at_us)
