--- a/crates/direct/tests/backend_faults.rs
+++ b/crates/direct/tests/backend_faults.rs
@@ -7,14 +7,14 @@
 
 use common::{World, address, catalog, events, request, run_test, stream, with};
 use hyper::StatusCode;
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use tokio::time::sleep;
 
-fn ok_response() -> Act {
-    Act::Answer(200, "made".into())
+fn ok_response() -> Behaviour {
+    Behaviour::Answer(200, "made".into())
 }
 
-async fn with_two_servers(world: &World, service: &str, usual: Act) {
+async fn start_two_servers(world: &World, service: &str, usual: Behaviour) {
     world.configure(catalog(1));
     world.start_server(1, service, "v1", usual.clone());
     world.start_server(2, service, "v1", usual);
@@ -22,7 +22,7 @@
 }
 
 /// Makes the first request at either server do `act`.
-fn first(world: &World, act: Act) {
+fn first(world: &World, act: Behaviour) {
     // Only one of the two servers is used first; the other one's script must be the usual again.
     world.backends.script(address(1), [act.clone()]);
     world.backends.script(address(2), [act]);
@@ -30,17 +30,19 @@
 
 #[test]
 fn non_repeatable_request_is_sent_once_after_a_lost_response() {
-    for fate in [Act::LoseAnswer, Act::AnswerAnother, Act::Unsigned, Act::Silent] {
+    for fate in
+        [Behaviour::DropResponse, Behaviour::WrongRequestId, Behaviour::Unsigned, Behaviour::Silent]
+    {
         run_test(|world| async move {
-            with_two_servers(&world, "s", ok_response()).await;
+            start_two_servers(&world, "s", ok_response()).await;
             first(&world, fate.clone());
-            let answer = world.call(request("/once/", "r1")).await;
+            let response = world.call(request("/once/", "r1")).await;
             let expected = match fate {
-                Act::Silent => StatusCode::GATEWAY_TIMEOUT,
+                Behaviour::Silent => StatusCode::GATEWAY_TIMEOUT,
                 _ => StatusCode::BAD_GATEWAY,
             };
-            assert_eq!(answer.status, expected, "{fate:?}");
-            assert!(answer.body.contains("unknown"));
+            assert_eq!(response.status, expected, "{fate:?}");
+            assert!(response.body.contains("unknown"));
             assert_eq!(world.backends.runs(), 1, "{fate:?}");
         });
     }
@@ -51,12 +53,12 @@
     for status in [503, 429, 421] {
         run_test(|world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", Act::NotRun(status));
+            world.start_server(1, "s", "v1", Behaviour::NotRun(status));
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..6 {
-                let answer = world.call(request("/once/", &format!("r{number}"))).await;
-                assert_eq!(answer.status, StatusCode::OK);
+                let response = world.call(request("/once/", &format!("r{number}"))).await;
+                assert_eq!(response.status, StatusCode::OK);
             }
             assert_eq!(world.backends.runs(), 6);
         });
@@ -66,27 +68,27 @@
 #[test]
 fn refusal_that_nothing_ran_is_true() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::NotRun(503)).await;
-        let answer = world.call(request("/once/", "r1")).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.body.contains("\"ran\":false"), "{}", answer.body);
-        assert!(answer.headers.contains_key("retry-after"));
+        start_two_servers(&world, "s", Behaviour::NotRun(503)).await;
+        let response = world.call(request("/once/", "r1")).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.body.contains("\"ran\":false"), "{}", response.body);
+        assert!(response.headers.contains_key("retry-after"));
         // One server loses the response, the other one rejects the request: it may have run.
-        first(&world, Act::LoseAnswer);
-        let answer = world.call(request("/again/", "r2")).await;
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+        first(&world, Behaviour::DropResponse);
+        let response = world.call(request("/again/", "r2")).await;
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     });
 }
 
 #[test]
 fn repeatable_request_survives_each_single_fault() {
     let faults = [
-        Act::LoseAnswer,
-        Act::Silent,
-        Act::AnswerAnother,
-        Act::Unsigned,
-        Act::NotRun(503),
-        Act::Answer(500, "broken".into()),
+        Behaviour::DropResponse,
+        Behaviour::Silent,
+        Behaviour::WrongRequestId,
+        Behaviour::Unsigned,
+        Behaviour::NotRun(503),
+        Behaviour::Answer(500, "broken".into()),
     ];
     for fate in faults {
         run_test(|world| async move {
@@ -95,8 +97,8 @@
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..4 {
-                let answer = world.call(request("/again/", &format!("r{number}"))).await;
-                assert_eq!((answer.status, answer.body.as_str()), (StatusCode::OK, "made"));
+                let response = world.call(request("/again/", &format!("r{number}"))).await;
+                assert_eq!((response.status, response.body.as_str()), (StatusCode::OK, "made"));
             }
         });
     }
@@ -105,20 +107,20 @@
 #[test]
 fn server_failure_is_passed_on_if_not_repeatable() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Answer(500, "broken".into())).await;
-        let answer = world.call(request("/once/", "r1")).await;
-        assert_eq!((answer.status.as_u16(), answer.body.as_str()), (500, "broken"));
-        assert_eq!(answer.headers["pondwalk-signature"], "proof");
+        start_two_servers(&world, "s", Behaviour::Answer(500, "broken".into())).await;
+        let response = world.call(request("/once/", "r1")).await;
+        assert_eq!((response.status.as_u16(), response.body.as_str()), (500, "broken"));
+        assert_eq!(response.headers["pondwalk-signature"], "proof");
     });
 }
 
 #[test]
 fn bytes_after_a_response_are_discarded() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Surplus("mine".into())).await;
+        start_two_servers(&world, "s", Behaviour::ExtraResponse("mine".into())).await;
         for number in 0..4 {
-            let answer = world.call(request("/once/", &format!("r{number}"))).await;
-            assert_eq!(answer.body, "mine");
+            let response = world.call(request("/once/", &format!("r{number}"))).await;
+            assert_eq!(response.body, "mine");
         }
     });
 }
@@ -126,11 +128,11 @@
 #[test]
 fn stopped_server_is_skipped() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", ok_response()).await;
+        start_two_servers(&world, "s", ok_response()).await;
         world.backends.stop(address(1));
         for number in 0..4 {
-            let answer = world.call(request("/once/", &format!("r{number}"))).await;
-            assert_eq!(answer.status, StatusCode::OK);
+            let response = world.call(request("/once/", &format!("r{number}"))).await;
+            assert_eq!(response.status, StatusCode::OK);
         }
     });
 }
@@ -138,14 +140,14 @@
 #[test]
 fn stream_broken_within_an_event_resumes_after_the_last_whole_event() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", stream(6, None)).await;
+        start_two_servers(&world, "s", stream(6, None)).await;
         let gap = Duration::from_millis(10);
-        first(&world, Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
-        let answer = world.call(request("/stream/", "r1")).await;
+        first(&world, Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
+        let response = world.call(request("/stream/", "r1")).await;
         // The second server's script cuts the resumed stream again; a third send completes it.
-        assert!(answer.body.starts_with(&events(1..=3)), "{}", answer.body);
-        let mut seen = world.backends.seen(address(1));
-        seen.extend(world.backends.seen(address(2)));
+        assert!(response.body.starts_with(&events(1..=3)), "{}", response.body);
+        let mut seen = world.backends.requests(address(1));
+        seen.extend(world.backends.requests(address(2)));
         let resumed = seen.iter().find(|seen| seen.headers.contains_key("last-event-id"));
         assert_eq!(resumed.expect("a resumed send").headers["last-event-id"], "3");
     });
@@ -156,13 +158,13 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(10);
-        let cut = Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
+        let cut = Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
         world.start_server(1, "s", "v1", cut);
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=6), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=6), true));
         }
     });
 }
@@ -176,13 +178,13 @@
             1,
             "s",
             "v1",
-            Act::Stream { last: 6, gap, confidence: None, cut_in: None },
+            Behaviour::Stream { last: 6, gap, confidence: None, cut_in: None },
         );
         world.start_server(2, "s", "v1", stream(6, None));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=6), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=6), true));
         }
     });
 }
@@ -192,11 +194,11 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(1_500);
-        let slow = Act::Stream { last: 4, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 4, gap, confidence: None, cut_in: None };
         world.start_server(1, "s", "v1", slow);
         world.start().await;
-        let answer = world.call(request("/stream/", "r1")).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=4), true));
+        let response = world.call(request("/stream/", "r1")).await;
+        assert_eq!((response.body, response.whole), (events(1..=4), true));
     });
 }
 
@@ -205,13 +207,13 @@
     run_test(|world| async move {
         world.configure(catalog(1));
         let gap = Duration::from_millis(1_500);
-        let slow = Act::Stream { last: 4, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 4, gap, confidence: None, cut_in: None };
         world.start_server(1, "s", "v1", slow);
-        world.start_server(2, "s", "v1", Act::NotRun(503));
+        world.start_server(2, "s", "v1", Behaviour::NotRun(503));
         world.start().await;
         for number in 0..4 {
-            let answer = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((answer.body, answer.whole), (events(1..=4), true));
+            let response = world.call(request("/stream/", &format!("r{number}"))).await;
+            assert_eq!((response.body, response.whole), (events(1..=4), true));
         }
     });
 }
@@ -222,22 +224,22 @@
         // Longer than the silence after which a stream is moved, and short enough that a stream
         // that is moved twice ends within its eight seconds.
         let gap = Duration::from_millis(1_400);
-        let slow = Act::Stream { last: 3, gap, confidence: None, cut_in: None };
+        let slow = Behaviour::Stream { last: 3, gap, confidence: None, cut_in: None };
         world.configure(catalog(1));
         for n in 1..=5 {
             world.start_server(n, "s", "v1", slow.clone());
-            world.backends.script(address(n), [Act::Answer(500, String::new())]);
+            world.backends.script(address(n), [Behaviour::Answer(500, String::new())]);
         }
         world.start().await;
         // Three sends are allowed, and the first requests use them up on failures.
-        let answers = [
+        let responses = [
             world.call(request("/stream/", "r1")).await,
             world.call(request("/stream/", "r2")).await,
             world.call(request("/stream/", "r3")).await,
         ];
-        let whole = answers.iter().filter(|answer| answer.status == StatusCode::OK);
-        assert!(whole.clone().count() >= 1, "{answers:?}");
-        whole.for_each(|answer| assert!(answer.whole, "{answer:?}"));
+        let whole = responses.iter().filter(|response| response.status == StatusCode::OK);
+        assert!(whole.clone().count() >= 1, "{responses:?}");
+        whole.for_each(|response| assert!(response.whole, "{response:?}"));
     });
 }
 
@@ -245,10 +247,10 @@
 fn non_resumable_stream_ends_visibly_truncated() {
     run_test(|world| async move {
         let gap = Duration::from_millis(10);
-        let cut = Act::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
-        with_two_servers(&world, "s", cut).await;
-        let answer = world.call(request("/fixed/", "r1")).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=3), false));
+        let cut = Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
+        start_two_servers(&world, "s", cut).await;
+        let response = world.call(request("/fixed/", "r1")).await;
+        assert_eq!((response.body, response.whole), (events(1..=3), false));
         assert_eq!(world.backends.runs(), 1);
     });
 }
@@ -256,13 +258,13 @@
 #[test]
 fn response_of_low_confidence_is_replaced_by_a_larger_model() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(3, Some(90))).await;
+        start_two_servers(&world, "m", stream(3, Some(90))).await;
         first(&world, stream(3, Some(5)));
         let sent = with(request("/models/", "r1"), "pondwalk-model", "auto");
-        let answer = world.call(sent).await;
-        assert_eq!((answer.body, answer.whole), (events(1..=3), true));
-        let mut seen = world.backends.seen(address(1));
-        seen.extend(world.backends.seen(address(2)));
+        let response = world.call(sent).await;
+        assert_eq!((response.body, response.whole), (events(1..=3), true));
+        let mut seen = world.backends.requests(address(1));
+        seen.extend(world.backends.requests(address(2)));
         let models: Vec<&str> =
             seen.iter().map(|seen| seen.headers["pondwalk-model"].as_str()).collect();
         assert!(models.contains(&"small") && models.contains(&"large"), "{models:?}");
@@ -272,7 +274,7 @@
 #[test]
 fn long_prompt_is_ranked_after_a_short_one() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(2, Some(90))).await;
+        start_two_servers(&world, "m", stream(2, Some(90))).await;
         let call = async |id: &str, tokens: u32| {
             let sent = with(request("/models/", id), "pondwalk-model", "auto");
             let sent = with(sent, "pondwalk-prompt-parts", &format!("{tokens}:{tokens}"));
@@ -280,7 +282,7 @@
         };
         call("r1", 100).await;
         call("r2", 90_000).await;
-        let seen: Vec<_> = (1..=2).flat_map(|n| world.backends.seen(address(n))).collect();
+        let seen: Vec<_> = (1..=2).flat_map(|n| world.backends.requests(address(n))).collect();
         let ranks: Vec<&str> =
             seen.iter().map(|seen| seen.headers["pondwalk-priority"].as_str()).collect();
         assert!(
@@ -294,7 +296,7 @@
 #[test]
 fn model_named_by_the_caller_is_kept() {
     run_test(|world| async move {
-        with_two_servers(&world, "m", stream(3, Some(5))).await;
+        start_two_servers(&world, "m", stream(3, Some(5))).await;
         let sent = with(request("/models/", "r1"), "pondwalk-model", "middle");
         assert!(world.call(sent).await.whole);
         assert_eq!(world.backends.runs(), 1);
@@ -304,11 +306,11 @@
 #[test]
 fn no_request_outlives_its_deadline() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", Act::Silent).await;
+        start_two_servers(&world, "s", Behaviour::Silent).await;
         let started = tokio::time::Instant::now();
         let sent = with(request("/again/", "r1"), "pondwalk-deadline-ms", "3000");
-        let answer = world.call(sent).await;
-        assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
+        let response = world.call(sent).await;
+        assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
         assert!(started.elapsed() <= Duration::from_millis(3_010), "{:?}", started.elapsed());
     });
 }
@@ -316,13 +318,13 @@
 #[test]
 fn draining_server_gets_no_new_requests_from_any_source() {
     run_test(|world| async move {
-        with_two_servers(&world, "s", ok_response()).await;
+        start_two_servers(&world, "s", ok_response()).await;
         world.list_server(1, "s", "v1", "draining");
         sleep(Duration::from_millis(500)).await;
         for number in 0..4 {
             world.call(request("/once/", &format!("r{number}"))).await;
         }
-        assert_eq!(world.backends.seen(address(1)).len(), 0);
+        assert_eq!(world.backends.requests(address(1)).len(), 0);
     });
 }
 
@@ -330,14 +332,14 @@
 fn unrequested_content_encoding_is_not_passed_on() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "encoded".into()));
-        world.backends.tell(address(1), "content-encoding", "gzip");
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "encoded".into()));
+        world.backends.set_header(address(1), "content-encoding", "gzip");
         world.start().await;
-        let answer = world.call(request("/once/x", "r1")).await;
-        assert_eq!(answer.status.as_u16(), 502);
-        world.backends.tell(address(1), "content-encoding", "identity");
+        let response = world.call(request("/once/x", "r1")).await;
+        assert_eq!(response.status.as_u16(), 502);
+        world.backends.set_header(address(1), "content-encoding", "identity");
         assert_eq!(world.call(request("/once/x", "r2")).await.body, "encoded");
-        world.backends.tell(address(1), "content-encoding", "gzip");
+        world.backends.set_header(address(1), "content-encoding", "gzip");
         let sent = with(request("/once/x", "r3"), "accept-encoding", "gzip");
         assert_eq!(world.call(sent).await.body, "encoded", "this caller asked for it");
     });
--- a/crates/direct/tests/log_limits.rs
+++ b/crates/direct/tests/log_limits.rs
@@ -10,7 +10,7 @@
 
 use common::{catalog, request, run_test};
 use pondwalk_direct::event_log::{EventLog, LogPriority};
-use pondwalk_standin::backends::Act;
+use pondwalk_standin::backends::Behaviour;
 use spdlog::{
     Record,
     sink::{GetSinkProp, Sink, SinkProp},
@@ -52,7 +52,7 @@
 fn each_log_line_is_one_json_object() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         world.start().await;
         world.call(request("/once/", "r1")).await;
         world.call(request("/nowhere/", "r2")).await;
@@ -72,7 +72,7 @@
 fn metrics_are_exposed_as_text() {
     run_test(|world| async move {
         world.configure(catalog(1));
-        world.start_server(1, "s", "v1", Act::Answer(200, "made".into()));
+        world.start_server(1, "s", "v1", Behaviour::Answer(200, "made".into()));
         world.start().await;
         world.call(request("/once/", "r1")).await;
         let text = world.entry.metrics_text();
@@ -90,18 +90,18 @@
 
 /// An output that blocks while it is locked.
 #[derive(Default)]
-struct HeldOutput {
+struct BlockingOutput {
     prop: SinkProp,
     written: Mutex<String>,
 }
 
-impl GetSinkProp for HeldOutput {
+impl GetSinkProp for BlockingOutput {
     fn prop(&self) -> &SinkProp {
         &self.prop
     }
 }
 
-impl Sink for HeldOutput {
+impl Sink for BlockingOutput {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let mut written = self.written.lock().expect("the lock is not poisoned");
         written.push_str(record.payload());
@@ -116,9 +116,9 @@
 
 #[test]
 fn blocked_output_does_not_stall_and_lost_lines_are_counted() {
-    let output = Arc::new(HeldOutput::default());
+    let output = Arc::new(BlockingOutput::default());
     let event_log = EventLog::to_sink(Arc::clone(&output) as Arc<dyn Sink>, "e1", 1_000_000);
-    let event_log = event_log.expect("a journal");
+    let event_log = event_log.expect("an event log");
     let guard = output.written.lock().expect("the lock is not poisoned");
     // More batches than the queue holds; with a blocking log this would never end.
     for _ in 0..30 {
--- a/crates/direct/tests/store_outage_recovery.rs
+++ b/crates/direct/tests/store_outage_recovery.rs
@@ -8,8 +8,8 @@
 use common::{World, limits, net::Net, run_test};
 use pondwalk_direct::Entry;
 use pondwalk_standin::{
-    backends::Act,
-    memory_store::{StoreCopy, Weather},
+    backends::Behaviour,
+    memory_store::{FaultMode, StoreSnapshot},
 };
 use tokio::time::{Instant, sleep};
 
@@ -27,7 +27,7 @@
 
 /// Measurements of one outage.
 #[derive(Debug, Default)]
-struct Return {
+struct Recovery {
     /// Time until half of the entries, and all of them, honour keys again.
     half: Duration,
     all: Duration,
@@ -43,26 +43,26 @@
     world: &World,
     entries: &[Entry],
     outage: Duration,
-    copy: Option<StoreCopy>,
-) -> Return {
-    world.store.set_weather(Weather::Silent(Duration::from_secs(30)));
+    copy: Option<StoreSnapshot>,
+) -> Recovery {
+    world.store.set_fault_mode(FaultMode::Silent(Duration::from_secs(30)));
     sleep(outage).await;
     assert_eq!(ready(entries), 0, "keys are refused by then");
     let calls = world.store.calls();
     if let Some(copy) = copy {
         world.store.restore(copy);
     }
-    world.store.set_weather(Weather::Fair);
-    let back = Instant::now();
-    let mut seen = Return::default();
-    while back.elapsed() < COUNTING_TIME {
+    world.store.set_fault_mode(FaultMode::Normal);
+    let returned_at = Instant::now();
+    let mut seen = Recovery::default();
+    while returned_at.elapsed() < COUNTING_TIME {
         sleep(POLL_INTERVAL).await;
         let count = ready(entries);
         if seen.half.is_zero() && 2 * count >= entries.len() {
-            seen.half = back.elapsed();
+            seen.half = returned_at.elapsed();
         }
         if seen.all.is_zero() && count == entries.len() {
-            seen.all = back.elapsed();
+            seen.all = returned_at.elapsed();
         }
     }
     seen.calls = world.store.calls() - calls;
@@ -84,10 +84,10 @@
 fn recovery_after(count: u16, outage: Duration, is_restored: bool) {
     run_test(move |world| async move {
         let net = Net::default();
-        let usual = Act::Answer(200, "made".into());
+        let usual = Behaviour::Answer(200, "made".into());
         let entries = limits::start(&world, &net, (2, "s", usual), count).await;
         assert_eq!(ready(&entries), entries.len());
-        let copy = is_restored.then(|| world.store.copy());
+        let copy = is_restored.then(|| world.store.snapshot());
         for n in 0..10 {
             world.store.put(&format!("other/{n}"), "written after the copy");
         }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -10,7 +10,7 @@
 use crate::{
     callers::DEADLINE,
     deployment::data_centre_of,
-    records::{Exchange, Outcome, Records, Route, Run, Span, TimeUs},
+    records::{Exchange, Outcome, Records, Route, RunRecord, Span, TimeUs},
     repeater::repeater_number,
 };
 
@@ -177,7 +177,8 @@
         let runs = runs.get(exchange.id.as_str()).into_iter().flatten();
         // The exit of a server by itself is detected shortly after its callers see it.
         let until_us = exchange.ended_us + us(TOLERANCE);
-        let killed = |run: &&&Run| records.was_killed(&run.server, exchange.sent_us, until_us);
+        let killed =
+            |run: &&&RunRecord| records.was_killed(&run.server, exchange.sent_us, until_us);
         let ran = runs.clone().count() > 0 && runs.filter(killed).count() == 0;
         (exchange.outcome == Outcome::Cut && had_time && ran)
             .then(|| format!("{} ran and was cut", exchange.id))
@@ -319,7 +320,7 @@
 /// A server that announces a limit gets no more requests than allowed from all entries that received it together.
 pub fn check_limits(records: &Records) -> Finding {
     let by_id = records.by_id();
-    let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+    let mut runs: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in &records.runs {
         runs.entry(&run.server).or_default().push(run);
     }
@@ -341,7 +342,7 @@
 fn limited_windows<'a>(
     records: &Records,
     by_id: &HashMap<&str, &Exchange>,
-    runs: &[&'a Run],
+    runs: &[&'a RunRecord],
 ) -> Vec<(&'a str, f64, usize)> {
     let mut received_us: BTreeMap<usize, TimeUs> = BTreeMap::new();
     let mut counted: Vec<TimeUs> = Vec::new();
@@ -443,7 +444,7 @@
 /// only undisturbed entries.
 pub fn check_crash_quarantine(records: &Records) -> Finding {
     let by_id = records.by_id();
-    let mut runs_of: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+    let mut runs_of: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in records.runs.iter().filter(|run| run.ran) {
         if let Some(number) = repeater_number(&run.request) {
             runs_of.entry(number).or_default().push(run);
@@ -453,7 +454,7 @@
     finding("requests that end servers are left", known, |(number, runs)| {
         let quarantined_us =
             runs[CRASHES_BEFORE_QUARANTINE - 1].at_us + us(QUARANTINE_BOUND + TOLERANCE);
-        let is_further = |run: &&&Run| {
+        let is_further = |run: &&&RunRecord| {
             let Some(exchange) = by_id.get(run.request.as_str()) else { return false };
             let settled_us = exchange.sent_us.saturating_sub(us(SETTLING_TIME));
             run.at_us > quarantined_us
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -16,7 +16,9 @@
 };
 
 use anyhow::ensure;
-use pondwalk_standin::platform_store::{RouteOrder, WarmUpOrder, WeatherOrder, configuration};
+use pondwalk_standin::platform_store::{
+    FaultModeOrder, RouteSpec, WarmUpSpec, configuration_entry,
+};
 use tokio::{
     task::spawn_local,
     time::{Instant, sleep},
@@ -44,8 +46,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Warm-up settings of all servers.
-const WARM_UP: WarmUpOrder =
-    WarmUpOrder { time: WARM_UP_TIME, requests_per_s: COLD_REQUESTS_PER_S };
+const WARM_UP: WarmUpSpec = WarmUpSpec { time: WARM_UP_TIME, requests_per_s: COLD_REQUESTS_PER_S };
 
 /// A running deployment.
 pub struct Deployment {
@@ -137,7 +138,7 @@
     /// Writes a configuration that adds a key and removes the oldest one.
     pub async fn configure(&self) -> anyhow::Result<()> {
         let config_version = self.config_version.get() + 1;
-        let route = |route: Route| RouteOrder {
+        let route = |route: Route| RouteSpec {
             prefix: route.path().to_owned(),
             kind: kind_of(route),
             service: service_of(route),
@@ -145,7 +146,7 @@
         let keys: Vec<String> =
             [config_version, config_version.saturating_sub(1)].map(key_text).to_vec();
         let routes = Route::ALL.map(route);
-        let (key, value) = configuration(config_version, HOST_NAME, &routes, &keys, WARM_UP);
+        let (key, value) = configuration_entry(config_version, HOST_NAME, &routes, &keys, WARM_UP);
         self.put(&key, value.to_string()).await?;
         self.records.borrow_mut().configured_us.insert(config_version, now_us());
         self.config_version.set(config_version);
@@ -163,7 +164,7 @@
 
     async fn wait_for_store(&self) -> anyhow::Result<()> {
         let limit = Instant::now() + START_TIMEOUT;
-        while self.set_fault_mode(WeatherOrder::Fair).await.is_err() {
+        while self.set_fault_mode(FaultModeOrder::Fair).await.is_err() {
             ensure!(Instant::now() < limit, "the store does not answer");
             sleep(READY_POLL).await;
         }
--- a/crates/soak/src/deployment/servers.rs
+++ b/crates/soak/src/deployment/servers.rs
@@ -22,7 +22,7 @@
     checks::WARM_UP_TIME,
     child::Child,
     proxy::Proxy,
-    records::{Run, Span, now_us},
+    records::{RunRecord, Span, now_us},
 };
 
 /// Time for which a draining server keeps serving.
@@ -265,7 +265,7 @@
         spawn_local(async move {
             let mut lines = BufReader::new(output).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                match serde_json::from_str::<Run>(&line) {
+                match serde_json::from_str::<RunRecord>(&line) {
                     Ok(run) => records.borrow_mut().runs.push(run),
                     Err(error) => {
                         eprintln!("soak: invalid run record `{line}` from a server: {error}")
--- a/crates/soak/src/deployment/store.rs
+++ b/crates/soak/src/deployment/store.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request, StatusCode, client::conn::http1, header::HOST};
 use hyper_util::rt::TokioIo;
-use pondwalk_standin::platform_store::WeatherOrder;
+use pondwalk_standin::platform_store::FaultModeOrder;
 use tokio::{
     net::TcpStream,
     task::spawn_local,
@@ -26,13 +26,13 @@
     /// Applies a fault mode to the store for `time`.
     pub async fn inject_store_fault(
         &self,
-        order: WeatherOrder,
+        order: FaultModeOrder,
         time: Duration,
     ) -> anyhow::Result<()> {
         let from_us = now_us();
         self.set_fault_mode(order).await?;
         sleep(time).await;
-        self.set_fault_mode(WeatherOrder::Fair).await?;
+        self.set_fault_mode(FaultModeOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
@@ -49,12 +49,12 @@
     pub async fn restore_store(&self, outage: Duration, age: Duration) -> anyhow::Result<()> {
         let from_us = now_us();
         if !outage.is_zero() {
-            self.set_fault_mode(WeatherOrder::Silent { ms: SILENT_STORE_TIMEOUT_MS }).await?;
+            self.set_fault_mode(FaultModeOrder::Silent { ms: SILENT_STORE_TIMEOUT_MS }).await?;
             sleep(outage).await;
         }
         let age_ms = age.as_millis().to_string();
         call(self.store, Method::POST, "/order/restore", age_ms.into()).await?;
-        self.set_fault_mode(WeatherOrder::Fair).await?;
+        self.set_fault_mode(FaultModeOrder::Fair).await?;
         self.records.borrow_mut().store_disturbed.push(Span { from_us, to_us: now_us() });
         Ok(())
     }
@@ -83,7 +83,7 @@
     }
 
     /// Sets the store's fault mode.
-    pub(super) async fn set_fault_mode(&self, order: WeatherOrder) -> anyhow::Result<()> {
+    pub(super) async fn set_fault_mode(&self, order: FaultModeOrder) -> anyhow::Result<()> {
         let body = serde_json::to_vec(&order)?;
         call(self.store, Method::POST, "/order/weather", body.into()).await
     }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-pub use pondwalk_standin::platform_server::{Run, now_us};
+pub use pondwalk_standin::platform_server::{RunRecord, now_us};
 
 /// Wall-clock time in microseconds since the Unix epoch.
 pub type TimeUs = u64;
@@ -84,7 +84,7 @@
     /// Finished requests.
     pub exchanges: Vec<Exchange>,
     /// Requests that servers have read.
-    pub runs: Vec<Run>,
+    pub runs: Vec<RunRecord>,
     /// Time at which the store acknowledged each configuration.
     pub configured_us: HashMap<ConfigVersion, TimeUs>,
     /// Time at which the store acknowledged that a server drains.
@@ -135,8 +135,8 @@
     }
 
     /// Returns the runs by request id, without requests that a server refused.
-    pub fn runs_by_id(&self) -> HashMap<&str, Vec<&Run>> {
-        let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
+    pub fn runs_by_id(&self) -> HashMap<&str, Vec<&RunRecord>> {
+        let mut by_id: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
         for run in self.runs.iter().filter(|run| run.ran) {
             by_id.entry(&run.request).or_default().push(run);
         }
--- a/crates/soak/src/roles.rs
+++ b/crates/soak/src/roles.rs
@@ -5,7 +5,9 @@
 use anyhow::Context;
 use nix::unistd::getppid;
 use pondwalk_config::{DirectSettings, RawFile};
-use pondwalk_standin::{backends::Act, memory_store::MemoryStore, platform_server, platform_store};
+use pondwalk_standin::{
+    backends::Behaviour, memory_store::MemoryStore, platform_server, platform_store,
+};
 use tokio::{net::TcpListener, runtime::Builder, task::LocalSet};
 
 /// Number of events in a stream.
@@ -51,8 +53,8 @@
 
 /// Runs a stand-in backend server.
 pub fn server(id: String, address: SocketAddr, streams: bool) -> anyhow::Result<()> {
-    let stream = Act::Stream { last: EVENTS, gap: EVENT_GAP, confidence: None, cut_in: None };
-    let behaviour = if streams { stream } else { Act::Echo };
+    let stream = Behaviour::Stream { last: EVENTS, gap: EVENT_GAP, confidence: None, cut_in: None };
+    let behaviour = if streams { stream } else { Behaviour::Echo };
     run_on_current_thread(async move {
         let listener =
             TcpListener::bind(address).await.context("cannot bind the server's address")?;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -3,8 +3,8 @@
 use std::{fmt, time::Duration};
 
 use pondwalk_standin::{
-    platform_server::{LIMITING, TURNING_AWAY},
-    platform_store::WeatherOrder,
+    platform_server::{RATE_LIMIT_DURATION, REJECTION_DURATION},
+    platform_store::FaultModeOrder,
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
@@ -39,7 +39,7 @@
     /// Suspends an entry for this time.
     Pause(usize, Duration),
     /// Applies a fault mode to the store for this time.
-    Weather(WeatherOrder, Duration),
+    Weather(FaultModeOrder, Duration),
     /// Makes the store discard its change history.
     Forget,
     /// Makes the store unavailable for the first time, then restores a copy that is older by the second time.
@@ -112,8 +112,8 @@
         Action::KillServer(_, time) => time + WARM_UP_TIME,
         Action::Cool(_) => WARM_UP_TIME,
         Action::Stop(_) | Action::Replace(_) | Action::Leave(_) => MAX_DRAIN_TIME,
-        Action::TurnAway(_) => TURNING_AWAY,
-        Action::Limit(_) => LIMITING,
+        Action::TurnAway(_) => REJECTION_DURATION,
+        Action::Limit(_) => RATE_LIMIT_DURATION,
         Action::Kill(_) => ENTRY_RESTART,
         Action::Forget | Action::Configure | Action::Litter => Duration::ZERO,
         Action::SilenceStore | Action::ResetStore | Action::SilenceServer(_) => Duration::ZERO,
@@ -171,10 +171,10 @@
 fn fault_mode(rng: &mut Pcg64Mcg) -> Action {
     let ms = rng.random_range(300..MAX_STORE_FAULT_MS);
     let order = match rng.random_range(0..4) {
-        0 => WeatherOrder::Refused,
-        1 => WeatherOrder::Silent { ms: 30_000 },
-        2 => WeatherOrder::Late { ms: rng.random_range(50..4_000) },
-        _ => WeatherOrder::AnswersLost,
+        0 => FaultModeOrder::Refused,
+        1 => FaultModeOrder::Silent { ms: 30_000 },
+        2 => FaultModeOrder::Late { ms: rng.random_range(50..4_000) },
+        _ => FaultModeOrder::AnswersLost,
     };
     Action::Weather(order, Duration::from_millis(ms))
 }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -4,7 +4,7 @@
 
 use pondwalk_soak::{
     checks::{self, CHECKS, Check},
-    records::{Exchange, Outcome, Records, Route, Run, Span, TimeUs},
+    records::{Exchange, Outcome, Records, Route, RunRecord, Span, TimeUs},
 };
 
 /// Time base of the tests, later than all time bounds.
@@ -30,9 +30,9 @@
     Outcome::Answered { status, is_whole: true }
 }
 
-fn run(id: &str, at_s: f64) -> Run {
+fn run(id: &str, at_s: f64) -> RunRecord {
     let (server, request) = ("s0".to_owned(), id.to_owned());
-    Run { server, request, ran: true, at_us: at(at_s), ..Run::default() }
+    RunRecord { server, request, ran: true, at_us: at(at_s), ..RunRecord::default() }
 }
 
 /// Returns records that pass all checks: ten requests that ran and were answered.
@@ -183,7 +183,7 @@
         records.cold.insert("s1".to_owned(), vec![Span { from_us: at(10.0), to_us: at(16.0) }]);
         for number in 0..requests {
             let at_s = 13.0 + number as f64 * 0.06;
-            let run = Run { server: "s1".to_owned(), ..run(&format!("c{number}"), at_s) };
+            let run = RunRecord { server: "s1".to_owned(), ..run(&format!("c{number}"), at_s) };
             records.runs.push(run);
         }
     };
@@ -307,7 +307,11 @@
             let (id, time) = (format!("l{number}"), 30.0 + 0.25 * f64::from(number));
             records.exchanges.push(exchange(&id, time, answered(200)));
             let server = "s1".to_owned();
-            records.runs.push(Run { server, limit_per_s: Some(limit_per_s), ..run(&id, time) });
+            records.runs.push(RunRecord {
+                server,
+                limit_per_s: Some(limit_per_s),
+                ..run(&id, time)
+            });
         }
     };
     let broken_by = |requests, limit_per_s| {
