--- a/crates/decide/src/direct/bound_sharing.rs
+++ b/crates/decide/src/direct/bound_sharing.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A number from 0 to 1, evenly distributed over the entries, with which shares of a whole are
+    /// A number from 0 to 1, evenly distributed over the entries, with which shares of a bound are
     /// rounded; 0 while this entry has no share.
     pub fn rounding(&self) -> f64 {
         if self.is_sole || !self.listed.contains(&self.own) {
--- a/crates/decide/src/direct/engine.rs
+++ b/crates/decide/src/direct/engine.rs
@@ -28,7 +28,7 @@
 /// Initial estimate of the time to first byte without prefill, in milliseconds.
 const BASE_PRIOR_MS: f64 = 25.0;
 /// Initial estimates of the prefill time per token of the smallest and the largest of several
-/// models, in milliseconds: engines of usual size, a factor of ten apart.
+/// models, in milliseconds: engines of typical size, a factor of ten apart.
 const PREFILL_PRIORS_MS: (f64, f64) = (0.0055, 0.053);
 /// Initial estimate of the time between two tokens of an answer, in milliseconds.
 const TOKEN_PRIOR_MS: f64 = 12.0;
--- a/crates/decide/src/direct/evidence_pool.rs
+++ b/crates/decide/src/direct/evidence_pool.rs
@@ -39,12 +39,12 @@
     bad_ratio: f64,
 }
 
-/// Failures: a few percent are usual.
+/// Failures: a few percent are normal.
 const FAILURES: FaultShares =
     FaultShares { min_good: 0.05, good_ratio: 1.5, min_bad: 0.25, bad_ratio: 3.0 };
 /// Answers slower than seven in ten of the old version's. Few answers of a slow version are much
-/// slower than usual, since most of the time to first byte is prefill; the slowest twentieth of the
-/// old version's answers would detect a bad version too late.
+/// slower than normal, since most of the time to first byte is prefill; the slowest twentieth of
+/// the old version's answers would detect a bad version too late.
 const SLOWNESS: FaultShares =
     FaultShares { min_good: 0.33, good_ratio: 1.1, min_bad: 0.53, bad_ratio: 1.6 };
 /// Largest expected share of a bad version.
--- a/crates/decide/src/direct/fleet/load.rs
+++ b/crates/decide/src/direct/fleet/load.rs
@@ -47,7 +47,7 @@
 }
 
 /// Parses `RUNNING,WAITING,SLOTS`, optionally followed by the current pace: how long work takes,
-/// 100 for as usual.
+/// as a percentage of the normal time.
 ///
 /// NB: the pace changes many times a second, while an entry receives a report about once a second.
 /// It does not predict the next request and is discarded.
--- a/crates/decide/src/direct/fleet/server.rs
+++ b/crates/decide/src/direct/fleet/server.rs
@@ -38,8 +38,8 @@
 /// Number of cached parts of one server from which expired ones are swept.
 const MIN_PARTS: usize = 64;
 /// Time for which a server whose record lapsed during a store outage still gets requests. Records
-/// that lapsed return within about two seconds of the store, and a server that has left must get
-/// nothing two seconds after that was received.
+/// that lapsed return within about two seconds of the store, and a server that is gone must get
+/// no requests later than two seconds after the entry has received its removal.
 const LAPSE_GRACE: Duration = Duration::from_millis(1_600);
 /// Cost of such a server, in milliseconds: a listed server is preferred unless it is busy.
 const LAPSED_MS: f64 = 150.0;
@@ -52,7 +52,7 @@
 /// What the store lists about a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// Identity of the server; it may be kept across a restart.
+    /// Identity of the server; it may stay the same across a restart.
     pub id: ServerId,
     /// Start time in milliseconds of Unix time, if the server reports it.
     pub born_ms: Option<u64>,
--- a/crates/decide/src/direct/reporter.rs
+++ b/crates/decide/src/direct/reporter.rs
@@ -9,7 +9,7 @@
 //! cannot know whether the platform received it.
 //!
 //! A write allows its writer to call the platform for a fraction of the lease, counted from when
-//! the write was sent. Other entries wait for the whole lease after they received the record. A
+//! the write was sent. Other entries wait for the full lease after they received the record. A
 //! holder that was suspended, or cut off from the store, therefore stops by its own clock before
 //! another begins.
 //!
@@ -17,7 +17,7 @@
 //! restoration may still be applied to it. Each era of the store therefore has a record of its own,
 //! and tokens begin with the era, above all tokens of earlier eras. The newest report that an entry
 //! has received remains valid and is written again. An entry that cannot know what was lost waits
-//! for the whole lease and omits the windows that may have been reported: a missing report does
+//! for the full lease and omits the windows that may have been reported: a missing report does
 //! less harm than a second one with other content.
 
 use std::{collections::BTreeMap, time::Duration};
--- a/crates/decide/src/direct/roll_out.rs
+++ b/crates/decide/src/direct/roll_out.rs
@@ -2,7 +2,7 @@
 //! version is as good as the old one.
 //!
 //! A trial at a small share lasts for half of the time that the order allows. Then the share widens
-//! to the whole, and finally the roll-out is published as complete. An entry that sees the new
+//! to all traffic, and finally the roll-out is published as complete. An entry that sees the new
 //! version fail returns to the old one at once, at any stage. One entry may see too little, so
 //! entries exchange their observations and weigh them together. They also exchange which sessions
 //! are running, so that no session changes its version by reaching another entry.
@@ -28,9 +28,9 @@
 const KEPT_PUBLISH_DELAY: Duration = Duration::from_millis(300);
 /// Shortest time from the start of the trial until sessions go to the new version.
 const MIN_TRIAL_LEAD: Duration = Duration::from_millis(1_300);
-/// Time in which entries receive the sessions that the others keep.
+/// Time in which entries receive the sessions that stay on the old version at the others.
 const KEPT_GOSSIP_TIME: Duration = Duration::from_millis(300);
-/// Time in which the share widens from that of the trial to the whole.
+/// Time in which the new version's share widens from that of the trial to all traffic.
 const WIDENING_TIME: Duration = Duration::from_secs(4);
 /// Fraction of the order's time after which the roll-out is published as complete.
 const COMPLETE_FRACTION: f64 = 0.82;
@@ -40,7 +40,7 @@
 pub enum Stage {
     /// The new version gets a small share of new sessions.
     Trial,
-    /// The share widens to the whole.
+    /// The share widens to all traffic.
     Widening,
     /// The new version has all traffic, permanently.
     Completed,
@@ -78,7 +78,7 @@
     widening_started_at: Option<Duration>,
     /// Sessions that run on the old version, through any entry.
     kept_sessions: HashSet<SessionKey>,
-    /// How often this entry has published the sessions that it keeps.
+    /// How often this entry has published which of its sessions stay on the old version.
     kept_publications: u8,
     tripped: bool,
     tripped_locally: bool,
@@ -158,13 +158,13 @@
         self.kept_sessions.extend(sessions);
     }
 
-    /// Records that this entry has published the sessions that it keeps.
+    /// Records that this entry has published which of its sessions stay on the old version.
     pub fn record_kept_published(&mut self) {
         self.kept_publications = self.kept_publications.saturating_add(1);
     }
 
-    /// Whether this entry must publish the sessions that it keeps: before sessions go to the new
-    /// version, and once more when that begins.
+    /// Whether this entry must publish which of its sessions stay on the old version: before
+    /// sessions go to the new version, and again when they begin to.
     fn is_kept_publication_due(&self, now: Duration) -> bool {
         let time = self.time_in_trial(now);
         match self.kept_publications {
@@ -188,7 +188,7 @@
         self.local_evidence.forget_server(server);
     }
 
-    /// Applies that another entry has rejected the version.
+    /// Records that another entry has rejected the version.
     pub fn trip_from_peer(&mut self) {
         self.tripped |= self.published_stage != Some(Stage::Completed);
     }
@@ -235,7 +235,7 @@
     /// Records an answer of either version. Returns whether the new version is bad by it.
     pub fn record_answer(&mut self, version: &str, evidence: &Evidence<'_>, now: Duration) -> bool {
         let is_target = version == self.target;
-        // NB: with the whole share on the new version, the old one's times were taken under another
+        // NB: with all traffic on the new version, the old one's times were taken under another
         // load.
         let is_comparable = self.share(now) < 1.0;
         let slow = self.local_evidence.record(is_target, evidence, is_comparable);
--- a/crates/decide/src/direct/usage.rs
+++ b/crates/decide/src/direct/usage.rs
@@ -1,6 +1,6 @@
 //! Usage by workspace and window: the counts of one entry, and the totals over all entries.
 //!
-//! An entry always publishes its whole count of a window, so that lost, late or duplicate messages
+//! An entry always publishes its total count of a window, so that lost, late or duplicate messages
 //! do no harm. If an entry crashes, only what it has not published is lost.
 
 use std::collections::{BTreeMap, HashMap};
@@ -106,7 +106,7 @@
         recent.peek().is_some() && recent.all(|until| *until >= to_ms)
     }
 
-    /// Applies a publisher's whole count of a window. Of several messages the one with the highest
+    /// Applies a publisher's total count of a window. Of several messages the one with the highest
     /// number counts, in whatever order they arrive.
     pub fn apply_counts(
         &mut self,
--- a/crates/decide/src/direct/warm_up.rs
+++ b/crates/decide/src/direct/warm_up.rs
@@ -39,7 +39,7 @@
 pub struct ColdServerBound {
     /// Factor on the rate that a cold server can take.
     pub overshoot: f64,
-    /// Requests in a second beyond that.
+    /// Requests a second allowed in addition to that rate.
     pub tolerance: f64,
     /// Time within which a restarted server has reported that it is cold.
     pub report_delay: Duration,
--- a/crates/decide/src/direct/window_budget.rs
+++ b/crates/decide/src/direct/window_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Each entry has its own budget: a ratio of its own requests, and its fraction of the fixed extra,
 //! given by [`BoundSharing::fraction`](super::BoundSharing::fraction). All budgets add up to no
-//! more than the whole.
+//! more than the configured bound.
 
 use std::time::Duration;
 
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -192,19 +192,19 @@
         let mut all: Vec<Assessed> =
             untried.map(|candidate| self.assess(in_flight, now, *candidate)).collect();
         all.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let mut kept: Vec<Assessed> = Vec::with_capacity(MAX_FRONTIER_VERSIONS);
+        let mut frontier: Vec<Assessed> = Vec::with_capacity(MAX_FRONTIER_VERSIONS);
         for next in all {
             let dominated =
-                kept.iter().any(|k| k.p_meets >= next.p_meets && k.p_on_time >= next.p_on_time);
+                frontier.iter().any(|f| f.p_meets >= next.p_meets && f.p_on_time >= next.p_on_time);
             if dominated {
                 continue;
             }
-            if kept.len() == MAX_FRONTIER_VERSIONS {
-                kept.pop();
+            if frontier.len() == MAX_FRONTIER_VERSIONS {
+                frontier.pop();
             }
-            kept.push(next);
+            frontier.push(next);
         }
-        kept
+        frontier
     }
 
     fn assess(&self, in_flight: &InFlightRequest, now: Duration, candidate: Candidate) -> Assessed {
--- a/crates/decide/src/router.rs
+++ b/crates/decide/src/router.rs
@@ -195,11 +195,12 @@
     }
 
     fn install_workspaces(&mut self, policy: &Policy) {
-        let mut previous = std::mem::take(&mut self.workspaces);
+        let mut previous_workspaces = std::mem::take(&mut self.workspaces);
         for (name, workspace) in &policy.workspaces {
             let ix = self.workspace_names.intern(name);
-            let kept = previous.get_mut(ix).and_then(Option::take).unwrap_or_default();
-            let resolved = self.resolve(workspace, kept);
+            let previous =
+                previous_workspaces.get_mut(ix).and_then(Option::take).unwrap_or_default();
+            let resolved = self.resolve(workspace, previous);
             if self.workspaces.len() <= ix {
                 self.workspaces.resize_with(ix + 1, || None);
             }
@@ -207,7 +208,7 @@
         }
     }
 
-    fn resolve(&mut self, policy: &WorkspacePolicy, kept: Workspace) -> Workspace {
+    fn resolve(&mut self, policy: &WorkspacePolicy, previous: Workspace) -> Workspace {
         let names = policy.allowed_versions.iter().chain(&policy.allowed_services);
         let allowed = names.map(|name| self.versions.intern(name)).collect();
         let mut tasks = Vec::new();
@@ -218,12 +219,12 @@
             }
             tasks[ix] = Some(*task);
         }
-        let mut spend = kept.spend;
+        let mut spend = previous.spend;
         // NB: the limit is an allocated slice of the cap, so it is kept if only the amount changes.
-        if policy.spend_cap.is_some() != kept.policy.spend_cap.is_some() {
+        if policy.spend_cap.is_some() != previous.policy.spend_cap.is_some() {
             spend.set_limit(policy.spend_cap);
         }
-        Workspace { policy: policy.clone(), allowed, tasks, balances: kept.balances, spend }
+        Workspace { policy: policy.clone(), allowed, tasks, balances: previous.balances, spend }
     }
 
     fn workspace(&self, ix: WorkspaceIx) -> Option<&Workspace> {
--- a/crates/decide/src/router/lifecycle.rs
+++ b/crates/decide/src/router/lifecycle.rs
@@ -19,6 +19,10 @@
 
 impl Router {
     /// Admits a request and plans its first run.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal if the request is not admitted or no run can be planned for it.
     pub fn begin<R: Rng + ?Sized>(
         &mut self,
         now: Duration,
@@ -117,8 +121,8 @@
             finished.service_time,
         );
         self.record_trial_end(now, run.version, in_flight.task, false);
-        let held = in_flight.answer;
-        let p_meets = match (held, in_flight.target) {
+        let previous = in_flight.answer;
+        let p_meets = match (previous, in_flight.target) {
             (Some(poor), Some(target)) if poor.rating.is_some() => {
                 self.estimates.p_escalation_meets(
                     poor.version,
@@ -129,7 +133,7 @@
             }
             _ => self.p_meets(run.version, in_flight.task, in_flight.target),
         };
-        in_flight.previous_answer = held;
+        in_flight.previous_answer = previous;
         let answer = Answer {
             run_index: in_flight.run_count() - 1,
             version: run.version,
--- a/crates/direct/src/content.rs
+++ b/crates/direct/src/content.rs
@@ -4,7 +4,7 @@
 //! it covers the caller, the path and the body. Headers and the method are excluded, since they
 //! change between attempts (id, time limit, last event received). Host and query are excluded if
 //! there is a body, since the body then identifies the request; without a body they are included,
-//! as nothing else tells two requests apart.
+//! as nothing else distinguishes two requests.
 //!
 //! The content is an HMAC-SHA-256 keyed with the caller's name and truncated to 128 bits, so no
 //! caller can forge a request that counts as another caller's. Computing it takes one pass over the
--- a/crates/direct/src/coordinator.rs
+++ b/crates/direct/src/coordinator.rs
@@ -131,8 +131,8 @@
     fn write_delay(&self, service: &ServiceId, step: RollOutStep) -> Duration {
         let membership = &self.core.settings.membership;
         let is_due_everywhere = match step {
-            // Kept sessions are published by gossip, which doesn't load the store and is batched on
-            // its way.
+            // Sessions that stay on the old version are published by gossip, which doesn't load
+            // the store and is batched on its way.
             RollOutStep::Keep => return Duration::ZERO,
             RollOutStep::Begin | RollOutStep::Widen | RollOutStep::Complete => true,
             RollOutStep::Revert => !self.has_found_bad_locally(service),
--- a/crates/direct/src/http/body_channel.rs
+++ b/crates/direct/src/http/body_channel.rs
@@ -14,7 +14,7 @@
 
 use super::body::Truncated;
 
-/// Maximum number of bytes buffered for one caller; many times the usual response.
+/// Maximum number of bytes buffered for one caller; many times a typical response.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// A buffered chunk with its share of the capacity.
--- a/crates/direct/src/http/listen.rs
+++ b/crates/direct/src/http/listen.rs
@@ -38,7 +38,7 @@
     AcceptFailed { error: String },
 }
 
-/// Tells open connections to accept no further requests.
+/// Signals open connections to accept no further requests.
 #[derive(Debug, Default)]
 pub struct Gate {
     is_closed: Cell<bool>,
--- a/crates/direct/src/http/refusals.rs
+++ b/crates/direct/src/http/refusals.rs
@@ -22,7 +22,7 @@
 };
 
 /// Minimum interval over part of which the retries of refused callers are spread. After a backoff a
-/// server takes a single request first, and its usual load only some responses later.
+/// server takes a single request first, and its normal load only some responses later.
 const MIN_SPREAD: Duration = Duration::from_secs(1);
 /// Body of a refusal.
 #[derive(Debug, Serialize)]
--- a/crates/direct/src/membership/gossip.rs
+++ b/crates/direct/src/membership/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip that entries pass on among themselves, without the store.
 //!
 //! An observation that all entries need within a fraction of a second is sent towards the roots in
-//! messages of its own, and comes back down with responses to state requests. Gossip is not
+//! messages of its own, and reaches the children with responses to state requests. Gossip is not
 //! persistent: an entry that restarts receives what its peers still retain.
 
 use std::{
--- a/crates/direct/src/membership/server.rs
+++ b/crates/direct/src/membership/server.rs
@@ -21,7 +21,8 @@
 };
 use crate::{core::Core, event_log::LogPriority, metrics::Counter};
 
-/// Maximum size of a posted message: three times the sessions that a hundred entries keep.
+/// Maximum size of a posted message: three times the sessions that stay on the old version at a
+/// hundred entries.
 const MAX_POST_BYTES: usize = 1024 * 1024;
 
 /// Log event of a rejected message.
--- a/crates/direct/src/port.rs
+++ b/crates/direct/src/port.rs
@@ -136,6 +136,10 @@
 
 impl Port {
     /// Decodes an existing record.
+    ///
+    /// # Errors
+    ///
+    /// The key and the reason if the record can't be decoded.
     pub fn decode_entry(&self, entry: &StoreEntry) -> Result<StoreRecord, UnreadableRecord> {
         (self.decode)(&entry.key, Some(&entry.value))
     }
--- a/crates/direct/src/quarantine/clearance.rs
+++ b/crates/direct/src/quarantine/clearance.rs
@@ -8,7 +8,8 @@
 use crate::{core::Core, membership::Gossip, request::Job};
 
 /// Number of crashes from which a clearance is published. A single crash quarantines nothing, and
-/// where many servers crash it would double the messages, about two hundred on a bad day.
+/// where many servers crash it would double the messages, about two hundred on a day with many
+/// crashes.
 const MIN_CRASHES_TO_PUBLISH: usize = 2;
 /// Number of slots over which entries spread the clearances of a content that succeeded at several
 /// of them.
--- a/crates/direct/src/run.rs
+++ b/crates/direct/src/run.rs
@@ -60,6 +60,10 @@
 }
 
 /// Runs an entry until it receives a stop signal.
+///
+/// # Errors
+///
+/// Returns an error if the runtime, the log, a listener or the signal handlers can't be set up.
 pub fn run(settings: DirectSettings, dialect: Dialect, port: Port) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -103,11 +103,19 @@
     }
 
     /// Reads one key; `None` if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// The transport's error if the call fails; `Malformed` if the response cannot be decoded.
     pub async fn get(&self, key: &str) -> Result<Option<StoreEntry>, StoreError> {
         Ok(self.range(key, String::new()).await?.pop())
     }
 
     /// Reads all keys that start with `prefix`, in key order.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Store::get`].
     pub async fn list(&self, prefix: &str) -> Result<Vec<StoreEntry>, StoreError> {
         self.range(prefix, prefix_end(prefix)).await
     }
@@ -130,6 +138,10 @@
     }
 
     /// Creates a lease; returns its id.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Store::get`].
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let request = LeaseRequest { ttl_s: ttl.as_secs().to_string(), id: "0".into() };
         let reply: LeaseReply = self.call(LEASE_GRANT_PATH, &request, self.timeout).await?;
@@ -151,6 +163,10 @@
     }
 
     /// Waits until a key that starts with `prefix` changes after `revision`, at most for `wait`.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Store::get`], except that `ResponseLost` counts as no change.
     pub async fn watch(
         &self,
         prefix: &str,
