--- a/crates/decide/src/router/lifecycle.rs
+++ b/crates/decide/src/router/lifecycle.rs
@@ -307,8 +307,8 @@
     }
 
     fn remaining_rating_timeout(&self, now: Duration, in_flight: &InFlightRequest) -> Duration {
-        let left = in_flight.time_left(now).saturating_sub(DELIVERY_MARGIN);
-        self.rating_timeout().min(left).max(duration_from_ms(1.0))
+        let time_left = in_flight.time_left(now).saturating_sub(DELIVERY_MARGIN);
+        self.rating_timeout().min(time_left).max(duration_from_ms(1.0))
     }
 
     /// Records whether an escalation reached the target that the run before it had missed.
--- a/crates/direct/src/follow/initial_state.rs
+++ b/crates/direct/src/follow/initial_state.rs
@@ -94,13 +94,13 @@
             sleep(RETRY_DELAY).await;
             continue;
         }
-        let question = StateRequest {
+        let query = StateRequest {
             store: core.settings.store.address,
             after: Position::default(),
             kind,
             deadline: end.min(Instant::now() + REPLY_TIMEOUT),
         };
-        match client.request_state(&core.connect, &core.clock, seed, question).await {
+        match client.request_state(&core.connect, &core.clock, seed, query).await {
             Ok(reply) => return Some(InitialState { from: seed, reply, client }),
             Err(error) => last = Some(error),
         }
--- a/crates/direct/src/http/placement_wait.rs
+++ b/crates/direct/src/http/placement_wait.rs
@@ -79,9 +79,9 @@
             let wanted = Placement::wanted_permit(&self.core, &self.job, self.next_send());
             let Some(wanted) = wanted else { return };
             let core = Rc::clone(&self.core);
-            let asking = spawn_local(core.request_permit(self.job.service.name.clone(), wanted));
+            let request = spawn_local(core.request_permit(self.job.service.name.clone(), wanted));
             // The fleet records the result.
-            let _ = timeout(PERMIT_TIMEOUT, asking).await;
+            let _ = timeout(PERMIT_TIMEOUT, request).await;
         }
     }
 
--- a/crates/direct/src/http/serve.rs
+++ b/crates/direct/src/http/serve.rs
@@ -191,7 +191,7 @@
         if status.is_success() && self.job.route.kind.is_stream() {
             return AttemptResult::Respond(self.start_relay(exchange, placement));
         }
-        self.forward_whole(exchange, placement).await
+        self.respond_with_body(exchange, placement).await
     }
 
     /// Whether a request that failed on a server is retried on another one, where it is certain to
@@ -317,7 +317,12 @@
         relay::RelayedRequest { in_flight, confidence, head_ms, status }
     }
 
-    async fn forward_whole(&mut self, exchange: Exchange, placement: Placement) -> AttemptResult {
+    /// Reads the complete body of a response and passes it to the caller.
+    async fn respond_with_body(
+        &mut self,
+        exchange: Exchange,
+        placement: Placement,
+    ) -> AttemptResult {
         let (parts, body) = exchange.response.into_parts();
         let head_ms = self.after_ms();
         let until = self.core.clock.instant(self.job.deadline);
--- a/crates/direct/src/permits.rs
+++ b/crates/direct/src/permits.rs
@@ -150,13 +150,13 @@
 impl Core {
     /// Requests a permit and records the reply in the fleet.
     pub async fn request_permit(self: Rc<Self>, service: ServiceId, wanted: PermitRequest) {
-        let said_ago = self.clock.now().saturating_sub(wanted.reported_at);
+        let limit_age = self.clock.now().saturating_sub(wanted.reported_at);
         let query = PermitQuery {
             service: service.to_string(),
             server: wanted.server,
             life: wanted.incarnation,
             limit: wanted.limit,
-            said_ago,
+            said_ago: limit_age,
             is_passed_on: false,
         };
         let reply = match self.resolve_permit(&query).await {
@@ -273,12 +273,12 @@
     /// Grants or refuses a permit by the latest known limit of the server.
     fn grant_permit(&self, query: &PermitQuery, granter: GranterRole) -> PermitReply {
         let now = self.clock.now();
-        let said_at = now.saturating_sub(query.said_ago);
+        let reported_at = now.saturating_sub(query.said_ago);
         let PermitQuery { server, life, limit, .. } = query;
         let mut state = self.state.borrow_mut();
         let fleet = state.fleets.get_mut(query.service.as_str());
         let known = fleet.and_then(|fleet| {
-            fleet.apply_peer_rate_limit(server, life, Some(*limit), said_at);
+            fleet.apply_peer_rate_limit(server, life, Some(*limit), reported_at);
             fleet.rate_limit_of(server, life)
         });
         drop(state);
