--- a/crates/agent/src/trials.rs
+++ b/crates/agent/src/trials.rs
@@ -21,8 +21,8 @@
         let mut trials = HashMap::new();
         for roll_out in &policy.roll_outs {
             let current = self.trials.remove(&roll_out.version);
-            let kept = current.filter(|(replaces, _)| *replaces == roll_out.replaces);
-            let trial = kept.map(|(_, trial)| trial).unwrap_or_default();
+            let continued = current.filter(|(replaces, _)| *replaces == roll_out.replaces);
+            let trial = continued.map(|(_, trial)| trial).unwrap_or_default();
             trials.insert(roll_out.version.clone(), (roll_out.replaces.clone(), trial));
         }
         self.trials = trials;
--- a/crates/decide/tests/engines.rs
+++ b/crates/decide/tests/engines.rs
@@ -23,7 +23,7 @@
     time_ms * rng.random_range(0.7..1.3) * outlier
 }
 
-/// Estimates after so many answers whose times are `factor` times the usual.
+/// Estimates after so many answers whose times are `factor` times those of the prior.
 fn engine_after(factor: f64, answers: u32, rng: &mut Pcg64Mcg) -> EngineEstimates {
     let mut engine = EngineEstimates::new(3);
     for n in 0..answers {
@@ -139,13 +139,13 @@
 fn decisions_follow_engines_that_differ_by_a_factor_of_four() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let fast = engine_after(0.25, 150, &mut rng);
-    let usual = engine_after(1.0, 150, &mut rng);
+    let medium = engine_after(1.0, 150, &mut rng);
     let slow = engine_after(4.0, 150, &mut rng);
     // NB: the largest model prefills 20,000 tokens in 0.3, 1.1 and 4.2 s.
     assert_eq!(model_after_a_low_confidence(&fast, 20_000), Some(2));
-    assert_eq!(model_after_a_low_confidence(&usual, 20_000), Some(2));
+    assert_eq!(model_after_a_low_confidence(&medium, 20_000), Some(2));
     assert_eq!(model_after_a_low_confidence(&slow, 20_000), Some(1));
     assert_eq!(model_after_a_low_confidence(&slow, 2_000), Some(2));
     assert_eq!(model_after_a_low_confidence(&fast, 70_000), Some(2));
-    assert_eq!(model_after_a_low_confidence(&usual, 70_000), Some(1));
+    assert_eq!(model_after_a_low_confidence(&medium, 70_000), Some(1));
 }
--- a/crates/demo/src/faults/sessions.rs
+++ b/crates/demo/src/faults/sessions.rs
@@ -60,8 +60,8 @@
             ..request(&format!("after{n}"))
         };
         let reply = send(deployment, n, &next).await;
-        let kept = reply.complete && reply.version == version && !reply.restarted;
-        finding.expect(kept, || format!("after{n}: {reply:?}"));
+        let continues = reply.complete && reply.version == version && !reply.restarted;
+        finding.expect(continues, || format!("after{n}: {reply:?}"));
     }
     Ok(finding)
 }
--- a/crates/direct/tests/allowed_regions.rs
+++ b/crates/direct/tests/allowed_regions.rs
@@ -82,7 +82,7 @@
         let gap = Duration::from_millis(10);
         let broken = Behaviour::Stream { last: 9, gap, confidence: None, cut_in: Some(4) };
         set_up(&world, "s", broken, stream(9, None)).await;
-        assert!(!world.call(request("/stream/", "r1")).await.whole);
+        assert!(!world.call(request("/stream/", "r1")).await.is_complete);
         assert_eq!(ran_outside_region(&world), 0);
         assert!(ran_in_region(&world) > 1);
     });
--- a/crates/direct/tests/backend_faults.rs
+++ b/crates/direct/tests/backend_faults.rs
@@ -14,36 +14,36 @@
     Behaviour::Answer(200, "made".into())
 }
 
-async fn start_two_servers(world: &World, service: &str, usual: Behaviour) {
+async fn start_two_servers(world: &World, service: &str, behaviour: Behaviour) {
     world.configure(catalog(1));
-    world.start_server(1, service, "v1", usual.clone());
-    world.start_server(2, service, "v1", usual);
+    world.start_server(1, service, "v1", behaviour.clone());
+    world.start_server(2, service, "v1", behaviour);
     world.start().await;
 }
 
-/// Makes the first request at either server do `act`.
-fn first(world: &World, act: Behaviour) {
-    // Only one of the two servers is used first; the other one's script must be the usual again.
-    world.backends.script(address(1), [act.clone()]);
-    world.backends.script(address(2), [act]);
+/// Makes each of the two servers apply `behaviour` to the next request that it gets.
+fn script_both_servers(world: &World, behaviour: Behaviour) {
+    // It is not known which server gets the first request, so both have the same script.
+    world.backends.script(address(1), [behaviour.clone()]);
+    world.backends.script(address(2), [behaviour]);
 }
 
 #[test]
 fn non_repeatable_request_is_sent_once_after_a_lost_response() {
-    for fate in
+    for behaviour in
         [Behaviour::DropResponse, Behaviour::WrongRequestId, Behaviour::Unsigned, Behaviour::Silent]
     {
         run_test(|world| async move {
             start_two_servers(&world, "s", ok_response()).await;
-            first(&world, fate.clone());
+            script_both_servers(&world, behaviour.clone());
             let response = world.call(request("/once/", "r1")).await;
-            let expected = match fate {
+            let expected = match behaviour {
                 Behaviour::Silent => StatusCode::GATEWAY_TIMEOUT,
                 _ => StatusCode::BAD_GATEWAY,
             };
-            assert_eq!(response.status, expected, "{fate:?}");
+            assert_eq!(response.status, expected, "{behaviour:?}");
             assert!(response.body.contains("unknown"));
-            assert_eq!(world.backends.runs(), 1, "{fate:?}");
+            assert_eq!(world.backends.runs(), 1, "{behaviour:?}");
         });
     }
 }
@@ -74,7 +74,7 @@
         assert!(response.body.contains("\"ran\":false"), "{}", response.body);
         assert!(response.headers.contains_key("retry-after"));
         // One server loses the response, the other one rejects the request: it may have run.
-        first(&world, Behaviour::DropResponse);
+        script_both_servers(&world, Behaviour::DropResponse);
         let response = world.call(request("/again/", "r2")).await;
         assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     });
@@ -90,10 +90,10 @@
         Behaviour::NotRun(503),
         Behaviour::Answer(500, "broken".into()),
     ];
-    for fate in faults {
+    for behaviour in faults {
         run_test(|world| async move {
             world.configure(catalog(1));
-            world.start_server(1, "s", "v1", fate.clone());
+            world.start_server(1, "s", "v1", behaviour.clone());
             world.start_server(2, "s", "v1", ok_response());
             world.start().await;
             for number in 0..4 {
@@ -142,7 +142,10 @@
     run_test(|world| async move {
         start_two_servers(&world, "s", stream(6, None)).await;
         let gap = Duration::from_millis(10);
-        first(&world, Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) });
+        script_both_servers(
+            &world,
+            Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) },
+        );
         let response = world.call(request("/stream/", "r1")).await;
         // The second server's script cuts the resumed stream again; a third send completes it.
         assert!(response.body.starts_with(&events(1..=3)), "{}", response.body);
@@ -164,7 +167,7 @@
         world.start().await;
         for number in 0..4 {
             let response = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((response.body, response.whole), (events(1..=6), true));
+            assert_eq!((response.body, response.is_complete), (events(1..=6), true));
         }
     });
 }
@@ -184,7 +187,7 @@
         world.start().await;
         for number in 0..4 {
             let response = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((response.body, response.whole), (events(1..=6), true));
+            assert_eq!((response.body, response.is_complete), (events(1..=6), true));
         }
     });
 }
@@ -198,7 +201,7 @@
         world.start_server(1, "s", "v1", slow);
         world.start().await;
         let response = world.call(request("/stream/", "r1")).await;
-        assert_eq!((response.body, response.whole), (events(1..=4), true));
+        assert_eq!((response.body, response.is_complete), (events(1..=4), true));
     });
 }
 
@@ -213,7 +216,7 @@
         world.start().await;
         for number in 0..4 {
             let response = world.call(request("/stream/", &format!("r{number}"))).await;
-            assert_eq!((response.body, response.whole), (events(1..=4), true));
+            assert_eq!((response.body, response.is_complete), (events(1..=4), true));
         }
     });
 }
@@ -237,9 +240,9 @@
             world.call(request("/stream/", "r2")).await,
             world.call(request("/stream/", "r3")).await,
         ];
-        let whole = responses.iter().filter(|response| response.status == StatusCode::OK);
-        assert!(whole.clone().count() >= 1, "{responses:?}");
-        whole.for_each(|response| assert!(response.whole, "{response:?}"));
+        let successful = responses.iter().filter(|response| response.status == StatusCode::OK);
+        assert!(successful.clone().count() >= 1, "{responses:?}");
+        successful.for_each(|response| assert!(response.is_complete, "{response:?}"));
     });
 }
 
@@ -250,7 +253,7 @@
         let cut = Behaviour::Stream { last: 6, gap, confidence: None, cut_in: Some(4) };
         start_two_servers(&world, "s", cut).await;
         let response = world.call(request("/fixed/", "r1")).await;
-        assert_eq!((response.body, response.whole), (events(1..=3), false));
+        assert_eq!((response.body, response.is_complete), (events(1..=3), false));
         assert_eq!(world.backends.runs(), 1);
     });
 }
@@ -259,10 +262,10 @@
 fn response_of_low_confidence_is_replaced_by_a_larger_model() {
     run_test(|world| async move {
         start_two_servers(&world, "m", stream(3, Some(90))).await;
-        first(&world, stream(3, Some(5)));
+        script_both_servers(&world, stream(3, Some(5)));
         let sent = with(request("/models/", "r1"), "pondwalk-model", "auto");
         let response = world.call(sent).await;
-        assert_eq!((response.body, response.whole), (events(1..=3), true));
+        assert_eq!((response.body, response.is_complete), (events(1..=3), true));
         let mut seen = world.backends.requests(address(1));
         seen.extend(world.backends.requests(address(2)));
         let models: Vec<&str> =
@@ -298,7 +301,7 @@
     run_test(|world| async move {
         start_two_servers(&world, "m", stream(3, Some(5))).await;
         let sent = with(request("/models/", "r1"), "pondwalk-model", "middle");
-        assert!(world.call(sent).await.whole);
+        assert!(world.call(sent).await.is_complete);
         assert_eq!(world.backends.runs(), 1);
     });
 }
--- a/crates/direct/tests/cold_servers_and_evacuations.rs
+++ b/crates/direct/tests/cold_servers_and_evacuations.rs
@@ -336,7 +336,7 @@
         // The session is on the old version, whose only server is cold; the other server is warm.
         let before = world.backends.requests(address(1)).len();
         let response = call("second").await;
-        assert_eq!((response.status.as_u16(), response.whole), (200, true));
+        assert_eq!((response.status.as_u16(), response.is_complete), (200, true));
         assert_eq!(seen(&world, 1..=2), [before + 1, 0]);
     });
 }
--- a/crates/direct/tests/common/crashing.rs
+++ b/crates/direct/tests/common/crashing.rs
@@ -32,16 +32,16 @@
     Behaviour::Answer(200, "made".into())
 }
 
-/// A kind of request: its path, service, and the servers' usual behaviour.
+/// A kind of request: its path, service, and the servers' behaviour towards other contents.
 #[derive(Debug, Clone)]
 pub struct Kind {
     pub path: &'static str,
     pub service: &'static str,
-    pub usual: Behaviour,
+    pub behaviour: Behaviour,
 }
 
 pub fn repeatable() -> Kind {
-    Kind { path: "/again/x", service: "s", usual: ok_response() }
+    Kind { path: "/again/x", service: "s", behaviour: ok_response() }
 }
 
 /// All kinds of requests.
@@ -51,9 +51,9 @@
         repeatable(),
         Kind { path: "/once/x", ..repeatable() },
         Kind { path: "/open/x", ..repeatable() },
-        Kind { path: "/stream/x", usual: streams.clone(), ..repeatable() },
-        Kind { path: "/fixed/x", usual: streams.clone(), ..repeatable() },
-        Kind { path: "/models/x", service: "m", usual: streams },
+        Kind { path: "/stream/x", behaviour: streams.clone(), ..repeatable() },
+        Kind { path: "/fixed/x", behaviour: streams.clone(), ..repeatable() },
+        Kind { path: "/models/x", service: "m", behaviour: streams },
     ]
 }
 
@@ -61,7 +61,7 @@
 pub async fn start(world: &World, net: &Net, kind: &Kind, entries: u16) -> Vec<Entry> {
     world.configure(catalog(1));
     for n in 1..=SERVERS {
-        world.start_server(n, kind.service, "v1", kind.usual.clone());
+        world.start_server(n, kind.service, "v1", kind.behaviour.clone());
     }
     world.make_crashing(kind.service, CRASHING_BODY, CRASH_AFTER);
     let entries = net.start_many(world, entries, "");
--- a/crates/direct/tests/common/limits.rs
+++ b/crates/direct/tests/common/limits.rs
@@ -47,12 +47,12 @@
 pub async fn start(
     world: &World,
     net: &Net,
-    (servers, service, usual): (u16, &str, Behaviour),
+    (servers, service, behaviour): (u16, &str, Behaviour),
     entries: u16,
 ) -> Vec<Entry> {
     world.configure(catalog(1));
     for n in 1..=servers {
-        world.start_server(n, service, "v1", usual.clone());
+        world.start_server(n, service, "v1", behaviour.clone());
     }
     let entries = net.start_many(world, entries, "");
     sleep(Duration::from_secs(5)).await;
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -198,8 +198,8 @@
     }
 
     /// Starts a backend server and lists it.
-    pub fn start_server(&self, n: u16, service: &str, version: &str, usual: Behaviour) {
-        self.backends.start(address(n), &format!("s{n}"), usual);
+    pub fn start_server(&self, n: u16, service: &str, version: &str, behaviour: Behaviour) {
+        self.backends.start(address(n), &format!("s{n}"), behaviour);
         self.list_server(n, service, version, "ready");
     }
 
@@ -230,8 +230,8 @@
         let response = send_to(entry, request).await;
         let status = response.status();
         let headers = response.headers().clone();
-        let (body, whole) = read_body(response.into_body()).await;
-        TestResponse { status, headers, body, whole }
+        let (body, is_complete) = read_body(response.into_body()).await;
+        TestResponse { status, headers, body, is_complete }
     }
 
     /// Sends a request and returns the response head.
@@ -256,7 +256,7 @@
     pub headers: hyper::HeaderMap,
     pub body: String,
     /// Whether the body is complete.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 async fn read_body(mut body: Incoming) -> (String, bool) {
@@ -274,7 +274,7 @@
     }
 }
 
-/// A request with the usual headers.
+/// A request with the headers that most tests send.
 pub fn request(path: &str, id: &str) -> Request<Full<Bytes>> {
     Request::post(path)
         .header("host", "h.example")
--- a/crates/direct/tests/common/net.rs
+++ b/crates/direct/tests/common/net.rs
@@ -31,7 +31,7 @@
 }
 
 /// Full state with these keys, all changed at `revision`, as another entry sends it.
-pub fn whole_state(keys: &[(&str, &str)], revision: u64) -> StateMessage {
+pub fn full_state(keys: &[(&str, &str)], revision: u64) -> StateMessage {
     let entry = |(key, value): &(&str, &str)| StoreEntry {
         key: (*key).to_owned(),
         value: value.as_bytes().to_vec(),
--- a/crates/direct/tests/crashing_requests.rs
+++ b/crates/direct/tests/crashing_requests.rs
@@ -96,7 +96,7 @@
                     let entry = &entries[(n + attempts) % entries.len()];
                     let sent = with_body(request("/stream/x", &format!("i{n}-{attempts}")), &body);
                     let response = world.call_at(entry, sent).await;
-                    if response.status.as_u16() == 200 && response.whole {
+                    if response.status.as_u16() == 200 && response.is_complete {
                         return true;
                     }
                     attempts += 1;
@@ -144,7 +144,7 @@
         let net = Net::default();
         let long =
             Behaviour::Stream { last: 10, gap: RUN_TIME / 10, confidence: None, cut_in: None };
-        let kind = Kind { path: "/stream/x", service: "s", usual: long };
+        let kind = Kind { path: "/stream/x", service: "s", behaviour: long };
         let entries = start(&world, &net, &kind, entries).await;
         for round in 0..4 {
             let (world_clone, entries_clone, bodies_clone) =
--- a/crates/direct/tests/crashing_requests_many_entries.rs
+++ b/crates/direct/tests/crashing_requests_many_entries.rs
@@ -250,7 +250,7 @@
         let net = Net::default();
         let entries = start(&world, &net, &repeatable(), 3).await;
         for n in 31..=36 {
-            world.start_server(n, "s", "v2", repeatable().usual);
+            world.start_server(n, "s", "v2", repeatable().behaviour);
         }
         sleep(Duration::from_secs(1)).await;
         world.store.put("order/s", "v2 20");
@@ -276,7 +276,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let kind = Kind { path: "/stream/x", usual: stream(100, None), ..repeatable() };
+        let kind = Kind { path: "/stream/x", behaviour: stream(100, None), ..repeatable() };
         let entries = start(&world, &net, &kind, 2).await;
         for number in 0..60 {
             // Other callers are at all servers, each with a content of its own.
@@ -308,7 +308,7 @@
     run_test(|world| async move {
         let net = Net::default();
         let world = Rc::new(world);
-        let kind = Kind { path: "/stream/x", usual: stream(500, None), ..repeatable() };
+        let kind = Kind { path: "/stream/x", behaviour: stream(500, None), ..repeatable() };
         let entries = start(&world, &net, &kind, 20).await;
         for n in 0..2_000_usize {
             let (world, entry) = (Rc::clone(&world), entries[n % 20].clone());
@@ -389,7 +389,7 @@
                 sleep(QUICK_RETRY).await;
             }
             for n in 1..=30 {
-                world.start_server(n, "s", "v1", repeatable().usual);
+                world.start_server(n, "s", "v1", repeatable().behaviour);
             }
             sleep(Duration::from_secs(3)).await;
             assert_eq!(call(0).await, 200, "at {} entries", entries.len());
--- a/crates/direct/tests/draining_servers.rs
+++ b/crates/direct/tests/draining_servers.rs
@@ -28,10 +28,10 @@
 }
 
 /// Four equal servers of the service.
-fn start_four_servers(world: &World, service: &str, usual: &Behaviour) {
+fn start_four_servers(world: &World, service: &str, behaviour: &Behaviour) {
     world.configure(catalog(1));
     for n in 1..=4 {
-        world.start_server(n, service, "v1", usual.clone());
+        world.start_server(n, service, "v1", behaviour.clone());
     }
 }
 
@@ -76,11 +76,11 @@
 async fn check_draining_during<F: Future<Output = ()>>(
     world: World,
     path: &str,
-    usual: Behaviour,
+    behaviour: Behaviour,
     event: impl FnOnce(Rc<World>) -> F,
 ) {
     let world = Rc::new(world);
-    start_four_servers(&world, if path.starts_with("/models") { "m" } else { "s" }, &usual);
+    start_four_servers(&world, if path.starts_with("/models") { "m" } else { "s" }, &behaviour);
     world.start().await;
     let mut sent = Sent::default();
     sent.send(&world, path, Duration::from_secs(1)).await;
@@ -90,7 +90,8 @@
     event(Rc::clone(&world)).await;
     sent.send(&world, path, Duration::from_secs(12)).await;
     assert_eq!(sent.count_late(&world, 1, signalled_at), 0, "{path}");
-    let served = sent.responses.iter().filter(|response| response.status == 200 && response.whole);
+    let served =
+        sent.responses.iter().filter(|response| response.status == 200 && response.is_complete);
     assert_eq!(served.count(), sent.responses.len(), "the other servers serve all requests");
 }
 
@@ -165,16 +166,16 @@
 
 /// One request gets the signal in a response of the given kind; none of the following requests goes
 /// there.
-fn check_signal_in(path: &'static str, act: Behaviour) {
+fn check_signal_in(path: &'static str, behaviour: Behaviour) {
     run_test(move |world| async move {
-        start_four_servers(&world, "s", &act);
+        start_four_servers(&world, "s", &behaviour);
         (1..=4).for_each(|n| report_draining(&world, n));
         world.start().await;
         for n in 0..8 {
             world.call(request(path, &format!("r{n}"))).await;
         }
         for n in 1..=4 {
-            assert!(world.backends.requests(address(n)).len() <= 1, "{path} {act:?}");
+            assert!(world.backends.requests(address(n)).len() <= 1, "{path} {behaviour:?}");
         }
     });
 }
@@ -355,17 +356,17 @@
 
 #[test]
 fn response_is_passed_on_if_no_other_server_remains() {
-    for (path, service, act, status) in [
+    for (path, service, behaviour, status) in [
         ("/models/x", "m", stream(3, Some(5)), 200),
         ("/again/x", "s", Behaviour::Answer(500, "failed".into()), 500),
     ] {
         run_test(move |world| async move {
             world.configure(catalog(1));
-            world.start_server(1, service, "v1", act);
+            world.start_server(1, service, "v1", behaviour);
             report_draining(&world, 1);
             world.start().await;
             let response = world.call(request(path, "r1")).await;
-            assert_eq!((response.status.as_u16(), response.whole), (status, true), "{path}");
+            assert_eq!((response.status.as_u16(), response.is_complete), (status, true), "{path}");
         });
     }
 }
--- a/crates/direct/tests/initial_state.rs
+++ b/crates/direct/tests/initial_state.rs
@@ -6,7 +6,7 @@
 
 use common::{
     catalog,
-    net::{Impostor, Net, peer_address, whole_state},
+    net::{Impostor, Net, full_state, peer_address},
     run_test,
 };
 use tokio::{
@@ -24,7 +24,7 @@
             let mut question = [0; 4_096];
             while stream.read(&mut question).await.is_ok_and(|bytes| bytes > 0) {
                 requests.set(requests.get() + 1);
-                let state = whole_state(&[("catalog", "1")], 100);
+                let state = full_state(&[("catalog", "1")], 100);
                 let body = state.to_bytes().expect("it serializes");
                 let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
                 let _ = stream.write_all(head.as_bytes()).await;
--- a/crates/direct/tests/peer_messages.rs
+++ b/crates/direct/tests/peer_messages.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn whole_state() -> StateMessage {
+fn full_state() -> StateMessage {
     let mut replica = Replica::default();
     let entries: Vec<StoreEntry> = (0..300).map(|n| fetched(&format!("servers/{n}"), n)).collect();
     replica.reset(&entries, at(300));
@@ -135,7 +135,7 @@
                 false => removed(&key, revision),
             };
             source.apply_changes(std::slice::from_ref(&event), at(revision));
-            // The replica polls only now and then.
+            // The replica polls after every third change.
             if number % 3 == 0 {
                 let Some(changes) = source.changes_after(replica.position()) else { return false };
                 let events: Vec<StoreEvent> =
@@ -168,7 +168,7 @@
 
 #[test]
 fn state_message_round_trips() {
-    let state = whole_state();
+    let state = full_state();
     let bytes = state.to_bytes().expect("it serializes");
     assert!(bytes.len() < 8_000, "300 servers compress to {} bytes", bytes.len());
     let read = StateMessage::from_bytes(&bytes, STORE).expect("it decodes");
@@ -187,7 +187,7 @@
     };
     let bytes = foreign.to_bytes().expect("it serializes");
     assert_eq!(StateMessage::from_bytes(&bytes, STORE), Err(MessageError::OtherFormat(FORMAT + 1)));
-    let bytes = whole_state().to_bytes().expect("it serializes");
+    let bytes = full_state().to_bytes().expect("it serializes");
     let other: SocketAddr = "127.0.0.1:4".parse().expect("an address");
     assert_eq!(StateMessage::from_bytes(&bytes, other), Err(MessageError::OtherStore(STORE)));
 }
@@ -203,16 +203,16 @@
 
 #[test]
 fn truncated_or_altered_state_is_never_misread() {
-    let whole = whole_state();
-    let bytes = whole.to_bytes().expect("it serializes");
+    let state = full_state();
+    let bytes = state.to_bytes().expect("it serializes");
     let read =
         |bytes: &Bytes| StateMessage::from_bytes(bytes, STORE).and_then(|state| state.changes());
-    let expected = whole.changes().expect("it decompresses");
+    let expected = state.changes().expect("it decompresses");
     for length in 0..bytes.len() {
         let cut = bytes.slice(..length);
         assert!(read(&cut).map_or(true, |changes| changes.is_empty()), "cut at {length}");
     }
-    let body_from = bytes.len() - whole.body.len() - 1;
+    let body_from = bytes.len() - state.body.len() - 1;
     for index in body_from..bytes.len() {
         let mut altered = bytes.to_vec();
         altered[index] ^= 0x10;
--- a/crates/direct/tests/propagation_time.rs
+++ b/crates/direct/tests/propagation_time.rs
@@ -67,9 +67,9 @@
     let recorded = Rc::clone(&seen);
     run_test(move |world| async move {
         let net = Net::default();
-        let usual = Behaviour::Answer(200, "made".into());
+        let behaviour = Behaviour::Answer(200, "made".into());
         let began = Instant::now();
-        let entries = limits::start(&world, &net, (2, "s", usual), count).await;
+        let entries = limits::start(&world, &net, (2, "s", behaviour), count).await;
         world.list_server_in("dc2", 3, "s", "v1", "ready");
         sleep(Duration::from_secs(3) + moment).await;
         let made_at = began.elapsed();
--- a/crates/direct/tests/request_forwarding.rs
+++ b/crates/direct/tests/request_forwarding.rs
@@ -11,9 +11,9 @@
 use pondwalk_standin::backends::Behaviour;
 use tokio::time::sleep;
 
-async fn start_one_server(world: &World, usual: Behaviour) {
+async fn start_one_server(world: &World, behaviour: Behaviour) {
     world.configure(catalog(1));
-    world.start_server(1, "s", "v1", usual);
+    world.start_server(1, "s", "v1", behaviour);
     world.start().await;
 }
 
@@ -94,7 +94,7 @@
         start_one_server(&world, stream(5, None)).await;
         let response = world.call(request("/stream/", "r1")).await;
         assert_eq!(response.body, events(1..=5));
-        assert!(response.whole);
+        assert!(response.is_complete);
     });
 }
 
--- a/crates/direct/tests/server_backoff.rs
+++ b/crates/direct/tests/server_backoff.rs
@@ -30,10 +30,10 @@
     Behaviour::Answer(200, "made".into())
 }
 
-fn servers(world: &World, count: u16, service: &str, usual: &Behaviour) {
+fn start_servers(world: &World, count: u16, service: &str, behaviour: &Behaviour) {
     world.configure(catalog(1));
     for n in 1..=count {
-        world.start_server(n, service, "v1", usual.clone());
+        world.start_server(n, service, "v1", behaviour.clone());
     }
 }
 
@@ -43,8 +43,8 @@
     world.backends.set_header(address(n), "retry-after", seconds);
 }
 
-fn serve_again(world: &World, n: u16, usual: Behaviour) {
-    world.backends.start(address(n), &format!("s{n}"), usual);
+fn serve_again(world: &World, n: u16, behaviour: Behaviour) {
+    world.backends.start(address(n), &format!("s{n}"), behaviour);
 }
 
 /// Sends a request every `gap` for some time, without waiting for responses.
@@ -82,7 +82,7 @@
 async fn check_all_back_off(world: World, path: &'static str, seconds: f64) {
     let world = Rc::new(world);
     let service = if path.starts_with("/models") { "m" } else { "s" };
-    servers(&world, 4, service, &ok_response());
+    start_servers(&world, 4, service, &ok_response());
     (1..=4).for_each(|n| reject_with_backoff(&world, n, &seconds.to_string()));
     world.start().await;
     let gap = Duration::from_millis(40);
@@ -115,7 +115,7 @@
 fn server_in_backoff_gets_at_most_one_of_thirty_requests() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        servers(&world, 1, "s", &ok_response());
+        start_servers(&world, 1, "s", &ok_response());
         reject_with_backoff(&world, 1, "6");
         world.start().await;
         world.call(request("/again/x", "first")).await;
@@ -145,7 +145,7 @@
     event: impl FnOnce(Rc<World>) -> F,
 ) {
     let world = Rc::new(world);
-    servers(&world, 1, "s", &ok_response());
+    start_servers(&world, 1, "s", &ok_response());
     reject_with_backoff(&world, 1, "6");
     world.start().await;
     world.call(request("/again/x", "first")).await;
@@ -176,7 +176,7 @@
 fn in_flight_response_does_not_end_a_backoff() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        servers(&world, 1, "s", &ok_response());
+        start_servers(&world, 1, "s", &ok_response());
         let long = Behaviour::Stream {
             last: 10,
             gap: Duration::from_millis(100),
@@ -206,7 +206,7 @@
 fn refusal_reports_when_a_backoff_ends() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        servers(&world, 2, "s", &ok_response());
+        start_servers(&world, 2, "s", &ok_response());
         reject_with_backoff(&world, 1, "4");
         reject_with_backoff(&world, 2, "9");
         world.start().await;
@@ -233,7 +233,7 @@
 fn callers_are_spread_after_a_backoff() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        servers(&world, 1, "s", &ok_response());
+        start_servers(&world, 1, "s", &ok_response());
         reject_with_backoff(&world, 1, "2");
         world.start().await;
         world.call(request("/again/x", "first")).await;
@@ -301,7 +301,7 @@
 fn excessive_backoff_is_bounded() {
     for value in ["1e300", "inf", "31536000"] {
         run_test(move |world| async move {
-            servers(&world, 1, "s", &ok_response());
+            start_servers(&world, 1, "s", &ok_response());
             reject_with_backoff(&world, 1, value);
             world.start().await;
             world.call(request("/again/x", "first")).await;
@@ -317,12 +317,13 @@
     }
 }
 
-/// A roll-out within 30 s to a version whose servers do `act` and ask for backoffs of two seconds.
-async fn roll_out_to(world: World, act: Behaviour) -> String {
+/// Rolls out, within 30 s, a version whose servers have this `behaviour` and ask for backoffs of two
+/// seconds.
+async fn roll_out_to(world: World, behaviour: Behaviour) -> String {
     let world = Rc::new(world);
-    servers(&world, 3, "s", &ok_response());
+    start_servers(&world, 3, "s", &ok_response());
     for n in 11..=12 {
-        world.start_server(n, "s", "v2", act.clone());
+        world.start_server(n, "s", "v2", behaviour.clone());
         world.backends.set_header(address(n), "retry-after", "2");
     }
     world.start().await;
@@ -335,7 +336,7 @@
         sleep(Duration::from_millis(40)).await;
     }
     let lines = world.entry.buffered_log_lines();
-    assert_eq!(lines.contains("version_turns_away"), matches!(act, Behaviour::NotRun(_)));
+    assert_eq!(lines.contains("version_turns_away"), matches!(behaviour, Behaviour::NotRun(_)));
     world.store.value("progress/s").expect("the progress is reported")
 }
 
@@ -354,9 +355,9 @@
 }
 
 /// Requests at the only server within the backoff that it asked for in such a response.
-async fn count_in_backoff(world: World, path: &'static str, act: Behaviour) -> usize {
+async fn count_in_backoff(world: World, path: &'static str, behaviour: Behaviour) -> usize {
     let world = Rc::new(world);
-    servers(&world, 1, "s", &act);
+    start_servers(&world, 1, "s", &behaviour);
     world.backends.set_header(address(1), "retry-after", "6");
     world.start().await;
     world.call(request(path, "first")).await;
@@ -369,7 +370,7 @@
 #[test]
 fn backoff_applies_in_every_kind_of_response() {
     let busy = || Behaviour::Answer(503, "busy".into());
-    for (path, act) in [
+    for (path, behaviour) in [
         ("/once/x", Behaviour::NotRun(429)),
         ("/once/x", busy()),
         ("/again/x", busy()),
@@ -377,7 +378,11 @@
         ("/fixed/x", busy()),
     ] {
         run_test(move |world| async move {
-            assert_eq!(count_in_backoff(world, path, act.clone()).await, 0, "{path} {act:?}");
+            assert_eq!(
+                count_in_backoff(world, path, behaviour.clone()).await,
+                0,
+                "{path} {behaviour:?}"
+            );
         });
     }
 }
@@ -386,8 +391,8 @@
 fn caller_rate_limit_is_not_a_backoff_signal() {
     for status in [200, 404, 429] {
         run_test(move |world| async move {
-            let act = Behaviour::Answer(status, "for the caller".into());
-            assert_eq!(count_in_backoff(world, "/once/x", act).await, 125, "{status}");
+            let behaviour = Behaviour::Answer(status, "for the caller".into());
+            assert_eq!(count_in_backoff(world, "/once/x", behaviour).await, 125, "{status}");
         });
     }
 }
@@ -396,7 +401,7 @@
 fn rejected_request_is_not_blamed_for_a_crash() {
     run_test(|world| async move {
         let world = Rc::new(world);
-        servers(&world, 1, "s", &ok_response());
+        start_servers(&world, 1, "s", &ok_response());
         reject_with_backoff(&world, 1, "0.3");
         world.start().await;
         for n in 0..6 {
--- a/crates/direct/tests/server_rate_limits.rs
+++ b/crates/direct/tests/server_rate_limits.rs
@@ -34,19 +34,19 @@
 /// Four servers and four entries; the first server reports a limit.
 async fn start_one_limited(
     world: World,
-    (service, usual): (&str, Behaviour),
+    (service, behaviour): (&str, Behaviour),
     limit: &str,
 ) -> (Rc<World>, Net, Vec<Entry>) {
     let net = Net::default();
-    let entries = start(&world, &net, (4, service, usual), ENTRIES).await;
+    let entries = start(&world, &net, (4, service, behaviour), ENTRIES).await;
     report_limit(&world, 1, limit);
     (Rc::new(world), net, entries)
 }
 
 /// One of four servers reports a limit of 1.7 requests a second under a load of one kind.
-fn check_limit_is_kept(path: &'static str, service: &'static str, usual: Behaviour) {
+fn check_limit_is_kept(path: &'static str, service: &'static str, behaviour: Behaviour) {
     run_test(|world| async move {
-        let (world, _net, entries) = start_one_limited(world, (service, usual), "1.7").await;
+        let (world, _net, entries) = start_one_limited(world, (service, behaviour), "1.7").await;
         let reported_at = Instant::now();
         let pending = load_evenly(&world, &entries, load(path, 15)).await;
         let responses = responses(pending).await;
@@ -187,7 +187,7 @@
         let lifted = Instant::now();
         responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
         let count = count_from(&world, 1, lifted);
-        assert!((60..=140).contains(&count), "{count}, where a quarter of 400 is usual");
+        assert!((60..=140).contains(&count), "{count}, where a quarter of 400 is expected");
     });
 }
 
@@ -315,7 +315,7 @@
 
 #[test]
 fn foreign_response_does_not_lift_a_limit() {
-    for act in [
+    for behaviour in [
         Behaviour::Unsigned,
         Behaviour::WrongRequestId,
         Behaviour::NotRun(503),
@@ -326,7 +326,7 @@
             responses(load_evenly(&world, &entries, load("/again/x", 5)).await).await;
             let reported_at = Instant::now();
             world.backends.remove_header(address(1), "server-limit");
-            world.backends.set_behaviour(address(1), act.clone());
+            world.backends.set_behaviour(address(1), behaviour.clone());
             responses(load_evenly(&world, &entries, load("/again/x", 10)).await).await;
             check_limit(&world, 1, 1.0, reported_at);
         });
--- a/crates/direct/tests/server_rate_limits_many_entries.rs
+++ b/crates/direct/tests/server_rate_limits_many_entries.rs
@@ -202,8 +202,8 @@
         let world = Rc::new(world);
         let reported_at = Instant::now();
         let others = load_at(&world, &entries, load(30), |number| {
-            let place = number % 5;
-            if place >= granter { place + 1 } else { place }
+            let index = number % 5;
+            if index >= granter { index + 1 } else { index }
         });
         responses(others.await).await;
         check_limit(&world, 1, 1.7, reported_at);
--- a/crates/direct/tests/slow_callers.rs
+++ b/crates/direct/tests/slow_callers.rs
@@ -32,7 +32,7 @@
         .send_request(request(path, id) as hyper::Request<Full<Bytes>>)
         .await
         .expect("a response");
-    // The connection stays open as long as the sender is alive.
+    // The connection stays open until the sender is dropped.
     spawn_local(async move {
         let _sender = sender;
         sleep(Duration::from_secs(3_600)).await;
@@ -57,14 +57,14 @@
         world.start().await;
         let response = open(&world, "/fixed/", "r1", 512).await;
         sleep(Duration::from_secs(60)).await;
-        let whole: usize = common::events(1..=600).len();
+        let length: usize = common::events(1..=600).len();
         assert_eq!(
             world.backends.streamed_bytes(address(1)),
-            whole,
+            length,
             "the server still holds some of it"
         );
         let read = response.into_body().collect().await.expect("a complete response");
-        assert_eq!(read.to_bytes().len(), whole);
+        assert_eq!(read.to_bytes().len(), length);
     });
 }
 
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -10,7 +10,7 @@
 
 use common::{
     World, catalog, catalog_with_keys,
-    net::{Impostor, Net, peer_address, whole_state},
+    net::{Impostor, Net, full_state, peer_address},
     request, run_test, with,
 };
 use pondwalk_direct::Entry;
@@ -192,7 +192,7 @@
 
 /// Sends an initial state to each client, in parts over 1.2 s.
 fn sending_slowly(keys: &[(&str, &str)]) -> Impostor {
-    let state = whole_state(keys, 9);
+    let state = full_state(keys, 9);
     let body = state.to_bytes().expect("it serializes");
     Rc::new(move |mut stream| {
         let body = body.clone();
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -7,7 +7,7 @@
 
 use common::{
     World, address, catalog, catalog_warming, catalog_with_keys,
-    net::{Impostor, Net, peer_address, whole_state},
+    net::{Impostor, Net, full_state, peer_address},
     request, run_test, total, with,
 };
 use pondwalk_decide::direct::WarmUp;
@@ -506,8 +506,8 @@
         let net = Net::default();
         set_up(&world, 3);
         let server = format!("s {} dc1 v1 ready", address(1));
-        let current = whole_state(&[("catalog", "1"), ("server/s1", &server)], 100);
-        let older = whole_state(&[], 40);
+        let current = full_state(&[("catalog", "1"), ("server/s1", &server)], 100);
+        let older = full_state(&[], 40);
         net.impostors.borrow_mut().insert(peer_address(0), sending(vec![current, older]));
         world.store.set_fault_mode(FaultMode::Refused);
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
--- a/crates/direct/tests/store_outage_recovery.rs
+++ b/crates/direct/tests/store_outage_recovery.rs
@@ -84,8 +84,8 @@
 fn recovery_after(count: u16, outage: Duration, is_restored: bool) {
     run_test(move |world| async move {
         let net = Net::default();
-        let usual = Behaviour::Answer(200, "made".into());
-        let entries = limits::start(&world, &net, (2, "s", usual), count).await;
+        let behaviour = Behaviour::Answer(200, "made".into());
+        let entries = limits::start(&world, &net, (2, "s", behaviour), count).await;
         assert_eq!(ready(&entries), entries.len());
         let copy = is_restored.then(|| world.store.snapshot());
         for n in 0..10 {
--- a/crates/direct/tests/store_restoration.rs
+++ b/crates/direct/tests/store_restoration.rs
@@ -545,9 +545,9 @@
     });
 }
 
-/// Checks that a bad version is left, and that this is reported to the operator, whatever is lost
+/// Checks that a bad version is reverted, and that this is reported to the operator, whatever is lost
 /// during its trial.
-fn check_bad_version_is_left(count: u16, times: usize) {
+fn check_bad_version_is_reverted(count: u16, times: usize) {
     run_test(move |world| async move {
         let net = Net::default();
         let entries = start(&world, &net, count).await;
@@ -578,8 +578,8 @@
 #[test]
 fn bad_version_is_left_after_one_and_two_restorations() {
     for count in [4, 24] {
-        check_bad_version_is_left(count, 1);
-        check_bad_version_is_left(count, 2);
+        check_bad_version_is_reverted(count, 1);
+        check_bad_version_is_reverted(count, 2);
     }
 }
 
--- a/crates/replay/tests/trace_validation.rs
+++ b/crates/replay/tests/trace_validation.rs
@@ -29,7 +29,7 @@
     let cases = [
         (("\"task\":\"t\",", ""), "task", TraceProblem::Missing),
         (("\"at_ms\":6", "\"at_ms\":4"), "at_ms", TraceProblem::DecreasingTime),
-        (("\"at_ms\":6", "\"at_ms\":-6"), "at_ms", whole()),
+        (("\"at_ms\":6", "\"at_ms\":-6"), "at_ms", non_negative()),
         (("\"deadline_ms\":10", "\"deadline_ms\":0"), "deadline_ms", positive()),
         (("0.5", "1.5"), "outcomes.m/1.quality", TraceProblem::Invalid("a number from 0 to 1")),
         (("\"failed\":false", "\"failed\":0"), "outcomes.m/1.failed", flag()),
@@ -54,7 +54,7 @@
     assert_eq!((fault.0, fault.1.as_str()), (2, "outcomes.s"));
 }
 
-fn whole() -> TraceProblem {
+fn non_negative() -> TraceProblem {
     TraceProblem::Invalid("a whole number of zero or more")
 }
 
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -168,8 +168,8 @@
     let is_own = answer.headers().get(&dialect.request_id).is_some_and(|value| value == id);
     match read_body(answer).await {
         Some(body) => {
-            let is_whole = status != 200 || is_own && body == expected_body(route, id);
-            (Outcome::Answered { status, is_whole }, !closes_connection)
+            let is_complete = status != 200 || is_own && body == expected_body(route, id);
+            (Outcome::Answered { status, is_complete }, !closes_connection)
         }
         None => (Outcome::Cut, false),
     }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -145,7 +145,8 @@
     let success =
         |exchange: &&Exchange| matches!(exchange.outcome, Outcome::Answered { status: 200, .. });
     finding("answers are whole and own", records.exchanges.iter().filter(success), |exchange| {
-        let is_incomplete = matches!(exchange.outcome, Outcome::Answered { is_whole: false, .. });
+        let is_incomplete =
+            matches!(exchange.outcome, Outcome::Answered { is_complete: false, .. });
         is_incomplete
             .then(|| format!("{} got the answer of another request or a partial one", exchange.id))
     })
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -42,7 +42,7 @@
         /// HTTP status.
         status: u16,
         /// Whether the response is complete and belongs to this request; only checked for status 200.
-        is_whole: bool,
+        is_complete: bool,
     },
     /// The connection closed before the end of the response.
     Cut,
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -27,7 +27,7 @@
 }
 
 fn answered(status: u16) -> Outcome {
-    Outcome::Answered { status, is_whole: true }
+    Outcome::Answered { status, is_complete: true }
 }
 
 fn run(id: &str, at_s: f64) -> RunRecord {
@@ -78,7 +78,7 @@
 #[test]
 fn detects_answer_of_another_request() {
     assert_detects(checks::check_answers, |records| {
-        let outcome = Outcome::Answered { status: 200, is_whole: false };
+        let outcome = Outcome::Answered { status: 200, is_complete: false };
         records.exchanges.push(exchange("other", 9.0, outcome));
     });
 }
