--- a/crates/agent/src/outbox.rs
+++ b/crates/agent/src/outbox.rs
@@ -73,14 +73,14 @@
 
 impl<'a> PendingFetch<'a> {
     fn new(outboxes: &'a Outboxes, entry: Incarnation) -> Self {
-        lock(&outboxes.boxes).entry(entry).or_default().pending_fetches += 1;
+        lock(&outboxes.by_entry).entry(entry).or_default().pending_fetches += 1;
         PendingFetch { outboxes, entry }
     }
 }
 
 impl Drop for PendingFetch<'_> {
     fn drop(&mut self) {
-        if let Some(outbox) = lock(&self.outboxes.boxes).get_mut(&self.entry) {
+        if let Some(outbox) = lock(&self.outboxes.by_entry).get_mut(&self.entry) {
             outbox.pending_fetches = outbox.pending_fetches.saturating_sub(1);
             outbox.last_fetch = Instant::now();
         }
@@ -90,7 +90,7 @@
 /// Outboxes by entry.
 #[derive(Debug, Default)]
 pub struct Outboxes {
-    boxes: Mutex<HashMap<Incarnation, Outbox>>,
+    by_entry: Mutex<HashMap<Incarnation, Outbox>>,
     /// Last sequence number of all outboxes; shared, so that numbers are not reused when the
     /// outbox of an entry is dropped and recreated.
     sequence: AtomicU64,
@@ -99,8 +99,8 @@
 impl Outboxes {
     /// Adds a frame for the entry that started the run.
     pub fn push(&self, run: RunKey, kind: FrameKind) {
-        let mut boxes = lock(&self.boxes);
-        let outbox = boxes.entry(run.entry).or_default();
+        let mut by_entry = lock(&self.by_entry);
+        let outbox = by_entry.entry(run.entry).or_default();
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         if outbox.is_urgent(run.attempt, &kind) {
             outbox.urgent.notify_one();
@@ -127,15 +127,15 @@
 
     /// Completes all pending fetches, so that entries receive a new state of the agent.
     pub fn wake_all(&self) {
-        for outbox in lock(&self.boxes).values() {
+        for outbox in lock(&self.by_entry).values() {
             outbox.added.notify_one();
             outbox.urgent.notify_one();
         }
     }
 
     fn fetch_now(&self, request: FetchFrames) -> (Vec<Frame>, Arc<Notify>, Arc<Notify>) {
-        let mut boxes = lock(&self.boxes);
-        let outbox = boxes.entry(request.entry).or_default();
+        let mut by_entry = lock(&self.by_entry);
+        let outbox = by_entry.entry(request.entry).or_default();
         outbox.last_fetch = Instant::now();
         while outbox.frames.front().is_some_and(|f| f.sequence <= request.acknowledged) {
             outbox.frames.pop_front();
@@ -146,20 +146,20 @@
 
     /// Whether all outboxes are empty.
     pub fn is_empty(&self) -> bool {
-        lock(&self.boxes).values().all(|outbox| outbox.frames.is_empty())
+        lock(&self.by_entry).values().all(|outbox| outbox.frames.is_empty())
     }
 
     /// Drops the outboxes of entries without a fetch for `retain` and returns these entries.
     pub fn drop_inactive(&self, retain: Duration) -> Vec<Incarnation> {
-        let mut boxes = lock(&self.boxes);
+        let mut by_entry = lock(&self.by_entry);
         let is_inactive =
             |outbox: &Outbox| outbox.pending_fetches == 0 && outbox.last_fetch.elapsed() > retain;
-        let expired: Vec<_> = boxes
+        let expired: Vec<_> = by_entry
             .iter()
             .filter(|(_, outbox)| is_inactive(outbox))
             .map(|(entry, _)| *entry)
             .collect();
-        boxes.retain(|entry, _| !expired.contains(entry));
+        by_entry.retain(|entry, _| !expired.contains(entry));
         expired
     }
 }
--- a/crates/decide/tests/permits.rs
+++ b/crates/decide/tests/permits.rs
@@ -135,7 +135,7 @@
 
 #[test]
 fn no_sequence_of_requests_exceeds_the_bound() {
-    fn holds(milli_per_s: u16, gaps_ms: Vec<u8>) -> bool {
+    fn property(milli_per_s: u16, gaps_ms: Vec<u8>) -> bool {
         let limit = limit(&format!("{:.3}", f64::from(milli_per_s) / 1_000.0));
         let mut buckets = PermitBuckets::default();
         let mut now = Duration::ZERO;
@@ -149,5 +149,5 @@
         max_used(&grants) <= max_allowed(limit)
     }
     let generator = Gen::from_size_and_seed(100, 43);
-    QuickCheck::new().rng(generator).quickcheck(holds as fn(u16, Vec<u8>) -> bool);
+    QuickCheck::new().rng(generator).quickcheck(property as fn(u16, Vec<u8>) -> bool);
 }
--- a/crates/decide/tests/rate_limit_state.rs
+++ b/crates/decide/tests/rate_limit_state.rs
@@ -113,22 +113,22 @@
 
 #[test]
 fn only_decimal_numbers_are_accepted() {
-    fn holds(text: String) -> bool {
+    fn property(text: String) -> bool {
         let is_plain =
             text.trim().chars().all(|character| character.is_ascii_digit() || character == '.');
         RateLimit::try_from(text.as_str()).is_err() || is_plain
     }
-    seeded().quickcheck(holds as fn(String) -> bool);
+    seeded().quickcheck(property as fn(String) -> bool);
 }
 
 #[test]
 fn a_limit_is_parsed_to_a_thousandth() {
-    fn holds(milli_per_s: u32) -> bool {
+    fn property(milli_per_s: u32) -> bool {
         let text = format!("{}.{:03}", milli_per_s / 1_000, milli_per_s % 1_000);
         let parsed = (limit(&text).per_s() * 1_000.0).round() as u32;
         // NB: never more than was reported, and at most a thousandth less.
         parsed <= milli_per_s && milli_per_s - parsed <= 1
     }
-    seeded().quickcheck(holds as fn(u32) -> bool);
-    assert!([1_001, 4_294_967_295].into_iter().all(holds));
+    seeded().quickcheck(property as fn(u32) -> bool);
+    assert!([1_001, 4_294_967_295].into_iter().all(property));
 }
--- a/crates/demo/src/promises.rs
+++ b/crates/demo/src/promises.rs
@@ -98,20 +98,21 @@
         let answered: BTreeSet<&String> =
             answered.map(|exchange| &exchange.request.request).collect();
         let billed: BTreeSet<&String> = self.ledger.bills.keys().collect();
-        let wrong = answered.symmetric_difference(&billed).map(|id| (*id).clone()).collect();
-        promise("each request is billed exactly once", answered.len(), wrong)
+        let wrongly_billed =
+            answered.symmetric_difference(&billed).map(|id| (*id).clone()).collect();
+        promise("each request is billed exactly once", answered.len(), wrongly_billed)
     }
 
     fn own_answers(&self) -> Promise {
         let chats =
             || self.exchanges.iter().filter(|a| a.reply.complete && a.request.service.is_none());
-        let mixed_up = chats().filter(|exchange| {
+        let wrongly_answered = chats().filter(|exchange| {
             // The prompt starts with a unique marker, which the engine returns.
             let marker = exchange.request.prompt.split_whitespace().next().unwrap_or_default();
             !exchange.reply.text.contains(marker)
         });
         let name = "each caller gets the whole answer to its own request";
-        promise(name, chats().count(), ids(mixed_up))
+        promise(name, chats().count(), ids(wrongly_answered))
     }
 
     fn refusals(&self) -> Promise {
@@ -130,9 +131,9 @@
                 *by_key.entry(key).or_default() += ran;
             }
         }
-        let twice = by_key.iter().filter(|(_, ran)| **ran > 1).map(|(key, _)| (*key).to_owned());
+        let repeated = by_key.iter().filter(|(_, ran)| **ran > 1).map(|(key, _)| (*key).to_owned());
         let name = "a request that may not be repeated runs at most once";
-        promise(name, by_key.len(), twice.collect())
+        promise(name, by_key.len(), repeated.collect())
     }
 
     fn draining(&self) -> Promise {
--- a/crates/direct/tests/cold_servers_and_evacuations.rs
+++ b/crates/direct/tests/cold_servers_and_evacuations.rs
@@ -45,7 +45,7 @@
 }
 
 /// Requests that were read by these servers.
-fn seen(world: &World, servers: std::ops::RangeInclusive<u16>) -> Vec<usize> {
+fn request_counts(world: &World, servers: std::ops::RangeInclusive<u16>) -> Vec<usize> {
     servers.map(|n| world.backends.requests(address(n)).len()).collect()
 }
 
@@ -61,17 +61,17 @@
         set_up(&world);
         world.start().await;
         assert_eq!(call(&world, "r0").await.status.as_u16(), 200);
-        assert_eq!(seen(&world, 1..=2), [1, 0], "the local server is used");
+        assert_eq!(request_counts(&world, 1..=2), [1, 0], "the local server is used");
         world.store.put("evacuate/dc1", "{}");
         sleep(Duration::from_millis(900)).await;
         for n in 0..20 {
             assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
-        assert_eq!(seen(&world, 1..=2), [1, 20]);
+        assert_eq!(request_counts(&world, 1..=2), [1, 20]);
         world.store.remove("evacuate/dc1");
         sleep(Duration::from_millis(5_000)).await;
         call(&world, "back").await;
-        assert_eq!(seen(&world, 1..=2), [2, 20]);
+        assert_eq!(request_counts(&world, 1..=2), [2, 20]);
     });
 }
 
@@ -88,7 +88,7 @@
         assert_eq!(response.status.as_u16(), 503);
         assert!(response.headers.contains_key("retry-after"));
         assert!(before.elapsed() < Duration::from_millis(50));
-        assert_eq!(seen(&world, 1..=2), [0, 0]);
+        assert_eq!(request_counts(&world, 1..=2), [0, 0]);
     });
 }
 
@@ -101,7 +101,7 @@
         for n in 0..5 {
             assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
-        assert_eq!(seen(&world, 1..=2), [0, 5]);
+        assert_eq!(request_counts(&world, 1..=2), [0, 5]);
     });
 }
 
@@ -119,7 +119,7 @@
         world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(2)).await;
         call(&world, "back").await;
-        assert_eq!(seen(&world, 1..=2), [0, 2]);
+        assert_eq!(request_counts(&world, 1..=2), [0, 2]);
         // Revoked while the store is unreachable; the next full read shows it.
         world.store.set_fault_mode(FaultMode::Refused);
         world.store.remove("evacuate/dc1");
@@ -128,7 +128,7 @@
         world.store.set_fault_mode(FaultMode::Normal);
         sleep(Duration::from_secs(6)).await;
         call(&world, "near").await;
-        assert_eq!(seen(&world, 1..=2), [1, 2]);
+        assert_eq!(request_counts(&world, 1..=2), [1, 2]);
     });
 }
 
@@ -154,11 +154,11 @@
         for n in 0..5 {
             assert_eq!(call(&world, &format!("r{n}")).await.status.as_u16(), 200);
         }
-        assert_eq!(seen(&world, 1..=2), [0, 5]);
+        assert_eq!(request_counts(&world, 1..=2), [0, 5]);
         list(&world, 1, "dc1", 0, 1);
         sleep(Duration::from_millis(900)).await;
         call(&world, "again").await;
-        assert_eq!(seen(&world, 1..=2), [1, 5]);
+        assert_eq!(request_counts(&world, 1..=2), [1, 5]);
     });
 }
 
@@ -174,11 +174,11 @@
         assert_eq!(call(&world, "r0").await.status.as_u16(), 200);
         world.backends.start(address(1), "s1", ok_response());
         call(&world, "r1").await;
-        assert_eq!(seen(&world, 1..=2), [0, 2], "it is draining");
+        assert_eq!(request_counts(&world, 1..=2), [0, 2], "it is draining");
         list(&world, 1, "dc1", 0, 2);
         sleep(Duration::from_millis(900)).await;
         call(&world, "r2").await;
-        assert_eq!(seen(&world, 1..=2), [1, 2]);
+        assert_eq!(request_counts(&world, 1..=2), [1, 2]);
     });
 }
 
@@ -232,7 +232,7 @@
             spawn_local(async move { load(&world, 115, Duration::from_secs(6)).await })
         };
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(seen(&world, 1..=3), [0, 0, 0]);
+        assert_eq!(request_counts(&world, 1..=3), [0, 0, 0]);
         world.store.remove("evacuate/dc1");
         (1..=3).for_each(|n| list(&world, n, "dc1", 3_000, 1));
         let mut arrivals: [Vec<Duration>; 3] = Default::default();
@@ -259,7 +259,7 @@
         assert!(outcomes.iter().all(|(_, elapsed, _)| *elapsed < Duration::from_millis(500)));
         // A second after they are warm, they have their full share again.
         let share = |n: u16| world.backends.requests(address(n)).len();
-        assert!((1..=3).all(|n| share(n) > 40), "{:?}", seen(&world, 1..=6));
+        assert!((1..=3).all(|n| share(n) > 40), "{:?}", request_counts(&world, 1..=6));
     });
 }
 
@@ -307,7 +307,7 @@
         world.backends.start(address(1), "s1", ok_response());
         let outcomes = load(&world, 100, Duration::from_secs(2)).await;
         assert!(outcomes.borrow().iter().all(|(status, ..)| *status == 200));
-        let got = seen(&world, 1..=1)[0];
+        let got = request_counts(&world, 1..=1)[0];
         assert!(got <= MAX_PER_SECOND * 2, "{got} requests in two seconds");
         assert!(world.entry.metrics_text().contains("pondwalk_servers_cold 1"));
     });
@@ -337,6 +337,6 @@
         let before = world.backends.requests(address(1)).len();
         let response = call("second").await;
         assert_eq!((response.status.as_u16(), response.is_complete), (200, true));
-        assert_eq!(seen(&world, 1..=2), [before + 1, 0]);
+        assert_eq!(request_counts(&world, 1..=2), [before + 1, 0]);
     });
 }
--- a/crates/direct/tests/peer_messages.rs
+++ b/crates/direct/tests/peer_messages.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn replica_with_all_differences_equals_its_source() {
-    fn holds(steps: Vec<(u8, bool)>) -> bool {
+    fn property(steps: Vec<(u8, bool)>) -> bool {
         let (mut source, mut replica) = (Replica::default(), Replica::default());
         let mut expected_keys = std::collections::BTreeMap::new();
         for (number, (key, is_written)) in steps.iter().enumerate() {
@@ -163,7 +163,7 @@
         true
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(60, 5)).tests(200);
-    checks.quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
+    checks.quickcheck(property as fn(Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
@@ -239,7 +239,7 @@
 fn remote_times_are_never_mapped_too_late() {
     /// Delays of a request, of holding it, and of reading its response, in milliseconds.
     type Exchange = (u8, u16, u8, u16);
-    fn holds(offset_ms: u16, exchanges: Vec<Exchange>) -> bool {
+    fn property(offset_ms: u16, exchanges: Vec<Exchange>) -> bool {
         let ms = |ms: u64| Duration::from_millis(ms);
         let offset = u64::from(offset_ms);
         let mut clock = ClockOffset::default();
@@ -260,7 +260,7 @@
         true
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(60, 6)).tests(300);
-    checks.quickcheck(holds as fn(u16, Vec<Exchange>) -> bool);
+    checks.quickcheck(property as fn(u16, Vec<Exchange>) -> bool);
 }
 
 #[test]
--- a/crates/direct/tests/server_backoff.rs
+++ b/crates/direct/tests/server_backoff.rs
@@ -73,7 +73,7 @@
     responses
 }
 
-fn seen(world: &World, n: u16) -> usize {
+fn request_count(world: &World, n: u16) -> usize {
     world.backends.requests(address(n)).len()
 }
 
@@ -87,12 +87,12 @@
     world.start().await;
     let gap = Duration::from_millis(40);
     let first = send_for(&world, path, gap, IN_TRANSIT).await;
-    let before: Vec<usize> = (1..=4).map(|n| seen(&world, n)).collect();
+    let before: Vec<usize> = (1..=4).map(|n| request_count(&world, n)).collect();
     assert!(before.iter().all(|count| *count > 0), "each has sent its signal");
     let rest = Duration::from_secs_f64(seconds) - IN_TRANSIT - Duration::from_millis(100);
     let pending = send_for(&world, path, gap, rest).await;
     for n in 1..=4 {
-        let reached = seen(&world, n) - before[usize::from(n) - 1];
+        let reached = request_count(&world, n) - before[usize::from(n) - 1];
         assert!(reached <= MAX_REQUESTS, "{reached} requests on {path} in {seconds} s");
     }
     for response in responses(first).await.into_iter().chain(responses(pending).await) {
@@ -135,7 +135,7 @@
         for caller in callers {
             caller.await.expect("it ends");
         }
-        assert!(seen(&world, 1) <= 1 + MAX_REQUESTS, "{}", seen(&world, 1));
+        assert!(request_count(&world, 1) <= 1 + MAX_REQUESTS, "{}", request_count(&world, 1));
     });
 }
 
@@ -152,7 +152,7 @@
     event(Rc::clone(&world)).await;
     let pending = send_for(&world, "/again/x", Duration::from_millis(40), Duration::from_secs(5));
     let pending = pending.await;
-    assert!(seen(&world, 1) <= 1 + MAX_REQUESTS, "{}", seen(&world, 1));
+    assert!(request_count(&world, 1) <= 1 + MAX_REQUESTS, "{}", request_count(&world, 1));
     assert!(responses(pending).await.iter().all(|response| response.status.as_u16() == 503));
 }
 
@@ -192,12 +192,12 @@
         sleep(Duration::from_millis(20)).await;
         world.backends.set_header(address(1), "retry-after", "5");
         world.call(request("/again/x", "r2")).await;
-        assert_eq!(seen(&world, 1), 2);
+        assert_eq!(request_count(&world, 1), 2);
         assert_eq!(under_way.await.expect("a response").status.as_u16(), 200);
         let pending =
             send_for(&world, "/again/x", Duration::from_millis(40), Duration::from_secs(3));
         let pending = pending.await;
-        assert!(seen(&world, 1) <= 2 + MAX_REQUESTS, "{}", seen(&world, 1));
+        assert!(request_count(&world, 1) <= 2 + MAX_REQUESTS, "{}", request_count(&world, 1));
         assert!(responses(pending).await.iter().all(|response| response.status.as_u16() == 503));
     });
 }
@@ -253,10 +253,10 @@
         }
         // The first request shows whether the server accepts requests again.
         let end = Instant::now() + Duration::from_secs(2);
-        while seen(&world, 1) == 0 && Instant::now() < end {
+        while request_count(&world, 1) == 0 && Instant::now() < end {
             sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(seen(&world, 1), 1);
+        assert_eq!(request_count(&world, 1), 1);
         let responses = responses(pending).await;
         let served = responses.iter().filter(|response| response.status.as_u16() == 200).count();
         assert_eq!(served, 40, "all within a part of their objective");
@@ -293,7 +293,7 @@
             );
             sleep(Duration::from_millis(200)).await;
         }
-        assert_eq!(seen(&world, 2), 0);
+        assert_eq!(request_count(&world, 2), 0);
     });
 }
 
@@ -361,10 +361,10 @@
     world.backends.set_header(address(1), "retry-after", "6");
     world.start().await;
     world.call(request(path, "first")).await;
-    let before = seen(&world, 1);
+    let before = request_count(&world, 1);
     let pending = send_for(&world, path, Duration::from_millis(40), Duration::from_secs(5)).await;
     responses(pending).await;
-    seen(&world, 1) - before
+    request_count(&world, 1) - before
 }
 
 #[test]
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -53,7 +53,7 @@
     entries.iter().map(of_one).sum::<u64>()
 }
 
-fn holds(entry: &Entry, version: u64) -> bool {
+fn is_in_force(entry: &Entry, version: u64) -> bool {
     let installed = format!("\"configuration_in_force\",\"version\":{version},");
     entry.buffered_log_lines().contains(&installed)
 }
@@ -61,7 +61,8 @@
 /// Time until all entries have a configuration in force, up to 30 s.
 async fn time_until_in_force(entries: &[Entry], version: u64) -> Duration {
     let from = Instant::now();
-    while !entries.iter().all(|entry| holds(entry, version)) && from.elapsed().as_secs() < 30 {
+    while !entries.iter().all(|entry| is_in_force(entry, version)) && from.elapsed().as_secs() < 30
+    {
         sleep(STEP).await;
     }
     from.elapsed()
@@ -185,7 +186,7 @@
             let entry = Net::default().start_with(&world, 9, &seeds);
             // It first polls the seed for 0.9 s.
             sleep(Duration::from_millis(1_000) + response_time).await;
-            assert!(holds(&entry, 1), "at {response_ms} ms");
+            assert!(is_in_force(&entry, 1), "at {response_ms} ms");
         });
     }
 }
@@ -220,7 +221,7 @@
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_millis(1_300)).await;
-        assert!(holds(&entry, 1), "{}", entry.buffered_log_lines());
+        assert!(is_in_force(&entry, 1), "{}", entry.buffered_log_lines());
     });
 }
 
--- a/crates/direct/tests/state_distribution.rs
+++ b/crates/direct/tests/state_distribution.rs
@@ -413,7 +413,7 @@
 
 #[test]
 fn tree_has_bounded_fan_out_and_reaches_a_root() {
-    fn holds(entries: u16) -> bool {
+    fn property(entries: u16) -> bool {
         let entries = usize::from(entries % 1_000) + 1;
         let mut children = vec![0; entries];
         for position in 0..entries {
@@ -437,7 +437,7 @@
         root_count(entries) <= 3 && max_children <= FAN_OUT + 1 + entries / (FAN_OUT * FAN_OUT)
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(2_000, 8)).tests(500);
-    checks.quickcheck(holds as fn(u16) -> bool);
+    checks.quickcheck(property as fn(u16) -> bool);
 }
 
 #[test]
--- a/crates/direct/tests/usage_reports.rs
+++ b/crates/direct/tests/usage_reports.rs
@@ -78,7 +78,7 @@
     }
 
     /// Stops an entry without notice.
-    fn end(&mut self, position: usize) -> Entry {
+    fn stop_entry(&mut self, position: usize) -> Entry {
         let entry = self.entries.remove(position);
         let number = entry.name().trim_start_matches('e').parse().expect("a number");
         self.net.stop(number);
@@ -148,7 +148,7 @@
         let mut deployment = Deployment::start(&world, 24).await;
         deployment.send_load(Duration::from_secs(12), 40).await;
         let holder = deployment.holder();
-        deployment.end(holder);
+        deployment.stop_entry(holder);
         deployment.send_load(Duration::from_secs(20), 40).await;
         deployment.wait_until_due().await;
         // The holder's own counts of the last half second are lost with it.
@@ -163,7 +163,7 @@
         let mut deployment = Deployment::start(&world, 24).await;
         deployment.send_load(Duration::from_secs(12), 100).await;
         for _ in 0..12 {
-            deployment.end(0);
+            deployment.stop_entry(0);
         }
         deployment.send_load(Duration::from_secs(20), 100).await;
         deployment.wait_until_due().await;
@@ -275,7 +275,7 @@
         deployment.send_load(Duration::from_secs(12), 40).await;
         let before = world.usage_sink.accepted().last().expect("a report").call.fencing_token;
         for _ in 0..3 {
-            deployment.end(0);
+            deployment.stop_entry(0);
         }
         world.usage_sink.drop_calls_from(None);
         deployment.net.cut.borrow_mut().clear();
@@ -346,7 +346,7 @@
             let copy = world.store.snapshot();
             deployment.send_load(Duration::from_secs(9), 20).await;
             let holder = deployment.holder();
-            deployment.end(holder);
+            deployment.stop_entry(holder);
             restore(&world, &copy).await;
             deployment.send_load(Duration::from_secs(25), 20).await;
             deployment.wait_until_due().await;
@@ -363,10 +363,10 @@
             deployment.send_load(Duration::from_secs(copy_after_s), 20).await;
             let copy = world.store.snapshot();
             let holder = deployment.holder();
-            deployment.end(holder);
+            deployment.stop_entry(holder);
             deployment.send_load(Duration::from_secs(14), 20).await;
             while !deployment.entries.is_empty() {
-                deployment.end(0);
+                deployment.stop_entry(0);
             }
             restore(&world, &copy).await;
             deployment.entries =
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -57,8 +57,8 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let ahead = core.agents.all().into_iter().find(|l| l.generation() > core.generation());
-        if let Some(client) = ahead.and_then(|link| link.client())
+        let newer_link = core.agents.all().into_iter().find(|l| l.generation() > core.generation());
+        if let Some(client) = newer_link.and_then(|link| link.client())
             && let Ok(Some(newer)) = client.configuration(call_context()).await
         {
             core.install(newer);
--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,7 +1,7 @@
 //! Baseline policies that pondwalk is compared with.
 //!
-//! They choose servers round-robin, see each change of a server at once, and do not retry failed
-//! runs.
+//! They choose servers round-robin, learn of each change of a server at once, and do not retry
+//! failed runs.
 
 mod oracle;
 
--- a/crates/replay/src/simulation/changes.rs
+++ b/crates/replay/src/simulation/changes.rs
@@ -51,9 +51,9 @@
         };
         self.driver.deactivate_server(name);
         self.fleet.get_mut(server).clear();
-        let is_open_there = |run: &Run| run.server == server && run.is_open();
+        let is_interrupted = |run: &Run| run.server == server && run.is_open();
         let interrupted: Vec<RunIx> =
-            (0..self.runs.len()).filter(|run| is_open_there(&self.runs[*run])).collect();
+            (0..self.runs.len()).filter(|run| is_interrupted(&self.runs[*run])).collect();
         for run in interrupted {
             let spent = self.close_run(now, run);
             self.on_run_failed(now, run, Executed::Unknown, spent, Refusal::ContactLost);
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -146,12 +146,12 @@
 
 /// Draws the key for a request: mostly the newest, sometimes the previous one, rarely a removed one.
 fn draw_key(config_version: ConfigVersion, rng: &mut Pcg64Mcg) -> ConfigVersion {
-    let back = match rng.random_range(0..20) {
+    let versions_back = match rng.random_range(0..20) {
         0..16 => 0,
         16..19 => 1,
         _ => 2,
     };
-    config_version.saturating_sub(back).max(1)
+    config_version.saturating_sub(versions_back).max(1)
 }
 
 /// Sends a request; returns its outcome and whether the connection can be reused.
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -120,8 +120,8 @@
 /// A request that may not be repeated runs at most once.
 pub fn check_at_most_once(records: &Records) -> Finding {
     let runs = records.runs_by_id();
-    let once = records.exchanges.iter().filter(|exchange| exchange.route == Route::Once);
-    finding("runs at most once", once, |exchange| {
+    let non_repeatable = records.exchanges.iter().filter(|exchange| exchange.route == Route::Once);
+    finding("runs at most once", non_repeatable, |exchange| {
         let runs = runs.get(exchange.id.as_str()).map_or(0, Vec::len);
         (runs > 1).then(|| format!("{} ran {runs} times", exchange.id))
     })
@@ -174,14 +174,14 @@
         !records.was_disturbed(exchange.entry, exchange.sent_us, exchange.ended_us)
     });
     finding("requests that ran are not cut", undisturbed, |exchange| {
-        let had_time = exchange.ended_us < exchange.sent_us + us(DEADLINE);
+        let ended_before_deadline = exchange.ended_us < exchange.sent_us + us(DEADLINE);
         let runs = runs.get(exchange.id.as_str()).into_iter().flatten();
         // The exit of a server by itself is detected shortly after its callers see it.
         let until_us = exchange.ended_us + us(TOLERANCE);
         let killed =
             |run: &&&RunRecord| records.was_killed(&run.server, exchange.sent_us, until_us);
         let ran = runs.clone().count() > 0 && runs.filter(killed).count() == 0;
-        (exchange.outcome == Outcome::Cut && had_time && ran)
+        (exchange.outcome == Outcome::Cut && ended_before_deadline && ran)
             .then(|| format!("{} ran and was cut", exchange.id))
     })
 }
--- a/crates/soak/src/deployment/servers.rs
+++ b/crates/soak/src/deployment/servers.rs
@@ -207,16 +207,16 @@
         let began = Instant::now();
         let from_us = now_us();
         loop {
-            let left = WARM_UP_TIME.saturating_sub(began.elapsed());
-            let warm_up_left_ms = left.as_millis() as u64;
+            let remaining = WARM_UP_TIME.saturating_sub(began.elapsed());
+            let warm_up_left_ms = remaining.as_millis() as u64;
             let (key, value) = server_entry(&ServerEntry { warm_up_left_ms, ..listing.clone() });
             self.put(&key, value.to_string()).await?;
-            if left.is_zero() {
+            if remaining.is_zero() {
                 let span = Span { from_us, to_us: now_us() };
                 self.records.borrow_mut().cold.entry(listing.id.clone()).or_default().push(span);
                 return Ok(());
             }
-            sleep(HEARTBEAT_INTERVAL.min(left)).await;
+            sleep(HEARTBEAT_INTERVAL.min(remaining)).await;
         }
     }
 
