--- a/crates/direct/tests/peer_messages.rs
+++ b/crates/direct/tests/peer_messages.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn whole_state() -> StateMessage {
+fn full_state() -> StateMessage {
     let mut replica = Replica::default();
     let entries: Vec<StoreEntry> = (0..300).map(|n| fetched(&format!("servers/{n}"), n)).collect();
     replica.reset(&entries, at(300));
@@ -124,7 +124,7 @@
 
 #[test]
 fn replica_with_all_differences_equals_its_source() {
-    fn holds(steps: Vec<(u8, bool)>) -> bool {
+    fn property(steps: Vec<(u8, bool)>) -> bool {
         let (mut source, mut replica) = (Replica::default(), Replica::default());
         let mut expected_keys = std::collections::BTreeMap::new();
         for (number, (key, is_written)) in steps.iter().enumerate() {
@@ -135,7 +135,7 @@
                 false => removed(&key, revision),
             };
             source.apply_changes(std::slice::from_ref(&event), at(revision));
-            // The replica polls only now and then.
+            // The replica polls after every third change.
             if number % 3 == 0 {
                 let Some(changes) = source.changes_after(replica.position()) else { return false };
                 let events: Vec<StoreEvent> =
@@ -163,12 +163,12 @@
         true
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(60, 5)).tests(200);
-    checks.quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
+    checks.quickcheck(property as fn(Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
 fn state_message_round_trips() {
-    let state = whole_state();
+    let state = full_state();
     let bytes = state.to_bytes().expect("it serializes");
     assert!(bytes.len() < 8_000, "300 servers compress to {} bytes", bytes.len());
     let read = StateMessage::from_bytes(&bytes, STORE).expect("it decodes");
@@ -187,7 +187,7 @@
     };
     let bytes = foreign.to_bytes().expect("it serializes");
     assert_eq!(StateMessage::from_bytes(&bytes, STORE), Err(MessageError::OtherFormat(FORMAT + 1)));
-    let bytes = whole_state().to_bytes().expect("it serializes");
+    let bytes = full_state().to_bytes().expect("it serializes");
     let other: SocketAddr = "127.0.0.1:4".parse().expect("an address");
     assert_eq!(StateMessage::from_bytes(&bytes, other), Err(MessageError::OtherStore(STORE)));
 }
@@ -203,16 +203,16 @@
 
 #[test]
 fn truncated_or_altered_state_is_never_misread() {
-    let whole = whole_state();
-    let bytes = whole.to_bytes().expect("it serializes");
+    let state = full_state();
+    let bytes = state.to_bytes().expect("it serializes");
     let read =
         |bytes: &Bytes| StateMessage::from_bytes(bytes, STORE).and_then(|state| state.changes());
-    let expected = whole.changes().expect("it decompresses");
+    let expected = state.changes().expect("it decompresses");
     for length in 0..bytes.len() {
         let cut = bytes.slice(..length);
         assert!(read(&cut).map_or(true, |changes| changes.is_empty()), "cut at {length}");
     }
-    let body_from = bytes.len() - whole.body.len() - 1;
+    let body_from = bytes.len() - state.body.len() - 1;
     for index in body_from..bytes.len() {
         let mut altered = bytes.to_vec();
         altered[index] ^= 0x10;
@@ -239,7 +239,7 @@
 fn remote_times_are_never_mapped_too_late() {
     /// Delays of a request, of holding it, and of reading its response, in milliseconds.
     type Exchange = (u8, u16, u8, u16);
-    fn holds(offset_ms: u16, exchanges: Vec<Exchange>) -> bool {
+    fn property(offset_ms: u16, exchanges: Vec<Exchange>) -> bool {
         let ms = |ms: u64| Duration::from_millis(ms);
         let offset = u64::from(offset_ms);
         let mut clock = ClockOffset::default();
@@ -260,7 +260,7 @@
         true
     }
     let mut checks = QuickCheck::new().rng(Gen::from_size_and_seed(60, 6)).tests(300);
-    checks.quickcheck(holds as fn(u16, Vec<Exchange>) -> bool);
+    checks.quickcheck(property as fn(u16, Vec<Exchange>) -> bool);
 }
 
 #[test]
--- a/crates/direct/tests/slow_store.rs
+++ b/crates/direct/tests/slow_store.rs
@@ -10,7 +10,7 @@
 
 use common::{
     World, catalog, catalog_with_keys,
-    net::{Impostor, Net, peer_address, whole_state},
+    net::{Impostor, Net, full_state, peer_address},
     request, run_test, with,
 };
 use pondwalk_direct::Entry;
@@ -53,7 +53,7 @@
     entries.iter().map(of_one).sum::<u64>()
 }
 
-fn holds(entry: &Entry, version: u64) -> bool {
+fn is_in_force(entry: &Entry, version: u64) -> bool {
     let installed = format!("\"configuration_in_force\",\"version\":{version},");
     entry.buffered_log_lines().contains(&installed)
 }
@@ -61,7 +61,8 @@
 /// Time until all entries have a configuration in force, up to 30 s.
 async fn time_until_in_force(entries: &[Entry], version: u64) -> Duration {
     let from = Instant::now();
-    while !entries.iter().all(|entry| holds(entry, version)) && from.elapsed().as_secs() < 30 {
+    while !entries.iter().all(|entry| is_in_force(entry, version)) && from.elapsed().as_secs() < 30
+    {
         sleep(STEP).await;
     }
     from.elapsed()
@@ -185,14 +186,14 @@
             let entry = Net::default().start_with(&world, 9, &seeds);
             // It first polls the seed for 0.9 s.
             sleep(Duration::from_millis(1_000) + response_time).await;
-            assert!(holds(&entry, 1), "at {response_ms} ms");
+            assert!(is_in_force(&entry, 1), "at {response_ms} ms");
         });
     }
 }
 
 /// Sends an initial state to each client, in parts over 1.2 s.
 fn sending_slowly(keys: &[(&str, &str)]) -> Impostor {
-    let state = whole_state(keys, 9);
+    let state = full_state(keys, 9);
     let body = state.to_bytes().expect("it serializes");
     Rc::new(move |mut stream| {
         let body = body.clone();
@@ -220,7 +221,7 @@
         let seeds = format!("[membership]\nseeds={}\n", peer_address(0));
         let entry = net.start_with(&world, 9, &seeds);
         sleep(Duration::from_millis(1_300)).await;
-        assert!(holds(&entry, 1), "{}", entry.buffered_log_lines());
+        assert!(is_in_force(&entry, 1), "{}", entry.buffered_log_lines());
     });
 }
 
